--- a/internal/transport/gateway/announcements.go
+++ b/internal/transport/gateway/announcements.go
@@ -27,18 +27,18 @@
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	if reply.Draining {
-		a.noteAnnouncement(backend, announcedDraining, reply, g.fleet.NoteDraining(backend, now))
+		a.reportAnnouncement(backend, announcedDraining, reply, g.fleet.NoteDraining(backend, now))
 	}
 	if reply.Closes && g.fleet.NoteConnectionClose(backend, now) {
-		a.noteAnnouncement(backend, announcedClose, reply, true)
+		a.reportAnnouncement(backend, announcedClose, reply, true)
 	}
 	if reply.RetryAfter > 0 {
-		a.noteAnnouncement(backend, announcedRetryAfter, reply, g.fleet.NoteRetryAfter(backend, reply.RetryAfter, now))
+		a.reportAnnouncement(backend, announcedRetryAfter, reply, g.fleet.NoteRetryAfter(backend, reply.RetryAfter, now))
 	}
 }
 
-// noteAnnouncement counts an announcement, and logs it if it is new.
-func (a *attempts) noteAnnouncement(backend catalog.Backend, what string, reply *Reply, first bool) {
+// reportAnnouncement counts an announcement, and logs it if it is new.
+func (a *attempts) reportAnnouncement(backend catalog.Backend, what string, reply *Reply, first bool) {
 	g := a.gateway
 	g.metrics.announcements.WithLabelValues(backend.Service, what).Inc()
 	if !first {
--- a/internal/transport/gateway/counts.go
+++ b/internal/transport/gateway/counts.go
@@ -17,18 +17,18 @@
 
 // How often an entry sends the others its requests at each server, if they have changed.
 const (
-	countsEvery = 25 * time.Millisecond
-	// nearShare is how many other entries of the region add one such period.
-	nearShare = 8
-	// farEach is what each entry of other regions adds to the period there: they
+	countsInterval = 25 * time.Millisecond
+	// peersPerInterval is how many other entries of the region add one such period.
+	peersPerInterval = 8
+	// remoteIntervalPerPeer is what each entry of other regions adds to the period there: they
 	// send here only what their own servers cannot take, and bytes are scarce.
-	farEach = 24 * time.Millisecond
+	remoteIntervalPerPeer = 24 * time.Millisecond
 )
 
 // runCounts tells what has changed, less often the more entries there are, and at once what
 // concerns requests that end servers.
 func (g *Gateway) runCounts(ctx context.Context) {
-	ticker := time.NewTicker(countsEvery)
+	ticker := time.NewTicker(countsInterval)
 	defer ticker.Stop()
 	var lastNear, lastFar Counts
 	var nearAt, farAt time.Duration
@@ -40,37 +40,37 @@
 		}
 		now := boottime.Now()
 		g.mu.Lock()
-		near, far := g.peers.count()
+		near, far := g.peers.regionCounts()
 		counts := g.counts(now)
 		news := g.advanceCrashes(now)
 		g.keepVerdicts(ctx)
 		var everyone []string
 		if len(news) > 0 {
-			everyone = g.peers.addresses(reachAll)
+			everyone = g.peers.addresses(scopeAll)
 		}
 		g.mu.Unlock()
-		g.sendNews(news, everyone)
-		if now-nearAt >= countsEvery*time.Duration(near/nearShare) && !same(&lastNear, &counts) {
+		g.sendCrashReports(news, everyone)
+		if now-nearAt >= countsInterval*time.Duration(near/peersPerInterval) && !countsEqual(&lastNear, &counts) {
 			lastNear, nearAt = counts, now
-			g.sendCounts(&counts, reachNear)
+			g.sendCounts(&counts, scopeRegion)
 		}
-		if now-farAt >= farEach*time.Duration(far) && !same(&lastFar, &counts) {
+		if now-farAt >= remoteIntervalPerPeer*time.Duration(far) && !countsEqual(&lastFar, &counts) {
 			lastFar, farAt = counts, now
-			g.sendCounts(&counts, reachFar)
+			g.sendCounts(&counts, scopeRemote)
 		}
 	}
 }
 
-// same reports whether counts tell nothing new. What they say of silent servers
+// countsEqual reports whether counts tell nothing new. What they say of silent servers
 // holds for a moment only and is always told.
-func same(a, b *Counts) bool {
+func countsEqual(a, b *Counts) bool {
 	return len(b.Silent) == 0 && len(a.Silent) == 0 && maps.Equal(a.Requests, b.Requests) && maps.Equal(a.Boots, b.Boots)
 }
 
 // sendCounts sends counts to the entries of the region, or to those elsewhere.
-func (g *Gateway) sendCounts(counts *Counts, to reach) {
+func (g *Gateway) sendCounts(counts *Counts, to scope) {
 	g.mu.Lock()
 	addresses := g.peers.addresses(to)
 	g.mu.Unlock()
-	g.sendAll(Datagram{Counts: counts}, addresses)
+	g.sendTo(Datagram{Counts: counts}, addresses)
 }
--- a/internal/transport/gateway/datagrams.go
+++ b/internal/transport/gateway/datagrams.go
@@ -14,9 +14,9 @@
 )
 
 func (g *Gateway) runDatagrams(ctx context.Context) {
-	go g.runClose(ctx)
+	go g.runCloseSocket(ctx)
 	for {
-		if err := g.socket.Receive(g.receive); err != nil {
+		if err := g.socket.Receive(g.receiveDatagram); err != nil {
 			if ctx.Err() == nil {
 				g.log.Error("datagrams end", zap.Error(err))
 			}
@@ -25,7 +25,7 @@
 	}
 }
 
-func (g *Gateway) receive(data []byte, from net.Addr) {
+func (g *Gateway) receiveDatagram(data []byte, from net.Addr) {
 	d, err := DecodeDatagram(data)
 	if err != nil {
 		g.metrics.badDatagrams.Inc()
@@ -34,7 +34,7 @@
 	g.take(d, from)
 }
 
-func (g *Gateway) runClose(ctx context.Context) {
+func (g *Gateway) runCloseSocket(ctx context.Context) {
 	<-ctx.Done()
 	_ = g.socket.Close()
 }
@@ -44,9 +44,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if d.Beat != nil && d.Beat.Entry.Host != g.config.Self.Host {
-		if g.peers.hear(d.Beat.Entry, d.Beat.Ready, d.Beat.Lost, now) {
+		if g.peers.hear(d.Beat.Entry, d.Beat.Ready, d.Beat.StoreUnreachable, now) {
 			// Who has just started soon knows who else lives.
-			g.reply(Datagram{Beat: g.ownBeat(now)}, from)
+			g.reply(Datagram{Beat: g.ownHeartbeat(now)}, from)
 		}
 		for _, n := range d.Beat.Named {
 			if n.Known {
@@ -54,9 +54,9 @@
 			}
 		}
 		g.heardRestored(d.Beat, now)
-		g.peers.noteAnswered(d.Beat.Entry.Host, time.Duration(d.Beat.Answered)*time.Millisecond, now)
-		if d.Beat.Store != nil {
-			g.takeStoreUp(d.Beat.Store.span(now), now)
+		g.peers.recordStoreAnswer(d.Beat.Entry.Host, time.Duration(d.Beat.StoreAnswerAgeMs)*time.Millisecond, now)
+		if d.Beat.StoreUptime != nil {
+			g.recordStoreUptime(d.Beat.StoreUptime.span(now), now)
 		}
 		for _, news := range g.tellHolds(d.Beat.Held, now) {
 			g.reply(Datagram{News: &news}, from)
@@ -80,7 +80,7 @@
 
 // takeCounts takes another entry's requests; the caller holds the lock.
 func (g *Gateway) takeCounts(counts *Counts, now time.Duration) {
-	if g.peers.newer(counts.From, counts.Sequence) {
+	if g.peers.acceptSequence(counts.From, counts.Sequence) {
 		told := func(id string) bool { return g.fleet.IsCurrent(id, counts.Boots[id], now) }
 		maps.DeleteFunc(counts.Requests, func(id string, _ int) bool { return !told(id) })
 		counts.Silent = slices.DeleteFunc(counts.Silent, func(id string) bool { return !told(id) })
@@ -99,8 +99,8 @@
 	g.socket.Reply(data, to)
 }
 
-// sendAll sends one message to each address.
-func (g *Gateway) sendAll(d Datagram, addresses []string) {
+// sendTo sends one message to each address.
+func (g *Gateway) sendTo(d Datagram, addresses []string) {
 	data, err := EncodeDatagram(d)
 	if err != nil {
 		g.log.Error("datagram not sent", zap.Error(err))
@@ -112,7 +112,7 @@
 }
 
 func (g *Gateway) runHeartbeat(ctx context.Context) {
-	ticker := time.NewTicker(beatEvery)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	g.beat(boottime.Now(), true)
 	for turn := 1; ; {
@@ -122,7 +122,7 @@
 		case <-g.beatNow:
 			g.beat(boottime.Now(), false)
 		case <-ticker.C:
-			g.beat(boottime.Now(), turn%farBeats == 0)
+			g.beat(boottime.Now(), turn%heartbeatsPerRemote == 0)
 			turn++
 		}
 	}
@@ -131,33 +131,33 @@
 // beat tells the other entries of the region, or all, that this one lives.
 func (g *Gateway) beat(now time.Duration, all bool) {
 	g.mu.Lock()
-	for _, host := range g.peers.silent(now) {
+	for _, host := range g.peers.timedOut(now) {
 		g.fleet.SetCounts(host, nil, now)
 	}
-	to := reachNear
+	to := scopeRegion
 	if all {
-		to = reachAll
+		to = scopeAll
 	}
 	addresses := g.peers.addresses(to)
-	beat := g.ownBeat(now)
+	beat := g.ownHeartbeat(now)
 	var recent []quarantine.News
 	if all {
 		recent = g.crashes.Recent(now)
 	}
 	g.metrics.quarantined.Set(float64(g.crashes.HeldCount(now)))
 	g.mu.Unlock()
-	g.sendAll(Datagram{Beat: beat}, addresses)
-	g.sendNews(recent, addresses)
+	g.sendTo(Datagram{Beat: beat}, addresses)
+	g.sendCrashReports(recent, addresses)
 }
 
-// sendNews tells other entries of requests that end the servers that run them.
-func (g *Gateway) sendNews(all []quarantine.News, addresses []string) {
+// sendCrashReports tells other entries of requests that end the servers that run them.
+func (g *Gateway) sendCrashReports(all []quarantine.News, addresses []string) {
 	for _, news := range all {
-		g.sendAll(Datagram{News: &news}, addresses)
+		g.sendTo(Datagram{News: &news}, addresses)
 	}
 }
 
-// ownBeat is this entry's heartbeat; the caller holds the lock.
-func (g *Gateway) ownBeat(now time.Duration) *Beat {
-	return &Beat{Entry: g.config.Self, Ready: g.readyLocked(now), Lost: g.lost(now), Named: g.namedAges(now), Held: g.crashes.Digest(now), Restored: g.restored.Load(), Store: g.storeUptime(now), Answered: g.answeredAgo(now)}
+// ownHeartbeat is this entry's heartbeat; the caller holds the lock.
+func (g *Gateway) ownHeartbeat(now time.Duration) *Beat {
+	return &Beat{Entry: g.config.Self, Ready: g.readyLocked(now), StoreUnreachable: g.lost(now), Named: g.namedAges(now), Held: g.crashes.Digest(now), Restored: g.restored.Load(), StoreUptime: g.storeUptime(now), StoreAnswerAgeMs: g.storeAnswerAgeMs(now)}
 }
--- a/internal/transport/gateway/decode.go
+++ b/internal/transport/gateway/decode.go
@@ -15,18 +15,18 @@
 
 // Bounds of what other processes say.
 const (
-	// peerBytes bounds an answer of another entry: whole tables of hundreds of servers
+	// maxPeerResponse bounds an answer of another entry: whole tables of hundreds of servers
 	// and of a desired state have 2 MB, and a reader keeps as much again of changes.
-	peerBytes = 32 << 20
-	// nameMost bounds names, as the store does its keys.
-	nameMost = 200
-	// requestsMost bounds the requests that one process has at one server.
-	requestsMost = 1 << 20
-	modelsMost   = 256
-	// paceMost bounds how many times slower than it should be a server is.
-	paceMost = 1000
-	// aheadMost bounds how far ahead a report tells: a change of weights takes seconds.
-	aheadMost = time.Hour
+	maxPeerResponse = 32 << 20
+	// maxNameBytes bounds names, as the store does its keys.
+	maxNameBytes = 200
+	// maxRequests bounds the requests that one process has at one server.
+	maxRequests = 1 << 20
+	maxModels   = 256
+	// maxPace bounds how many times slower than it should be a server is.
+	maxPace = 1000
+	// maxLookahead bounds how far ahead a report tells: a change of weights takes seconds.
+	maxLookahead = time.Hour
 	// revisionMost is the largest revision that all readers of JSON agree on.
 	revisionMost = 1 << 53
 )
@@ -34,21 +34,21 @@
 // What was expected of other processes.
 var (
 	errAddress  = errors.New("expected HOST:PORT")
-	errName     = fmt.Errorf("expected a name of 1 to %d bytes", nameMost)
-	errRequests = fmt.Errorf("expected 0 to %d requests", requestsMost)
-	errPace     = fmt.Errorf("expected a pace of 0 to %d", paceMost)
+	errName     = fmt.Errorf("expected a name of 1 to %d bytes", maxNameBytes)
+	errRequests = fmt.Errorf("expected 0 to %d requests", maxRequests)
+	errPace     = fmt.Errorf("expected a pace of 0 to %d", maxPace)
 	errAge      = errors.New("expected a time that can be")
 	errRevision = fmt.Errorf("expected a revision of up to %d", uint64(revisionMost))
 	errTooLarge = errors.New("the answer is too large")
 )
 
-// decodePeer decodes what another process answered, up to a bound.
-func decodePeer(body io.Reader, out any) error {
-	data, err := io.ReadAll(io.LimitReader(body, peerBytes+1))
+// decodeResponse decodes what another process answered, up to a bound.
+func decodeResponse(body io.Reader, out any) error {
+	data, err := io.ReadAll(io.LimitReader(body, maxPeerResponse+1))
 	switch {
 	case err != nil:
 		return err
-	case len(data) > peerBytes:
+	case len(data) > maxPeerResponse:
 		return errTooLarge
 	}
 	return json.Unmarshal(data, out)
@@ -57,7 +57,7 @@
 // decodeEntries decodes the entries that another one knows, those that can be called.
 func decodeEntries(body io.Reader) ([]Entry, error) {
 	var list []json.RawMessage
-	if err := decodePeer(body, &list); err != nil {
+	if err := decodeResponse(body, &list); err != nil {
 		return nil, fmt.Errorf("decode entries: %w", err)
 	}
 	var entries []Entry
@@ -71,7 +71,7 @@
 }
 
 func (e *Entry) check() error {
-	if e.Host == "" || len(e.Host) > nameMost {
+	if e.Host == "" || len(e.Host) > maxNameBytes {
 		return fmt.Errorf("host: %w", errName)
 	}
 	return errors.Join(checkAddress("Callers", e.Callers), checkAddress("Peers", e.Peers), checkAddress("Datagrams", e.Datagrams))
@@ -105,11 +105,11 @@
 	if c == nil {
 		return nil
 	}
-	if c.From == "" || len(c.From) > nameMost {
+	if c.From == "" || len(c.From) > maxNameBytes {
 		return fmt.Errorf("from: %w", errName)
 	}
 	for _, n := range c.Requests {
-		if n < 0 || n > requestsMost {
+		if n < 0 || n > maxRequests {
 			return fmt.Errorf("requests: %w", errRequests)
 		}
 	}
@@ -121,13 +121,13 @@
 		return nil
 	}
 	load := &l.Load
-	if load.Running < 0 || load.Running > requestsMost || load.Queued < 0 || load.Queued > requestsMost {
+	if load.Running < 0 || load.Running > maxRequests || load.Queued < 0 || load.Queued > maxRequests {
 		return fmt.Errorf("load: %w", errRequests)
 	}
-	if load.LeavesIn > aheadMost || load.LoadedIn > aheadMost {
+	if load.LeavesIn > maxLookahead || load.LoadedIn > maxLookahead {
 		return fmt.Errorf("load: %w", errAge)
 	}
-	if !(load.Pace >= 0 && load.Pace <= paceMost) {
+	if !(load.Pace >= 0 && load.Pace <= maxPace) {
 		return fmt.Errorf("load: %w", errPace)
 	}
 	return errors.Join(checkModels(load.Models), checkNamed(l.Named))
@@ -135,7 +135,7 @@
 
 func checkModels(models []catalog.Model) error {
 	for _, m := range models {
-		if m.Name == "" || len(m.Name) > nameMost || m.Version > revisionMost || len(models) > modelsMost {
+		if m.Name == "" || len(m.Name) > maxNameBytes || m.Version > revisionMost || len(models) > maxModels {
 			return fmt.Errorf("models: %w", errName)
 		}
 	}
--- a/internal/transport/gateway/fuzz_test.go
+++ b/internal/transport/gateway/fuzz_test.go
@@ -18,7 +18,7 @@
 		if d.Beat != nil && (d.Beat.Entry.Host == "" || checkAddress("", d.Beat.Entry.Datagrams) != nil) {
 			t.Fatalf("a heartbeat of nobody: %+v", d.Beat)
 		}
-		if d.Load != nil && (d.Load.Load.Running < 0 || d.Load.Load.Queued < 0 || d.Load.Load.LeavesIn > aheadMost) {
+		if d.Load != nil && (d.Load.Load.Running < 0 || d.Load.Load.Queued < 0 || d.Load.Load.LeavesIn > maxLookahead) {
 			t.Fatalf("a load that cannot be: %+v", d.Load)
 		}
 		if d.Counts != nil {
--- a/internal/transport/gateway/headwatch.go
+++ b/internal/transport/gateway/headwatch.go
@@ -11,16 +11,16 @@
 
 // Times that a server may take to begin its answer.
 const (
-	// headGoals is how many goals a server may take to begin its answer before
+	// headTimeoutFactor is how many goals a server may take to begin its answer before
 	// a request that may run again is sent elsewhere.
-	headGoals = 4
-	// stalledGoals and stalledEvery are when it is first looked, and how often
+	headTimeoutFactor = 4
+	// firstCheckFactor and stalledEvery are when it is first looked, and how often
 	// then, whether the server sends nothing to anybody.
-	stalledGoals = 1.5
-	stalledEvery = 100 * time.Millisecond
-	// headLeast is the least of these times, so that a short goal does not
+	firstCheckFactor = 1.5
+	checkInterval    = 100 * time.Millisecond
+	// minHeadTimeout is the least of these times, so that a short goal does not
 	// send again what is merely queued.
-	headLeast = 400 * time.Millisecond
+	minHeadTimeout = 400 * time.Millisecond
 )
 
 // headWatch waits for the head of an answer.
@@ -53,7 +53,7 @@
 // server that sends nothing to anybody is given up sooner than one that is busy.
 func (w *headWatch) run() {
 	began := time.Now()
-	timer := time.NewTimer(max(time.Duration(stalledGoals*float64(w.goal)), headLeast))
+	timer := time.NewTimer(max(time.Duration(firstCheckFactor*float64(w.goal)), minHeadTimeout))
 	defer timer.Stop()
 	for {
 		select {
@@ -65,7 +65,7 @@
 			w.cancel()
 			return
 		}
-		timer.Reset(stalledEvery)
+		timer.Reset(checkInterval)
 	}
 }
 
@@ -80,7 +80,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	silent := g.fleet.Followed(w.backend) || g.fleet.Stalled(w.backend.ID, now)
-	if waited < max(headGoals*w.goal, headLeast) && !silent {
+	if waited < max(headTimeoutFactor*w.goal, minHeadTimeout) && !silent {
 		return false
 	}
 	return g.fleet.Elsewhere(w.wanted, g.gate.Waiting, now)
--- a/internal/transport/gateway/messages.go
+++ b/internal/transport/gateway/messages.go
@@ -31,19 +31,19 @@
 type Beat struct {
 	Entry Entry `cbor:"1,keyasint"`
 	Ready bool  `cbor:"2,keyasint,omitempty"`
-	// Lost is true while the store does not answer the entry.
-	Lost  bool       `cbor:"3,keyasint,omitempty"`
-	Named []NamedAge `cbor:"4,keyasint,omitempty"`
+	// StoreUnreachable is true while the store does not answer the entry.
+	StoreUnreachable bool       `cbor:"3,keyasint,omitempty"`
+	Named            []NamedAge `cbor:"4,keyasint,omitempty"`
 	// Held differs between entries that keep different requests from servers; 0: none.
 	Held uint64 `cbor:"5,keyasint,omitempty"`
 	// Restored is true once the entry knows the verdicts that were made before it started.
 	Restored bool `cbor:"6,keyasint,omitempty"`
-	// Store is since when and until when the store has answered, as far as the entry knows;
+	// StoreUptime is since when and until when the store has answered, as far as the entry knows;
 	// nil if it knows of no answer lately.
-	Store *StoreUptime `cbor:"7,keyasint,omitempty"`
-	// Answered is how many milliseconds ago the store last answered the entry itself; 0 if
+	StoreUptime *StoreUptime `cbor:"7,keyasint,omitempty"`
+	// StoreAnswerAgeMs is how many milliseconds ago the store last answered the entry itself; 0 if
 	// that was too long ago to matter.
-	Answered uint16 `cbor:"8,keyasint,omitempty"`
+	StoreAnswerAgeMs uint16 `cbor:"8,keyasint,omitempty"`
 }
 
 // Counts tells how many requests an entry has at each backend server.
@@ -75,14 +75,14 @@
 	Named []NamedAge `cbor:"2,keyasint"`
 }
 
-// decoding bounds what a message may hold.
-var decoding = mustDecoding()
+// decMode bounds what a message may hold.
+var decMode = mustDecMode()
 
-// pairsMost bounds the servers that one message tells of, as 8 KiB do.
-const pairsMost = 1 << 10
+// maxItems bounds the servers that one message tells of, as 8 KiB do.
+const maxItems = 1 << 10
 
-func mustDecoding() cbor.DecMode {
-	mode, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxMapPairs: pairsMost, MaxArrayElements: pairsMost}.DecMode()
+func mustDecMode() cbor.DecMode {
+	mode, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8, MaxMapPairs: maxItems, MaxArrayElements: maxItems}.DecMode()
 	if err != nil {
 		panic(err)
 	}
@@ -105,7 +105,7 @@
 // back nowhere, and figures that cannot be would keep a server out of use for ever.
 func DecodeDatagram(data []byte) (*Datagram, error) {
 	var d Datagram
-	if err := decoding.Unmarshal(data, &d); err != nil {
+	if err := decMode.Unmarshal(data, &d); err != nil {
 		return nil, fmt.Errorf("decode datagram: %w", err)
 	}
 	if err := errors.Join(d.Beat.check(), d.Counts.check(), d.Load.check(), d.News.Check()); err != nil {
--- a/internal/transport/gateway/messages_test.go
+++ b/internal/transport/gateway/messages_test.go
@@ -28,15 +28,15 @@
 	if decoder.Decode(&value) != nil {
 		return []byte(text)
 	}
-	data, err := cbor.Marshal(numbered(value, reflect.TypeFor[Datagram]()))
+	data, err := cbor.Marshal(withNumericKeys(value, reflect.TypeFor[Datagram]()))
 	if err != nil {
 		panic(err)
 	}
 	return data
 }
 
-// numbered puts the numbers of a struct's fields in place of their names.
-func numbered(value any, as reflect.Type) any {
+// withNumericKeys puts the numbers of a struct's fields in place of their names.
+func withNumericKeys(value any, as reflect.Type) any {
 	for as != nil && as.Kind() == reflect.Pointer {
 		as = as.Elem()
 	}
@@ -54,14 +54,14 @@
 	case []any:
 		var list []any
 		for _, item := range v {
-			list = append(list, numbered(item, as.Elem()))
+			list = append(list, withNumericKeys(item, as.Elem()))
 		}
 		return list
 	case map[string]any:
 		if as.Kind() == reflect.Map {
 			fields := map[string]any{}
 			for name, item := range v {
-				fields[name] = numbered(item, as.Elem())
+				fields[name] = withNumericKeys(item, as.Elem())
 			}
 			return fields
 		}
@@ -75,7 +75,7 @@
 			if err != nil {
 				panic(err)
 			}
-			fields[number] = numbered(item, field.Type)
+			fields[number] = withNumericKeys(item, field.Type)
 		}
 		return fields
 	}
@@ -83,12 +83,12 @@
 }
 
 // Two processes that run the same version must read what the other tells, whole.
-func TestMessagesArriveAsTheyWere(t *testing.T) {
+func TestDatagramRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	for _, d := range []Datagram{
 		{Changed: true},
 		{Beat: &Beat{Entry: Entry{Host: "e", Site: "a", Region: "ra", Callers: "10.0.0.1:1", Peers: "10.0.0.1:2", Datagrams: "10.0.0.1:3", Incarnation: "x"},
-			Ready: true, Lost: true, Named: []NamedAge{{Model: "d", Version: 2, Age: time.Second, Known: true}}}},
+			Ready: true, StoreUnreachable: true, Named: []NamedAge{{Model: "d", Version: 2, Age: time.Second, Known: true}}}},
 		{Counts: &Counts{From: "e", Sequence: 1 << 60, Requests: map[string]int{"i-1": 3}, Silent: []string{"i-2"}, Boots: map[string]catalog.Boot{"i-1": 7}}},
 		{Load: &LoadReport{Load: fleet.Load{Address: "10.0.0.1:1", Boot: 5, Before: []catalog.Boot{3}, Sequence: 1 << 63, Running: 3, Queued: 1, Pace: 1.5,
 			Switching: true, Models: []catalog.Model{{Name: "d", Version: 2}}, LeavesIn: time.Second, LoadedIn: time.Minute},
@@ -104,7 +104,7 @@
 
 // While versions of the program are changed one process after the other, a message may
 // have a field that is not known yet. The rest of it counts.
-func TestFieldsThatAreNotKnownAreLeftOut(t *testing.T) {
+func TestUnknownFieldsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	data, err := cbor.Marshal(map[int]any{2: map[int]any{1: "e", 2: 7, 99: []int{1, 2}}, 98: "later"})
 	c.Assert(err, qt.IsNil)
@@ -115,9 +115,9 @@
 
 // Bytes between regions are scarce and paid for; what an entry tells 78 others elsewhere
 // must stay small.
-func TestMessagesAreSmall(t *testing.T) {
+func TestDatagramSize(t *testing.T) {
 	c := qt.New(t)
-	counts := usualCounts(15)
+	counts := typicalCounts(15)
 	data, err := EncodeDatagram(Datagram{Counts: &counts})
 	c.Assert(err, qt.IsNil)
 	text, err := json.Marshal(counts)
@@ -129,7 +129,7 @@
 	c.Check(len(beat) < 150, qt.IsTrue, qt.Commentf("%d bytes", len(beat)))
 }
 
-func usualCounts(servers int) Counts {
+func typicalCounts(servers int) Counts {
 	counts := Counts{From: "edge-nave-erandio-13", Sequence: 123456789012, Requests: map[string]int{}}
 	for i := range servers {
 		counts.Requests[fmt.Sprintf("i-%010x", i*7919)] = 1 + i%2
@@ -140,7 +140,7 @@
 // BenchmarkDatagram tells what a message of 15 servers costs to read: 10.2 us and 48
 // allocations as JSON.
 func BenchmarkDatagram(b *testing.B) {
-	counts := usualCounts(15)
+	counts := typicalCounts(15)
 	data, err := EncodeDatagram(Datagram{Counts: &counts})
 	qt.Assert(b, err, qt.IsNil)
 	b.Run("Encode", func(b *testing.B) {
--- a/internal/transport/gateway/news_test.go
+++ b/internal/transport/gateway/news_test.go
@@ -10,12 +10,12 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/quarantine"
 )
 
-// packetMost is what one packet carries on every link.
-const packetMost = 1400
+// maxPacketBytes is what one packet carries on every link.
+const maxPacketBytes = 1400
 
 // News of servers that end was lost whole if one part of a message was, as it took several
 // packets. However much there is to tell, each message fits one.
-func TestNewsFitsAPacket(t *testing.T) {
+func TestCrashReportsFitOnePacket(t *testing.T) {
 	table := quarantine.New(quarantine.DefaultConfig())
 	now := 1000 * time.Hour
 	for n := range 200 {
@@ -28,7 +28,7 @@
 	for _, news := range table.Fresh(now + 123456*time.Microsecond) {
 		data, err := EncodeDatagram(Datagram{News: &news})
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, len(data) <= packetMost, qt.IsTrue, qt.Commentf("%d bytes", len(data)))
+		qt.Assert(t, len(data) <= maxPacketBytes, qt.IsTrue, qt.Commentf("%d bytes", len(data)))
 		d, err := DecodeDatagram(data)
 		qt.Assert(t, err, qt.IsNil)
 		for _, e := range d.News.Ends {
@@ -40,7 +40,7 @@
 
 // The end of one server with 16 requests under way, of which an entry had two, and what an
 // entry's tick costs then; 98 and 460 entries are told the former.
-func BenchmarkNews(b *testing.B) {
+func BenchmarkCrashReport(b *testing.B) {
 	table := quarantine.New(quarantine.DefaultConfig())
 	process := quarantine.Process{Server: "i-0b0818ed14"}
 	for n := range 2 {
@@ -53,7 +53,7 @@
 	qt.Assert(b, err, qt.IsNil)
 	now := time.Second
 	for b.Loop() {
-		now += countsEvery
+		now += countsInterval
 		table.Advance(now)
 	}
 	b.ReportMetric(float64(len(data)), "bytes/message")
--- a/internal/transport/gateway/peers.go
+++ b/internal/transport/gateway/peers.go
@@ -10,62 +10,62 @@
 
 // Times of what entries hear of each other.
 const (
-	// beatEvery is how often an entry tells the others that it lives.
-	beatEvery = 400 * time.Millisecond
-	// beatMissed is the silence after which an entry is not named to callers:
+	// heartbeatInterval is how often an entry tells the others that it lives.
+	heartbeatInterval = 400 * time.Millisecond
+	// heartbeatTimeout is the silence after which an entry is not named to callers:
 	// three heartbeats, since datagrams are lost now and then.
-	beatMissed = 1300 * time.Millisecond
-	// farBeats is how many heartbeats pass between two that go to other regions
+	heartbeatTimeout = 1300 * time.Millisecond
+	// heartbeatsPerRemote is how many heartbeats pass between two that go to other regions
 	// too, where bytes are scarce; farMissed is the timeout there.
-	farBeats  = 5
-	farMissed = 5 * time.Second
+	heartbeatsPerRemote    = 5
+	remoteHeartbeatTimeout = 5 * time.Second
 	// startTrust is how long after it learnt of another entry one takes that to be
 	// alive, until it can have been heard; for those of other regions it is farMissed.
 	startTrust = 1500 * time.Millisecond
 )
 
-// siteLeast is how many entries of a caller's own site are enough to name no
+// minSiteEntries is how many entries of a caller's own site are enough to name no
 // others: one of them may be gone by the time that the caller comes.
-const siteLeast = 2
+const minSiteEntries = 2
 
-// locateMost bounds the addresses named to a caller.
-const locateMost = 64
+// maxLocateAddresses bounds the addresses named to a caller.
+const maxLocateAddresses = 64
 
 // peers is what an entry knows of the others. The gateway's lock guards it.
 type peers struct {
 	self    Entry
 	started time.Duration
-	known   map[filbertlever.HostID]*peer
+	byHost  map[filbertlever.HostID]*peer
 	// order has the known entries by name, and near is how many of them are of this one's
 	// region; order is nil if it is out of date.
-	order []*peer
-	near  int
+	order       []*peer
+	regionCount int
 }
 
 type peer struct {
 	entry Entry
-	// since is when this entry learnt of it.
-	since time.Duration
+	// discoveredAt is when this entry learnt of it.
+	discoveredAt time.Duration
 	// listed is true while the store has the entry's row.
-	listed bool
-	heard  time.Duration
-	ready  bool
-	// lost is true while the store does not answer it.
-	lost bool
-	// answeredAt is when the store last answered it; 0 if that is not known.
-	answeredAt time.Duration
-	// sequence is that of the last counts taken.
-	sequence int64
+	listed      bool
+	heartbeatAt time.Duration
+	ready       bool
+	// storeUnreachable is true while the store does not answer it.
+	storeUnreachable bool
+	// storeAnsweredAt is when the store last answered it; 0 if that is not known.
+	storeAnsweredAt time.Duration
+	// countsSequence is that of the last counts taken.
+	countsSequence int64
 }
 
 func newPeers(self Entry, now time.Duration) *peers {
-	return &peers{self: self, started: now, known: map[filbertlever.HostID]*peer{}}
+	return &peers{self: self, started: now, byHost: map[filbertlever.HostID]*peer{}}
 }
 
-// list takes rows of the store.
-func (p *peers) list(present []Entry, gone []string, whole bool, now time.Duration) {
+// applyRows takes rows of the store.
+func (p *peers) applyRows(present []Entry, gone []string, whole bool, now time.Duration) {
 	if whole {
-		for _, known := range p.known {
+		for _, known := range p.byHost {
 			known.listed = false
 		}
 	}
@@ -73,33 +73,33 @@
 		if entry.Host == p.self.Host {
 			continue
 		}
-		known, ok := p.known[entry.Host]
+		known, ok := p.byHost[entry.Host]
 		if !ok {
-			known = &peer{since: now}
-			p.known[entry.Host] = known
+			known = &peer{discoveredAt: now}
+			p.byHost[entry.Host] = known
 		}
 		known.entry, known.listed = entry, true
 		p.order = nil
 	}
 	for _, host := range gone {
-		if known, ok := p.known[filbertlever.HostID(host)]; ok {
+		if known, ok := p.byHost[filbertlever.HostID(host)]; ok {
 			known.listed = false
 		}
 	}
-	for host, known := range p.known {
+	for host, known := range p.byHost {
 		if !known.listed {
-			delete(p.known, host)
+			delete(p.byHost, host)
 			p.order = nil
 		}
 	}
 }
 
-// meet takes entries that another entry told of. Their own heartbeats show whether
+// addDiscovered takes entries that another entry told of. Their own heartbeats show whether
 // they live.
-func (p *peers) meet(entries []Entry, now time.Duration) {
+func (p *peers) addDiscovered(entries []Entry, now time.Duration) {
 	for _, entry := range entries {
-		if _, ok := p.known[entry.Host]; !ok && entry.Host != p.self.Host {
-			p.known[entry.Host] = &peer{entry: entry, listed: true, since: now}
+		if _, ok := p.byHost[entry.Host]; !ok && entry.Host != p.self.Host {
+			p.byHost[entry.Host] = &peer{entry: entry, listed: true, discoveredAt: now}
 			p.order = nil
 		}
 	}
@@ -107,102 +107,102 @@
 
 // hear takes a heartbeat, and reports whether it is the first of that process.
 func (p *peers) hear(entry Entry, ready, lost bool, now time.Duration) (first bool) {
-	known, ok := p.known[entry.Host]
+	known, ok := p.byHost[entry.Host]
 	if !ok {
 		// A live entry whose row has not been read yet.
-		known = &peer{listed: true, since: now}
-		p.known[entry.Host] = known
+		known = &peer{listed: true, discoveredAt: now}
+		p.byHost[entry.Host] = known
 	}
 	if !ok || known.entry.Region != entry.Region {
 		p.order = nil
 	}
-	first = known.heard == 0 || known.entry.Incarnation != entry.Incarnation
+	first = known.heartbeatAt == 0 || known.entry.Incarnation != entry.Incarnation
 	if known.entry.Incarnation != entry.Incarnation {
-		known.sequence = 0
+		known.countsSequence = 0
 	}
-	known.entry, known.heard, known.ready, known.lost = entry, now, ready, lost
+	known.entry, known.heartbeatAt, known.ready, known.storeUnreachable = entry, now, ready, lost
 	return first
 }
 
-// newer reports whether counts of an entry are newer than the last taken.
+// acceptSequence reports whether counts of an entry are newer than the last taken.
 //
 // Guard: datagrams overtake each other, and a late one would bring back
 // requests that have ended.
-func (p *peers) newer(host filbertlever.HostID, sequence int64) bool {
-	known, ok := p.known[host]
-	if !ok || sequence <= known.sequence {
+func (p *peers) acceptSequence(host filbertlever.HostID, sequence int64) bool {
+	known, ok := p.byHost[host]
+	if !ok || sequence <= known.countsSequence {
 		return false
 	}
-	known.sequence = sequence
+	known.countsSequence = sequence
 	return true
 }
 
-// living reports whether an entry is taken to be alive.
+// isAlive reports whether an entry is taken to be alive.
 //
 // Guard: heartbeats of other regions are rarer; with the timeout of this one's, their entries would
 // count as dead right after a start, and pieces on their way from them would be given up.
-func (p *peers) living(known *peer, now time.Duration) bool {
+func (p *peers) isAlive(known *peer, now time.Duration) bool {
 	far := known.entry.Region != p.self.Region
 	switch {
 	case far:
-		return now-max(known.heard, known.since) < farMissed
-	case known.heard == 0:
-		return now-known.since < startTrust
+		return now-max(known.heartbeatAt, known.discoveredAt) < remoteHeartbeatTimeout
+	case known.heartbeatAt == 0:
+		return now-known.discoveredAt < startTrust
 	}
-	return now-known.heard < beatMissed
+	return now-known.heartbeatAt < heartbeatTimeout
 }
 
 // isReady reports whether an entry has said that it is ready.
 func (p *peers) isReady(host filbertlever.HostID) bool {
-	known, ok := p.known[host]
+	known, ok := p.byHost[host]
 	return ok && known.ready
 }
 
 // isReader reports whether an entry may read the store for its region.
 func (p *peers) isReader(host filbertlever.HostID) bool {
-	known, ok := p.known[host]
-	return ok && known.ready && !known.lost
+	known, ok := p.byHost[host]
+	return ok && known.ready && !known.storeUnreachable
 }
 
-// noteAnswered notes how long ago the store answered an entry; 0 if the entry does not say.
-func (p *peers) noteAnswered(host filbertlever.HostID, ago, now time.Duration) {
-	if known, ok := p.known[host]; ok && ago > 0 {
-		known.answeredAt = now - ago
+// recordStoreAnswer notes how long ago the store answered an entry; 0 if the entry does not say.
+func (p *peers) recordStoreAnswer(host filbertlever.HostID, ago, now time.Duration) {
+	if known, ok := p.byHost[host]; ok && ago > 0 {
+		known.storeAnsweredAt = now - ago
 	}
 }
 
 // isAnswered reports whether the store has answered an entry lately.
 func (p *peers) isAnswered(host filbertlever.HostID, now time.Duration) bool {
-	known, ok := p.known[host]
-	return ok && known.answeredAt != 0 && now-known.answeredAt < answerFresh
+	known, ok := p.byHost[host]
+	return ok && known.storeAnsweredAt != 0 && now-known.storeAnsweredAt < storeAnswerTTL
 }
 
 // noteLost notes that an entry says that it lost the store, until its next heartbeat.
 func (p *peers) noteLost(host filbertlever.HostID) {
-	if known, ok := p.known[host]; ok {
-		known.lost = true
+	if known, ok := p.byHost[host]; ok {
+		known.storeUnreachable = true
 	}
 }
 
 // isHeard reports whether an entry has been heard, and is not only listed.
 func (p *peers) isHeard(host filbertlever.HostID) bool {
-	known, ok := p.known[host]
-	return ok && known.heard != 0
+	known, ok := p.byHost[host]
+	return ok && known.heartbeatAt != 0
 }
 
 // registered returns how many entries there are by the store's rows.
-func (p *peers) registered() int { return len(p.known) + 1 }
+func (p *peers) registered() int { return len(p.byHost) + 1 }
 
 // sorted returns the known entries by name.
 func (p *peers) sorted() []*peer {
 	if p.order != nil {
 		return p.order
 	}
-	p.order, p.near = make([]*peer, 0, len(p.known)), 0
-	for _, known := range p.known {
+	p.order, p.regionCount = make([]*peer, 0, len(p.byHost)), 0
+	for _, known := range p.byHost {
 		p.order = append(p.order, known)
 		if known.entry.Region == p.self.Region {
-			p.near++
+			p.regionCount++
 		}
 	}
 	slices.SortFunc(p.order, func(a, b *peer) int { return cmp.Compare(a.entry.Host, b.entry.Host) })
@@ -218,7 +218,7 @@
 		if !self && known.entry.Host > p.self.Host {
 			entries, self = append(entries, p.self), true
 		}
-		if p.living(known, now) {
+		if p.isAlive(known, now) {
 			entries = append(entries, known.entry)
 		}
 	}
@@ -228,40 +228,40 @@
 	return entries
 }
 
-// reach says which entries a message goes to.
-type reach int
+// scope says which entries a message goes to.
+type scope int
 
 // Whom messages go to: all entries that may live, those of this one's region, and those
 // of others.
 const (
-	reachAll reach = iota
-	reachNear
-	reachFar
+	scopeAll scope = iota
+	scopeRegion
+	scopeRemote
 )
 
 // addresses returns where messages go.
-func (p *peers) addresses(to reach) []string {
+func (p *peers) addresses(to scope) []string {
 	var addresses []string
 	for _, known := range p.sorted() {
 		near := known.entry.Region == p.self.Region
-		if to == reachAll || near == (to == reachNear) {
+		if to == scopeAll || near == (to == scopeRegion) {
 			addresses = append(addresses, known.entry.Datagrams)
 		}
 	}
 	return addresses
 }
 
-// count returns how many other entries of the region there are, and how many elsewhere.
-func (p *peers) count() (near, far int) {
+// regionCounts returns how many other entries of the region there are, and how many elsewhere.
+func (p *peers) regionCounts() (near, far int) {
 	known := len(p.sorted())
-	return p.near, known - p.near
+	return p.regionCount, known - p.regionCount
 }
 
-// silent returns the entries that were heard once and are no longer.
-func (p *peers) silent(now time.Duration) []filbertlever.HostID {
+// timedOut returns the entries that were heard once and are no longer.
+func (p *peers) timedOut(now time.Duration) []filbertlever.HostID {
 	var hosts []filbertlever.HostID
-	for host, known := range p.known {
-		if known.heard != 0 && !p.living(known, now) {
+	for host, known := range p.byHost {
+		if known.heartbeatAt != 0 && !p.isAlive(known, now) {
 			hosts = append(hosts, host)
 		}
 	}
@@ -281,15 +281,15 @@
 	if selfReady {
 		add(p.self)
 	}
-	for _, known := range p.known {
-		if p.living(known, now) && (known.ready || known.heard == 0) {
+	for _, known := range p.byHost {
+		if p.isAlive(known, now) && (known.ready || known.heartbeatAt == 0) {
 			add(known.entry)
 		}
 	}
 	slices.Sort(near)
 	slices.Sort(all)
-	if len(near) >= siteLeast {
+	if len(near) >= minSiteEntries {
 		all = near
 	}
-	return all[:min(len(all), locateMost)]
+	return all[:min(len(all), maxLocateAddresses)]
 }
--- a/internal/transport/gateway/peers_test.go
+++ b/internal/transport/gateway/peers_test.go
@@ -21,18 +21,18 @@
 
 // A server looks full for seconds: counts that were overtaken on their way bring
 // back requests that have ended. A restarted entry begins to count anew.
-func TestOlderCountsAreLeftOut(t *testing.T) {
+func TestOutdatedCountsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers(entryAt("e1", "a", "ra"), 0)
 	other := entryAt("e2", "a", "ra")
 	p.hear(other, true, false, time.Second)
-	c.Assert(p.newer("e2", 5), qt.IsTrue)
-	c.Assert(p.newer("e2", 4), qt.IsFalse)
-	c.Assert(p.newer("e2", 6), qt.IsTrue)
+	c.Assert(p.acceptSequence("e2", 5), qt.IsTrue)
+	c.Assert(p.acceptSequence("e2", 4), qt.IsFalse)
+	c.Assert(p.acceptSequence("e2", 6), qt.IsTrue)
 	other.Incarnation = "2"
 	p.hear(other, true, false, time.Second)
-	c.Assert(p.newer("e2", 1), qt.IsTrue)
-	c.Assert(p.newer("unknown", 1), qt.IsFalse)
+	c.Assert(p.acceptSequence("e2", 1), qt.IsTrue)
+	c.Assert(p.acceptSequence("unknown", 1), qt.IsFalse)
 }
 
 // Which entries callers of a site are told of.
@@ -65,20 +65,20 @@
 
 // An entry that has just started knows the others only from their rows. They are
 // named until they could have been heard, and no longer.
-func TestRowsAreTrustedAfterAStart(t *testing.T) {
+func TestListedEntriesAreAliveDuringStartupGrace(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers(entryAt("e1", "a", "ra"), 10*time.Second)
-	p.list([]Entry{entryAt("e2", "a", "ra")}, nil, true, 10*time.Second)
+	p.applyRows([]Entry{entryAt("e2", "a", "ra")}, nil, true, 10*time.Second)
 	c.Assert(p.locate("a", true, 11*time.Second), qt.DeepEquals, []string{"e1", "e2"})
 	c.Assert(p.locate("a", true, 12*time.Second), qt.DeepEquals, []string{"e1"})
 }
 
 // Servers of one region had their weights 7 s after a loss of power: its entries
 // took those of the others for dead before these could have told that they live.
-func TestFarEntriesAreTrustedUntilTheyCanBeHeard(t *testing.T) {
+func TestRemoteEntriesAreAliveUntilTheirHeartbeatIsDue(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers(Entry{Host: "self", Site: "a", Region: "ra"}, time.Second)
-	p.list([]Entry{{Host: "near", Site: "a", Region: "ra"}, {Host: "far", Site: "b", Region: "rb"}}, nil, true, 2*time.Second)
+	p.applyRows([]Entry{{Host: "near", Site: "a", Region: "ra"}, {Host: "far", Site: "b", Region: "rb"}}, nil, true, 2*time.Second)
 	names := func(now time.Duration) string {
 		text := ""
 		for _, e := range p.alive(now) {
@@ -88,15 +88,15 @@
 	}
 	c.Check(names(3*time.Second), qt.Equals, "far near self ")
 	c.Check(names(2*time.Second+startTrust), qt.Equals, "far self ")
-	c.Check(names(2*time.Second+farMissed), qt.Equals, "self ")
+	c.Check(names(2*time.Second+remoteHeartbeatTimeout), qt.Equals, "self ")
 	p.hear(Entry{Host: "far", Site: "b", Region: "rb"}, true, false, 8*time.Second)
 	p.hear(Entry{Host: "near", Site: "a", Region: "ra"}, true, false, 8*time.Second)
-	c.Check(names(8*time.Second+beatMissed), qt.Equals, "far self ")
+	c.Check(names(8*time.Second+heartbeatTimeout), qt.Equals, "far self ")
 }
 
 // After a loss of power each entry drew a set of weights of its own from the
 // origin, since it had not heard of the others yet.
-func TestNothingIsDrawnBeforeOthersCanBeKnown(t *testing.T) {
+func TestNoOriginFetchBeforePeersAreDiscovered(t *testing.T) {
 	c := qt.New(t)
 	state := catalog.New(1, nil, []catalog.Service{{Name: "origin", Origin: "127.0.0.1:1", OriginSite: "a"}}, nil, catalog.Limits{})
 	g := &Gateway{crashes: newCrashes(), peers: newPeers(Entry{Host: "self", Site: "a", Region: "ra"}, boottime.Now())}
@@ -116,7 +116,7 @@
 // All entries have lost power. One that has started again asked another of its region
 // for the desired state that had not, and refused its callers for 0.6 s; it reads the
 // store itself, or asks one that it has heard.
-func TestOnlyEntriesThatAreHeardAreAskedAtTheStart(t *testing.T) {
+func TestStartupQueriesOnlyEntriesWithHeartbeats(t *testing.T) {
 	c := qt.New(t)
 	self := entryAt("e1", "a", "ra")
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, peers: newPeers(self, 0)}
@@ -125,7 +125,7 @@
 	for _, host := range []string{"e2", "e3", "e4", "e5"} {
 		listed = append(listed, entryAt(host, "a", "ra"))
 	}
-	g.peers.list(listed, nil, true, now)
+	g.peers.applyRows(listed, nil, true, now)
 	_, _, other := g.starter(now)
 	c.Assert(other, qt.IsFalse)
 	c.Assert(g.peers.hear(listed[2], true, false, now), qt.IsTrue)
@@ -137,7 +137,7 @@
 
 // Two entries follow a third, which the store turns away. They ask another one that it
 // answers, and not each its own calls.
-func TestAnEntryThatLostTheStoreIsNoReader(t *testing.T) {
+func TestEntryWithoutStoreIsNotReader(t *testing.T) {
 	c := qt.New(t)
 	self := entryAt("e1", "a", "ra")
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, peers: newPeers(self, 0)}
@@ -174,7 +174,7 @@
 // The reader of a region of many entries loses the store. All others asked the store for
 // the whole change over one thin border, which then answered nobody in time. They ask the
 // next reader; only that one asks the store.
-func TestOneEntryTakesOverFromAReaderThatLostTheStore(t *testing.T) {
+func TestOneEntryReplacesReaderWithoutStore(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
 	names := []string{"e1", "e2", "e3", "e4", "e5"}
@@ -202,7 +202,7 @@
 
 // A process has just started and knows the desired state a moment later. A request that
 // came before was told to come back, and had no further try.
-func TestARequestWaitsAMomentForTheDesiredState(t *testing.T) {
+func TestRequestWaitsForDesiredStateAfterStart(t *testing.T) {
 	c := qt.New(t)
 	g := &Gateway{crashes: newCrashes(), stated: make(chan struct{}), started: boottime.Now()}
 	state := catalog.New(1, nil, nil, nil, catalog.Limits{})
--- a/internal/transport/gateway/seeds.go
+++ b/internal/transport/gateway/seeds.go
@@ -14,8 +14,8 @@
 
 // seedsEvery is how often the seeds are asked, and seedTimeout bounds one answer.
 const (
-	seedsEvery  = 300 * time.Millisecond
-	seedTimeout = 700 * time.Millisecond
+	seedInterval = 300 * time.Millisecond
+	seedTimeout  = 700 * time.Millisecond
 )
 
 // PathEntries is where entries ask each other for the entries that they know.
@@ -26,7 +26,7 @@
 // Guard: after a loss of power while the store, or its part with the entries, is away, each entry
 // believes that it is alone and fetches every piece over the origin's thin link.
 func (g *Gateway) runSeeds(ctx context.Context) {
-	ticker := time.NewTicker(seedsEvery)
+	ticker := time.NewTicker(seedInterval)
 	defer ticker.Stop()
 	for !g.listed.Load() {
 		for _, seed := range g.config.Seeds {
@@ -50,7 +50,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.peers.meet(entries, boottime.Now())
+	g.peers.addDiscovered(entries, boottime.Now())
 	g.mu.Unlock()
 	g.beat(boottime.Now(), true)
 }
--- a/internal/transport/gateway/size_test.go
+++ b/internal/transport/gateway/size_test.go
@@ -12,8 +12,8 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// sizedPeers are so many entries in five regions.
-func sizedPeers(entries int) *peers {
+// newSizedPeers are so many entries in five regions.
+func newSizedPeers(entries int) *peers {
 	entry := func(i int) Entry {
 		return Entry{Host: filbertlever.HostID(fmt.Sprintf("edge-%d", i)), Site: fmt.Sprint("s", i%5), Region: fmt.Sprint("r", i%5),
 			Callers: fmt.Sprintf("10.%d.%d.1:1", i/250, i%250), Peers: fmt.Sprintf("10.%d.%d.1:2", i/250, i%250),
@@ -33,16 +33,16 @@
 // 9.0 us and who is alive 62 and 309 us.
 func BenchmarkPeers(b *testing.B) {
 	for _, n := range []int{15, 98, 460} {
-		p, now := sizedPeers(n), time.Second
+		p, now := newSizedPeers(n), time.Second
 		b.Run(fmt.Sprintf("Heartbeat/%d", n), func(b *testing.B) {
-			entry := p.known["edge-7"].entry
+			entry := p.byHost["edge-7"].entry
 			for b.Loop() {
 				p.hear(entry, true, false, now)
 			}
 		})
 		b.Run(fmt.Sprintf("Count/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				p.count()
+				p.regionCounts()
 			}
 		})
 		b.Run(fmt.Sprintf("Alive/%d", n), func(b *testing.B) {
@@ -60,7 +60,7 @@
 
 // Agents, pieces and a region's reader are looked for among entries that are gone, or not
 // among new ones: who is known is kept in order, and a change was missed.
-func TestWhoIsKnownIsInOrderAfterAnyChange(t *testing.T) {
+func TestSortedPeersMatchAfterAnyChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPeers(Entry{Host: "e5", Region: "ra"}, 0)
 		now := time.Second
@@ -72,9 +72,9 @@
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
 			switch entry := draw(); rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				p.list([]Entry{entry}, []string{string(draw().Host)}, rapid.Bool().Draw(t, "whole"), now)
+				p.applyRows([]Entry{entry}, []string{string(draw().Host)}, rapid.Bool().Draw(t, "whole"), now)
 			case 1:
-				p.meet([]Entry{entry}, now)
+				p.addDiscovered([]Entry{entry}, now)
 			case 2:
 				if entry.Host != p.self.Host {
 					p.hear(entry, true, false, now)
@@ -82,8 +82,8 @@
 			}
 			var want []filbertlever.HostID
 			near := 0
-			for host, known := range p.known {
-				if p.living(known, now) {
+			for host, known := range p.byHost {
+				if p.isAlive(known, now) {
 					want = append(want, host)
 				}
 				if known.entry.Region == p.self.Region {
@@ -99,8 +99,8 @@
 			if !slices.Equal(got, want) {
 				t.Fatalf("alive %v, found %v", want, got)
 			}
-			if n, far := p.count(); n != near || n+far != len(p.known) || len(p.addresses(reachNear)) != n || len(p.addresses(reachFar)) != far {
-				t.Fatalf("%d of %d are near, found %d and %d", near, len(p.known), n, far)
+			if n, far := p.regionCounts(); n != near || n+far != len(p.byHost) || len(p.addresses(scopeRegion)) != n || len(p.addresses(scopeRemote)) != far {
+				t.Fatalf("%d of %d are near, found %d and %d", near, len(p.byHost), n, far)
 			}
 		}
 	})
--- a/internal/transport/gateway/uptime.go
+++ b/internal/transport/gateway/uptime.go
@@ -48,9 +48,9 @@
 	return ok && now-span.Last < uptime.OutageLeast
 }
 
-// noteAnswer notes that the store has just answered this entry, and tells the others of the
+// recordStoreAnswer notes that the store has just answered this entry, and tells the others of the
 // region if they do not know that it does.
-func (g *Gateway) noteAnswer() {
+func (g *Gateway) recordStoreAnswer() {
 	now := boottime.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -61,21 +61,21 @@
 		}
 	}
 	g.answeredAt = now
-	g.takeStoreUp(uptime.Span{First: now, Last: now}, now)
+	g.recordStoreUptime(uptime.Span{First: now, Last: now}, now)
 }
 
-// answerFresh is how long after an answer of the store an entry counts as served by it: a
+// storeAnswerTTL is how long after an answer of the store an entry counts as served by it: a
 // reader has one within a second, and reports it with its next heartbeat.
-const answerFresh = 1500 * time.Millisecond
+const storeAnswerTTL = 1500 * time.Millisecond
 
 // answered reports whether the store has answered this entry lately; the caller holds the lock.
 func (g *Gateway) answered(now time.Duration) bool {
-	return g.answeredAt != 0 && now-g.answeredAt < answerFresh
+	return g.answeredAt != 0 && now-g.answeredAt < storeAnswerTTL
 }
 
-// answeredAgo is how long ago the store last answered this entry, in milliseconds; 0 if that
+// storeAnswerAgeMs is how long ago the store last answered this entry, in milliseconds; 0 if that
 // was too long ago to matter. The caller holds the lock.
-func (g *Gateway) answeredAgo(now time.Duration) uint16 {
+func (g *Gateway) storeAnswerAgeMs(now time.Duration) uint16 {
 	if !g.answered(now) {
 		return 0
 	}
@@ -90,11 +90,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	g.takeStoreUp(reported.span(now), now)
+	g.recordStoreUptime(reported.span(now), now)
 }
 
-// takeStoreUp notes that the store answered some entry in a span; the caller holds the lock.
-func (g *Gateway) takeStoreUp(span uptime.Span, now time.Duration) {
+// recordStoreUptime notes that the store answered some entry in a span; the caller holds the lock.
+func (g *Gateway) recordStoreUptime(span uptime.Span, now time.Duration) {
 	before, _ := g.uptime.OutageEnd()
 	g.uptime.Report(span)
 	end, ok := g.uptime.OutageEnd()
--- a/internal/transport/gateway/uptime_test.go
+++ b/internal/transport/gateway/uptime_test.go
@@ -14,7 +14,7 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/uptime"
 )
 
-func TestStoreUptimeAsItIsSent(t *testing.T) {
+func TestStoreUptimeEncoding(t *testing.T) {
 	const now = time.Hour
 	tests := []struct {
 		name string
@@ -39,14 +39,14 @@
 }
 
 // What cannot be, from a damaged process, becomes no longer a stretch than it says.
-func TestAStoreUptimeThatEndsBeforeItBegins(t *testing.T) {
+func TestInvalidStoreUptimeBecomesEmptySpan(t *testing.T) {
 	got := (&StoreUptime{First: 10, Last: 500}).span(time.Second)
 	qt.Assert(t, got, qt.Equals, uptime.Span{First: 500 * time.Millisecond, Last: 500 * time.Millisecond})
 }
 
 // An entry that follows a reader took rows that lapsed in an outage for removed ones, as it
 // knew of the outage only with the next heartbeat.
-func TestAFeedAnswerTellsOfTheOutageBeforeItsRows(t *testing.T) {
+func TestFeedResponseCarriesStoreUptime(t *testing.T) {
 	c := qt.New(t)
 	header := http.Header{}
 	for name, value := range map[string]string{headerRevision: "7", headerAge: "0", headerFirst: "40", headerLast: "10"} {
@@ -61,15 +61,15 @@
 }
 
 // Late reports of other entries end an outage that was this entry's own absence.
-func TestAnAbsenceThatOthersDenyIsNoOutage(t *testing.T) {
+func TestLateReportsRevokeOutage(t *testing.T) {
 	c := qt.New(t)
 	g := &Gateway{fleet: fleet.New(fleet.DefaultConfig(), rand.New(rand.NewPCG(1, 2))), log: zap.NewNop()}
 	at := func(seconds int) time.Duration { return time.Duration(seconds) * time.Second }
-	g.takeStoreUp(uptime.Span{First: at(1), Last: at(5)}, at(5))
-	g.takeStoreUp(uptime.Span{First: at(9), Last: at(9)}, at(9))
+	g.recordStoreUptime(uptime.Span{First: at(1), Last: at(5)}, at(5))
+	g.recordStoreUptime(uptime.Span{First: at(9), Last: at(9)}, at(9))
 	_, outage := g.uptime.OutageEnd()
 	c.Assert(outage, qt.IsTrue)
-	g.takeStoreUp((&StoreUptime{First: 8000, Last: 500}).span(at(10)), at(10))
+	g.recordStoreUptime((&StoreUptime{First: 8000, Last: 500}).span(at(10)), at(10))
 	_, outage = g.uptime.OutageEnd()
 	c.Assert(outage, qt.IsFalse)
 }
--- a/internal/transport/gateway/watch.go
+++ b/internal/transport/gateway/watch.go
@@ -21,22 +21,22 @@
 	// entriesWait is longer: entries hear each other directly, and only learn of
 	// new ones here.
 	entriesWait = 6 * time.Second
-	// gather is how long changes are left to gather after one was heard, since
+	// batchDelay is how long changes are left to gather after one was heard, since
 	// they come in series and each answer is a call. All bounds of what is heard
 	// here are 2 s and more.
-	gather = 250 * time.Millisecond
-	// gatherDesired is the same for desired states and versions: the bound of a version
+	batchDelay = 250 * time.Millisecond
+	// batchDelayDesired is the same for desired states and versions: the bound of a version
 	// counts from when it is heard of.
-	gatherDesired = 60 * time.Millisecond
+	batchDelayDesired = 60 * time.Millisecond
 	// retryFirst and retryMost are the pauses after failed calls.
 	retryFirst = 100 * time.Millisecond
 	retryMost  = 800 * time.Millisecond
-	// lostPause is left before readers that have lost the store are asked again.
-	lostPause = 200 * time.Millisecond
-	// lateAfter is how long beyond its waiting a call may take before the followers of
+	// readerRetryDelay is left before readers that have lost the store are asked again.
+	readerRetryDelay = 200 * time.Millisecond
+	// followGrace is how long beyond its waiting a call may take before the followers of
 	// this entry are told that the store is lost: longer than a slow store takes, and
 	// short enough that the next reader has a change within its bound.
-	lateAfter = 400 * time.Millisecond
+	followGrace = 400 * time.Millisecond
 	// confirmWait is how long a call waits for changes whose answer is wanted at once.
 	confirmWait = time.Millisecond
 )
@@ -48,63 +48,63 @@
 	wait    time.Duration
 	// apply takes rows newer than after; whole is true if they are all there are.
 	apply func(rows Rows, after uint64, whole, first bool) error
-	// confirmed takes the time at which the view was surely current; nil if
+	// onConfirmed takes the time at which the view was surely current; nil if
 	// nobody wants to know.
-	confirmed func(at time.Duration)
+	onConfirmed func(at time.Duration)
 
 	// revision is up to where the view is current; 0 if it must be read.
 	revision uint64
-	// gone is the newest revision from where the store could not go on.
-	gone  uint64
-	first bool
-	lost  bool
+	// droppedRevision is the newest revision from where the store could not go on.
+	droppedRevision uint64
+	initial         bool
+	unreachable     bool
 }
 
 // run reads the table and follows it until ctx ends.
 func (w *watch) run(ctx context.Context) {
-	w.first = true
+	w.initial = true
 	pause := retryFirst
 	for ctx.Err() == nil {
 		changed, err := w.turn(ctx)
 		switch {
 		case errors.Is(err, ErrHistoryGone):
 			w.gateway.log.Warn("store dropped its history", zap.String("Table", string(w.table)), zap.Uint64("Revision", w.revision))
-			w.revision, w.gone = 0, w.revision
+			w.revision, w.droppedRevision = 0, w.revision
 		case errors.Is(err, errReaderLost):
-			w.noteLost(ctx, err)
-			w.gateway.sleep(ctx, lostPause)
+			w.noteUnreachable(ctx, err)
+			w.gateway.sleep(ctx, readerRetryDelay)
 		case err != nil:
-			w.noteLost(ctx, err)
+			w.noteUnreachable(ctx, err)
 			w.gateway.sleep(ctx, pause)
 			pause = min(2*pause, retryMost)
 		default:
-			w.noteRegained()
+			w.noteReachable()
 			pause = retryFirst
 			if changed {
-				w.gateway.sleep(ctx, gatherFor(w.table))
+				w.gateway.sleep(ctx, batchDelayFor(w.table))
 			}
 		}
 	}
 }
 
-// gatherFor is how long a table's changes are left to gather.
+// batchDelayFor is how long a table's changes are left to gather.
 //
 // Guard: a version that is named right after a desired state waits for the next call, and its bound
 // is kept so much too late.
-func gatherFor(table Table) time.Duration {
+func batchDelayFor(table Table) time.Duration {
 	if table == TableDesired {
-		return gatherDesired
+		return batchDelayDesired
 	}
-	return gather
+	return batchDelay
 }
 
 // turn makes one call, to the store or to the region's reader.
 func (w *watch) turn(ctx context.Context) (changed bool, err error) {
 	g := w.gateway
 	if w.revision == 0 {
-		if rows, at, ok := g.wholeFromReader(ctx, w.table, w.gone); ok {
+		if rows, at, ok := g.wholeFromReader(ctx, w.table, w.droppedRevision); ok {
 			g.feeds.restart(w.table, rows, at)
-			return false, w.take(rows, at, true)
+			return false, w.applyRows(rows, at, true)
 		}
 		return false, w.readAll(ctx)
 	}
@@ -116,7 +116,7 @@
 		// Guard: entries disagree for a while on which one reads, and some follow one that
 		// follows another. Each entry passes on what it was sent.
 		g.feeds.publish(w.table, w.revision, rows, at)
-		return len(rows.Raw) > 0, w.take(rows, at, false)
+		return len(rows.Raw) > 0, w.applyRows(rows, at, false)
 	}
 	rows, sent, err := w.follow(ctx)
 	if err != nil {
@@ -127,9 +127,9 @@
 		}
 		return false, err
 	}
-	g.noteAnswer()
+	g.recordStoreAnswer()
 	g.feeds.publish(w.table, w.revision, rows, sent)
-	return len(rows.Raw) > 0, w.take(rows, sent, false)
+	return len(rows.Raw) > 0, w.applyRows(rows, sent, false)
 }
 
 // follow asks the store for changes; it also returns when that was.
@@ -141,10 +141,10 @@
 // now, so that the others do not leave it while it waits for a change.
 func (w *watch) follow(ctx context.Context) (Rows, time.Duration, error) {
 	sent, wait := boottime.Now(), w.wait
-	if w.gateway.feeds.age(w.table, sent) > w.wait+lateAfter {
+	if w.gateway.feeds.age(w.table, sent) > w.wait+followGrace {
 		wait = confirmWait
 	}
-	late := time.AfterFunc(wait+lateAfter, func() { w.gateway.feeds.lose(w.table) })
+	late := time.AfterFunc(wait+followGrace, func() { w.gateway.feeds.lose(w.table) })
 	defer late.Stop()
 	rows, err := w.gateway.store.Follow(ctx, w.table, w.revision, wait)
 	if err != nil && !errors.Is(err, ErrHistoryGone) {
@@ -161,35 +161,35 @@
 	if err != nil {
 		return err
 	}
-	g.noteAnswer()
+	g.recordStoreAnswer()
 	g.feeds.restart(w.table, rows, sent)
-	return w.take(rows, sent, true)
+	return w.applyRows(rows, sent, true)
 }
 
-// take applies rows that were surely all there were at a time.
-func (w *watch) take(rows Rows, at time.Duration, whole bool) error {
+// applyRows applies rows that were surely all there were at a time.
+func (w *watch) applyRows(rows Rows, at time.Duration, whole bool) error {
 	after := w.revision
-	if err := w.apply(rows, after, whole, w.first); err != nil {
+	if err := w.apply(rows, after, whole, w.initial); err != nil {
 		return err
 	}
-	w.first = false
+	w.initial = false
 	w.revision = max(w.revision, rows.Revision)
-	if w.confirmed != nil {
-		w.confirmed(at)
+	if w.onConfirmed != nil {
+		w.onConfirmed(at)
 	}
 	return nil
 }
 
-func (w *watch) noteLost(ctx context.Context, err error) {
-	if !w.lost && ctx.Err() == nil {
-		w.lost = true
+func (w *watch) noteUnreachable(ctx context.Context, err error) {
+	if !w.unreachable && ctx.Err() == nil {
+		w.unreachable = true
 		w.gateway.log.Warn("store lost", zap.String("Table", string(w.table)), zap.Error(err))
 	}
 }
 
-func (w *watch) noteRegained() {
-	if w.lost {
-		w.lost = false
+func (w *watch) noteReachable() {
+	if w.unreachable {
+		w.unreachable = false
 		w.gateway.log.Info("store regained", zap.String("Table", string(w.table)), zap.Uint64("Revision", w.revision))
 	}
 }
@@ -207,7 +207,7 @@
 
 func (g *Gateway) runDesired(ctx context.Context) {
 	w := &watch{gateway: g, table: TableDesired, wait: followWait, apply: g.applyDesired,
-		confirmed: func(at time.Duration) {
+		onConfirmed: func(at time.Duration) {
 			// The region's reader may be a little behind what was read directly.
 			g.confirmed.Store(max(g.confirmed.Load(), int64(at)))
 		}}
@@ -318,7 +318,7 @@
 			return err
 		}
 		g.mu.Lock()
-		g.peers.list(entries.Present, entries.Gone, whole, boottime.Now())
+		g.peers.applyRows(entries.Present, entries.Gone, whole, boottime.Now())
 		g.resizeBudgets()
 		g.noteBad(entries.Bad)
 		g.mu.Unlock()
--- a/internal/transport/gateway/watch_test.go
+++ b/internal/transport/gateway/watch_test.go
@@ -15,30 +15,30 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// scripted is a store that answers as a test says.
-type scripted struct {
+// fakeStore is a store that answers as a test says.
+type fakeStore struct {
 	Store
 	follow func(ctx context.Context, after uint64, wait time.Duration) (Rows, error)
 	read   func() Rows
 }
 
-func (s scripted) Follow(ctx context.Context, _ Table, after uint64, wait time.Duration) (Rows, error) {
+func (s fakeStore) Follow(ctx context.Context, _ Table, after uint64, wait time.Duration) (Rows, error) {
 	return s.follow(ctx, after, wait)
 }
 
-func (s scripted) Read(context.Context, Table) (Rows, error) { return s.read(), nil }
+func (s fakeStore) Read(context.Context, Table) (Rows, error) { return s.read(), nil }
 
 // The store has dropped its history. The reader had the whole table from another entry,
 // which follows the reader and knew no more than it: at that revision the store could not
 // go on, and so on for 1.9 s; a desired state was in force there 2.9 s after it was written.
-func TestAReaderWhoseHistoryIsGoneReadsTheStore(t *testing.T) {
+func TestReaderWithoutHistoryReadsTheStore(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
 	follower := &Gateway{crashes: newCrashes(), feeds: newFeeds()}
 	follower.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now)
 	server := httptest.NewServer(http.HandlerFunc(follower.serveFeed))
 	t.Cleanup(server.Close)
-	store := scripted{
+	store := fakeStore{
 		follow: func(ctx context.Context, after uint64, _ time.Duration) (Rows, error) {
 			if after < 6 {
 				return Rows{}, ErrHistoryGone
@@ -74,11 +74,11 @@
 // The store leaves the calls of a region's reader unanswered. Those who follow it asked it
 // again and again, 0.7 s each time, and then drew each desired state themselves over the
 // border: it was in force there 2.3 s after it was elsewhere, where 2 s are allowed.
-func TestThoseWhoFollowAreToldThatTheStoreIsSilent(t *testing.T) {
+func TestFollowersAreNotifiedOfUnresponsiveStore(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
 	self := entryAt("e1", "a", "ra")
-	store := scripted{follow: func(ctx context.Context, _ uint64, _ time.Duration) (Rows, error) {
+	store := fakeStore{follow: func(ctx context.Context, _ uint64, _ time.Duration) (Rows, error) {
 		<-ctx.Done()
 		return Rows{}, ctx.Err()
 	}}
@@ -98,11 +98,11 @@
 // The store refuses the connections of a region's reader. Its calls ended at once, without
 // a word to those who follow it: their views grew 2.8 s old, and then all of them drew a
 // desired state at the same time, in force 2.1 s after it was elsewhere.
-func TestThoseWhoFollowAreToldThatACallFailed(t *testing.T) {
+func TestFollowersAreNotifiedOfFailedCall(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
 	failed := errors.New("connection refused")
-	store := scripted{follow: func(context.Context, uint64, time.Duration) (Rows, error) { return Rows{}, failed }}
+	store := fakeStore{follow: func(context.Context, uint64, time.Duration) (Rows, error) { return Rows{}, failed }}
 	self := entryAt("e1", "a", "ra")
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, store: store, peers: newPeers(self, now), feeds: newFeeds(), log: zap.NewNop()}
 	w := &watch{gateway: g, table: TableDesired, wait: followWait, revision: 5}
@@ -121,14 +121,14 @@
 // The whole store is away for 4 s. All entries had lost it and said so; each asked three
 // others, and then the store itself, 2,400 calls where 1,850 did, and it was no sooner back
 // for that. One of them tries for all.
-func TestAStoreThatAllHaveLostIsAskedByOne(t *testing.T) {
+func TestOneEntryPollsAnUnreachableStore(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }))
 	t.Cleanup(server.Close)
 	names := []string{"e1", "e2", "e3", "e4", "e5"}
 	calls := 0
-	store := scripted{follow: func(context.Context, uint64, time.Duration) (Rows, error) {
+	store := fakeStore{follow: func(context.Context, uint64, time.Duration) (Rows, error) {
 		calls++
 		return Rows{}, ErrTurnedAway
 	}}
@@ -152,12 +152,12 @@
 
 // An entry reads in place of one that the store leaves waiting. Its view is as old as that
 // one's, and those who follow it would leave it too, before its first call returns.
-func TestWhoTakesOverConfirmsItsViewAtOnce(t *testing.T) {
+func TestNewReaderConfirmsItsViewImmediately(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
 	self := entryAt("e1", "a", "ra")
 	var waits []time.Duration
-	store := scripted{follow: func(_ context.Context, after uint64, wait time.Duration) (Rows, error) {
+	store := fakeStore{follow: func(_ context.Context, after uint64, wait time.Duration) (Rows, error) {
 		waits = append(waits, wait)
 		return rows(after, ""), nil
 	}}
--- a/internal/transport/gateway/whole_test.go
+++ b/internal/transport/gateway/whole_test.go
@@ -16,9 +16,9 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// thirdEntry returns the entry that is third to ask the store for a whole table when all start, and
+// newThirdEntry returns the entry that is third to ask the store for a whole table when all start, and
 // whose first is a server. Ready says whether that one has been there before.
-func thirdEntry(server *httptest.Server, ready bool) *Gateway {
+func newThirdEntry(server *httptest.Server, ready bool) *Gateway {
 	var all []relays.Entry
 	hosts := []string{"e1", "e2", "e3"}
 	for _, host := range hosts {
@@ -38,16 +38,16 @@
 	return g
 }
 
-func nothingYet(w http.ResponseWriter, _ *http.Request) {
+func serveEmptyTable(w http.ResponseWriter, _ *http.Request) {
 	time.Sleep(100 * time.Millisecond)
 	w.Header().Set(headerRevision, "0")
 	w.Header().Set(headerAge, "0")
 }
 
-func silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+func serveNothing(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// trickling sends a table in parts; all of it takes longer than a call for changes may.
-func trickling(w http.ResponseWriter, _ *http.Request) {
+// serveSlowly sends a table in parts; all of it takes longer than a call for changes may.
+func serveSlowly(w http.ResponseWriter, _ *http.Request) {
 	packed := pack([]byte(`[{"a":1}]`))
 	w.Header().Set(headerRevision, "5")
 	w.Header().Set(headerAge, "0")
@@ -62,7 +62,7 @@
 
 // Many entries that start give up on a whole table at once and fill the border; one that stands still
 // or a view that ages must not be waited for as long.
-func TestHowLongAWholeTableIsAwaited(t *testing.T) {
+func TestWholeTableFetchTimeouts(t *testing.T) {
 	tests := []struct {
 		name          string
 		first         http.HandlerFunc
@@ -70,10 +70,10 @@
 		got           bool
 		least, latest time.Duration
 	}{
-		{"the first has nothing yet", nothingYet, 0, false, 2 * wholeTimeout, 3 * wholeTimeout},
-		{"the first is silent", silent, 0, false, wholeTimeout, 2 * wholeTimeout},
-		{"the store dropped its history", nothingYet, 4, false, wholeTimeout, 2 * wholeTimeout},
-		{"the table is arriving", trickling, 0, true, feedTimeout, 3 * feedTimeout},
+		{"the first has nothing yet", serveEmptyTable, 0, false, 2 * wholeTimeout, 3 * wholeTimeout},
+		{"the first is silent", serveNothing, 0, false, wholeTimeout, 2 * wholeTimeout},
+		{"the store dropped its history", serveEmptyTable, 4, false, wholeTimeout, 2 * wholeTimeout},
+		{"the table is arriving", serveSlowly, 0, true, feedTimeout, 3 * feedTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 			server := httptest.NewServer(test.first)
 			t.Cleanup(server.Close)
 			t.Cleanup(server.CloseClientConnections)
-			g, began := thirdEntry(server, test.gone > 0), time.Now()
+			g, began := newThirdEntry(server, test.gone > 0), time.Now()
 			_, _, ok := g.wholeFromReader(context.Background(), TableBackends, test.gone)
 			took := time.Since(began)
 			qt.Check(t, ok, qt.Equals, test.got)
