--- a/internal/transport/gateway/announcements.go
+++ b/internal/transport/gateway/announcements.go
@@ -9,15 +9,15 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// What servers announce in answers, as logs and metrics name it.
+// Kinds of announcements in answers of servers, as they appear in logs and metrics.
 const (
 	announcedDraining   = "Draining"
 	announcedRetryAfter = "RetryAfter"
 	announcedClose      = "ConnectionClose"
 )
 
-// takeAnnouncements takes what a server announces in the head of an answer, before anything of
-// the answer is passed on. The answer of another server at the address announces nothing.
+// recordAnnouncements records the announcements in the head of an answer, before any part of
+// the answer is forwarded. They are ignored if a different server answered at the address.
 func (a *attempts) takeAnnouncements(backend catalog.Backend, reply *Reply) {
 	g := a.gateway
 	if reply.Life != "" {
@@ -37,21 +37,21 @@
 	}
 }
 
-// reportAnnouncement counts an announcement, and logs it if it is new.
-func (a *attempts) reportAnnouncement(backend catalog.Backend, what string, reply *Reply, first bool) {
+// reportAnnouncement counts an announcement, and logs it if first is true.
+func (a *attempts) reportAnnouncement(backend catalog.Backend, kind string, reply *Reply, first bool) {
 	g := a.gateway
-	g.metrics.announcements.WithLabelValues(backend.Service, what).Inc()
+	g.metrics.announcements.WithLabelValues(backend.Service, kind).Inc()
 	if !first {
 		return
 	}
 	g.log.Info("backend server announcement", zap.String("Request", a.call.ID), zap.String("Backend", backend.ID),
-		zap.String("What", what), zap.Int("Status", reply.Status), zap.Duration("For", reply.RetryAfter))
+		zap.String("What", kind), zap.Int("Status", reply.Status), zap.Duration("For", reply.RetryAfter))
 }
 
-var errServerLeft = errors.New("the server takes no more requests")
+var errServerLeft = errors.New("the server no longer accepts requests")
 
-// still returns an error if the request may no longer go to the server that it was placed
-// at. It is asked when a connection is there, which may take a while.
+// checkBeforeSend returns an error if the request must no longer be sent to its server. It is
+// called when a connection is available, which may be some time after placement.
 func (a *attempts) still() error {
 	if a.kept() != nil {
 		return errKept
--- a/internal/transport/gateway/counts.go
+++ b/internal/transport/gateway/counts.go
@@ -9,29 +9,33 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
+// ownCounts returns the counts to send to the other entries. The caller holds the lock.
 func (g *Gateway) counts(now time.Duration) Counts {
 	counts := Counts{From: g.config.Self.Host, Sequence: int64(now), Requests: g.fleet.Counts(), Silent: g.fleet.Silent(now)}
 	counts.Boots = g.fleet.Boots(slices.Concat(slices.Collect(maps.Keys(counts.Requests)), counts.Silent), now)
 	return counts
 }
 
-// How often an entry sends the others its requests at each server, if they have changed.
+// Intervals at which an entry sends its counts, if they have changed.
 const (
+	// countsInterval is the shortest interval between two messages to the region.
 	countsInterval = 25 * time.Millisecond
-	// peersPerInterval is how many other entries of the region add one such period.
+	// peersPerInterval is the number of other entries in the region that add one
+	// countsInterval to the interval.
 	peersPerInterval = 8
-	// remoteIntervalPerPeer is what each entry of other regions adds to the period there: they
-	// send here only what their own servers cannot take, and bytes are scarce.
+	// remoteIntervalPerPeer is the interval to other regions, for each entry there. These
+	// entries send requests to this region only if their own servers have no capacity, and
+	// bandwidth between regions is scarce.
 	remoteIntervalPerPeer = 24 * time.Millisecond
 )
 
-// runCounts tells what has changed, less often the more entries there are, and at once what
-// concerns requests that end servers.
+// runCounts sends changed counts to the other entries, at intervals that grow with their
+// number. It sends crash reports without delay.
 func (g *Gateway) runCounts(ctx context.Context) {
 	ticker := time.NewTicker(countsInterval)
 	defer ticker.Stop()
-	var lastNear, lastFar Counts
-	var nearAt, farAt time.Duration
+	var lastLocal, lastRemote Counts
+	var localAt, remoteAt time.Duration
 	for {
 		select {
 		case <-ctx.Done():
@@ -40,34 +44,34 @@
 		}
 		now := boottime.Now()
 		g.mu.Lock()
-		near, far := g.peers.regionCounts()
+		local, remote := g.peers.regionCounts()
 		counts := g.counts(now)
-		news := g.advanceCrashes(now)
+		reports := g.advanceCrashes(now)
 		g.keepVerdicts(ctx)
 		var everyone []string
-		if len(news) > 0 {
+		if len(reports) > 0 {
 			everyone = g.peers.addresses(scopeAll)
 		}
 		g.mu.Unlock()
-		g.sendCrashReports(news, everyone)
-		if now-nearAt >= countsInterval*time.Duration(near/peersPerInterval) && !countsEqual(&lastNear, &counts) {
-			lastNear, nearAt = counts, now
+		g.sendCrashReports(reports, everyone)
+		if now-localAt >= countsInterval*time.Duration(local/peersPerInterval) && !countsEqual(&lastLocal, &counts) {
+			lastLocal, localAt = counts, now
 			g.sendCounts(&counts, scopeRegion)
 		}
-		if now-farAt >= remoteIntervalPerPeer*time.Duration(far) && !countsEqual(&lastFar, &counts) {
-			lastFar, farAt = counts, now
+		if now-remoteAt >= remoteIntervalPerPeer*time.Duration(remote) && !countsEqual(&lastRemote, &counts) {
+			lastRemote, remoteAt = counts, now
 			g.sendCounts(&counts, scopeRemote)
 		}
 	}
 }
 
-// countsEqual reports whether counts tell nothing new. What they say of silent servers
-// holds for a moment only and is always told.
+// countsEqual reports whether counts are unchanged. Reports of unresponsive servers expire
+// soon, so counts with any are always sent.
 func countsEqual(a, b *Counts) bool {
 	return len(b.Silent) == 0 && len(a.Silent) == 0 && maps.Equal(a.Requests, b.Requests) && maps.Equal(a.Boots, b.Boots)
 }
 
-// sendCounts sends counts to the entries of the region, or to those elsewhere.
+// sendCounts sends counts to the entries in a scope.
 func (g *Gateway) sendCounts(counts *Counts, to scope) {
 	g.mu.Lock()
 	addresses := g.peers.addresses(to)
--- a/internal/transport/gateway/datagrams.go
+++ b/internal/transport/gateway/datagrams.go
@@ -13,18 +13,20 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
+// runDatagrams receives datagrams until ctx ends.
 func (g *Gateway) runDatagrams(ctx context.Context) {
 	go g.runCloseSocket(ctx)
 	for {
 		if err := g.socket.Receive(g.receiveDatagram); err != nil {
 			if ctx.Err() == nil {
-				g.log.Error("datagrams end", zap.Error(err))
+				g.log.Error("failed to receive datagrams", zap.Error(err))
 			}
 			return
 		}
 	}
 }
 
+// receiveDatagram decodes one datagram and handles it. Malformed ones are only counted.
 func (g *Gateway) receiveDatagram(data []byte, from net.Addr) {
 	d, err := DecodeDatagram(data)
 	if err != nil {
@@ -34,18 +36,20 @@
 	g.take(d, from)
 }
 
+// runCloseSocket closes the socket when ctx ends, which unblocks runDatagrams.
 func (g *Gateway) runCloseSocket(ctx context.Context) {
 	<-ctx.Done()
 	_ = g.socket.Close()
 }
 
+// handleDatagram applies a decoded datagram.
 func (g *Gateway) take(d *Datagram, from net.Addr) {
 	now := boottime.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if d.Beat != nil && d.Beat.Entry.Host != g.config.Self.Host {
 		if g.peers.hear(d.Beat.Entry, d.Beat.Ready, d.Beat.StoreUnreachable, now) {
-			// Who has just started soon knows who else lives.
+			// A process that has just started discovers the others by their replies.
 			g.reply(Datagram{Beat: g.ownHeartbeat(now)}, from)
 		}
 		for _, n := range d.Beat.Named {
@@ -58,8 +62,8 @@
 		if d.Beat.StoreUptime != nil {
 			g.recordStoreUptime(d.Beat.StoreUptime.span(now), now)
 		}
-		for _, news := range g.tellHolds(d.Beat.Held, now) {
-			g.reply(Datagram{News: &news}, from)
+		for _, report := range g.tellHolds(d.Beat.Held, now) {
+			g.reply(Datagram{News: &report}, from)
 		}
 	}
 	if d.News != nil {
@@ -78,22 +82,23 @@
 	}
 }
 
-// takeCounts takes another entry's requests; the caller holds the lock.
+// applyCounts applies another entry's request counts. Counts of processes that have been
+// replaced by a restart are dropped. The caller holds the lock.
 func (g *Gateway) takeCounts(counts *Counts, now time.Duration) {
 	if g.peers.acceptSequence(counts.From, counts.Sequence) {
-		told := func(id string) bool { return g.fleet.IsCurrent(id, counts.Boots[id], now) }
-		maps.DeleteFunc(counts.Requests, func(id string, _ int) bool { return !told(id) })
-		counts.Silent = slices.DeleteFunc(counts.Silent, func(id string) bool { return !told(id) })
+		current := func(id string) bool { return g.fleet.IsCurrent(id, counts.Boots[id], now) }
+		maps.DeleteFunc(counts.Requests, func(id string, _ int) bool { return !current(id) })
+		counts.Silent = slices.DeleteFunc(counts.Silent, func(id string) bool { return !current(id) })
 		g.fleet.SetCounts(counts.From, counts.Requests, now)
 		g.fleet.SetSilent(counts.Silent, now)
 	}
 }
 
-// reply sends a message back to where one came from.
+// reply sends a message to the sender of a datagram.
 func (g *Gateway) reply(d Datagram, to net.Addr) {
 	data, err := EncodeDatagram(d)
 	if err != nil {
-		g.log.Error("datagram not sent", zap.Error(err))
+		g.log.Error("failed to encode datagram", zap.Error(err))
 		return
 	}
 	g.socket.Reply(data, to)
@@ -103,32 +108,34 @@
 func (g *Gateway) sendTo(d Datagram, addresses []string) {
 	data, err := EncodeDatagram(d)
 	if err != nil {
-		g.log.Error("datagram not sent", zap.Error(err))
+		g.log.Error("failed to encode datagram", zap.Error(err))
 		return
 	}
 	if err := g.socket.Send(data, addresses...); err != nil {
-		g.log.Warn("an entry has a bad address", zap.Error(err))
+		g.log.Warn("invalid entry address", zap.Error(err))
 	}
 }
 
+// runHeartbeat sends heartbeats at every interval, and to the region also on demand.
 func (g *Gateway) runHeartbeat(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	g.beat(boottime.Now(), true)
-	for turn := 1; ; {
+	for tick := 1; ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-g.beatNow:
 			g.beat(boottime.Now(), false)
 		case <-ticker.C:
-			g.beat(boottime.Now(), turn%heartbeatsPerRemote == 0)
-			turn++
+			g.beat(boottime.Now(), tick%heartbeatsPerRemote == 0)
+			tick++
 		}
 	}
 }
 
-// beat tells the other entries of the region, or all, that this one lives.
+// sendHeartbeat sends a heartbeat to the other entries of the region, or to all entries. It
+// also drops the counts of entries that have timed out.
 func (g *Gateway) beat(now time.Duration, all bool) {
 	g.mu.Lock()
 	for _, host := range g.peers.timedOut(now) {
@@ -139,25 +146,25 @@
 		to = scopeAll
 	}
 	addresses := g.peers.addresses(to)
-	beat := g.ownHeartbeat(now)
+	heartbeat := g.ownHeartbeat(now)
 	var recent []quarantine.News
 	if all {
 		recent = g.crashes.Recent(now)
 	}
 	g.metrics.quarantined.Set(float64(g.crashes.HeldCount(now)))
 	g.mu.Unlock()
-	g.sendTo(Datagram{Beat: beat}, addresses)
+	g.sendTo(Datagram{Beat: heartbeat}, addresses)
 	g.sendCrashReports(recent, addresses)
 }
 
-// sendCrashReports tells other entries of requests that end the servers that run them.
-func (g *Gateway) sendCrashReports(all []quarantine.News, addresses []string) {
-	for _, news := range all {
-		g.sendTo(Datagram{News: &news}, addresses)
+// sendCrashReports sends reports on requests that crash backend servers.
+func (g *Gateway) sendCrashReports(reports []quarantine.News, addresses []string) {
+	for _, report := range reports {
+		g.sendTo(Datagram{News: &report}, addresses)
 	}
 }
 
-// ownHeartbeat is this entry's heartbeat; the caller holds the lock.
+// ownHeartbeat returns the heartbeat of this entry. The caller holds the lock.
 func (g *Gateway) ownHeartbeat(now time.Duration) *Beat {
 	return &Beat{Entry: g.config.Self, Ready: g.readyLocked(now), StoreUnreachable: g.lost(now), Named: g.namedAges(now), Held: g.crashes.Digest(now), Restored: g.restored.Load(), StoreUptime: g.storeUptime(now), StoreAnswerAgeMs: g.storeAnswerAgeMs(now)}
 }
--- a/internal/transport/gateway/decode.go
+++ b/internal/transport/gateway/decode.go
@@ -13,48 +13,50 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// Bounds of what other processes say.
+// Limits on data from other processes.
 const (
-	// maxPeerResponse bounds an answer of another entry: whole tables of hundreds of servers
-	// and of a desired state have 2 MB, and a reader keeps as much again of changes.
+	// maxPeerResponse bounds the response of another entry. Whole tables of hundreds of
+	// servers and of a desired state take 2 MB, and a reader keeps the same amount of changes.
 	maxPeerResponse = 32 << 20
-	// maxNameBytes bounds names, as the store does its keys.
+	// maxNameBytes bounds names. The store has the same bound on its keys.
 	maxNameBytes = 200
-	// maxRequests bounds the requests that one process has at one server.
+	// maxRequests bounds the requests of one process at one server.
 	maxRequests = 1 << 20
-	maxModels   = 256
-	// maxPace bounds how many times slower than it should be a server is.
+	// maxModels bounds the models of one server.
+	maxModels = 256
+	// maxPace bounds the slowdown factor of a server compared with its expected speed.
 	maxPace = 1000
-	// maxLookahead bounds how far ahead a report tells: a change of weights takes seconds.
+	// maxLookahead bounds the predicted times in a load report. A change of weights takes
+	// seconds.
 	maxLookahead = time.Hour
-	// revisionMost is the largest revision that all readers of JSON agree on.
+	// maxRevision is the limit up to which JSON decoders represent integers exactly.
 	revisionMost = 1 << 53
 )
 
-// What was expected of other processes.
+// Validation errors.
 var (
 	errAddress  = errors.New("expected HOST:PORT")
 	errName     = fmt.Errorf("expected a name of 1 to %d bytes", maxNameBytes)
 	errRequests = fmt.Errorf("expected 0 to %d requests", maxRequests)
 	errPace     = fmt.Errorf("expected a pace of 0 to %d", maxPace)
-	errAge      = errors.New("expected a time that can be")
+	errAge      = errors.New("value out of range")
 	errRevision = fmt.Errorf("expected a revision of up to %d", uint64(revisionMost))
-	errTooLarge = errors.New("the answer is too large")
+	errTooLarge = errors.New("response too large")
 )
 
-// decodeResponse decodes what another process answered, up to a bound.
+// decodeResponse decodes a JSON response of at most maxPeerResponse bytes.
 func decodeResponse(body io.Reader, out any) error {
 	data, err := io.ReadAll(io.LimitReader(body, maxPeerResponse+1))
 	switch {
 	case err != nil:
 		return err
 	case len(data) > maxPeerResponse:
-		return errTooLarge
+		return fmt.Errorf("%w: more than %d bytes", errTooLarge, maxPeerResponse)
 	}
 	return json.Unmarshal(data, out)
 }
 
-// decodeEntries decodes the entries that another one knows, those that can be called.
+// decodeEntries decodes a list of entries, without those that are malformed.
 func decodeEntries(body io.Reader) ([]Entry, error) {
 	var list []json.RawMessage
 	if err := decodeResponse(body, &list); err != nil {
@@ -70,6 +72,7 @@
 	return entries, nil
 }
 
+// check validates an entry.
 func (e *Entry) check() error {
 	if e.Host == "" || len(e.Host) > maxNameBytes {
 		return fmt.Errorf("host: %w", errName)
@@ -77,14 +80,16 @@
 	return errors.Join(checkAddress("Callers", e.Callers), checkAddress("Peers", e.Peers), checkAddress("Datagrams", e.Datagrams))
 }
 
+// checkAddress validates the address in a field of an entry.
 func checkAddress(field, address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if n, portErr := strconv.ParseUint(port, 10, 16); err != nil || portErr != nil || n == 0 || host == "" {
-		return fmt.Errorf("%s: %w", field, errAddress)
+		return fmt.Errorf("%s %.200q: %w", field, address, errAddress)
 	}
 	return nil
 }
 
+// check validates a heartbeat, or nil.
 func (b *Beat) check() error {
 	if b == nil {
 		return nil
@@ -95,12 +100,13 @@
 func checkNamed(named []NamedAge) error {
 	for _, n := range named {
 		if n.Age < 0 || n.Version > revisionMost {
-			return fmt.Errorf("named: %w", errAge)
+			return fmt.Errorf("named: version %d, age %v: %w", n.Version, n.Age, errAge)
 		}
 	}
 	return nil
 }
 
+// check validates counts, or nil.
 func (c *Counts) check() error {
 	if c == nil {
 		return nil
@@ -108,27 +114,28 @@
 	if c.From == "" || len(c.From) > maxNameBytes {
 		return fmt.Errorf("from: %w", errName)
 	}
-	for _, n := range c.Requests {
+	for id, n := range c.Requests {
 		if n < 0 || n > maxRequests {
-			return fmt.Errorf("requests: %w", errRequests)
+			return fmt.Errorf("requests: %d at %.200q: %w", n, id, errRequests)
 		}
 	}
 	return nil
 }
 
+// check validates a load report, or nil.
 func (l *LoadReport) check() error {
 	if l == nil {
 		return nil
 	}
 	load := &l.Load
 	if load.Running < 0 || load.Running > maxRequests || load.Queued < 0 || load.Queued > maxRequests {
-		return fmt.Errorf("load: %w", errRequests)
+		return fmt.Errorf("load: %d running, %d queued: %w", load.Running, load.Queued, errRequests)
 	}
 	if load.LeavesIn > maxLookahead || load.LoadedIn > maxLookahead {
-		return fmt.Errorf("load: %w", errAge)
+		return fmt.Errorf("load: leaves in %v, loaded in %v: %w", load.LeavesIn, load.LoadedIn, errAge)
 	}
 	if !(load.Pace >= 0 && load.Pace <= maxPace) {
-		return fmt.Errorf("load: %w", errPace)
+		return fmt.Errorf("load: pace %v: %w", load.Pace, errPace)
 	}
 	return errors.Join(checkModels(load.Models), checkNamed(l.Named))
 }
@@ -142,7 +149,7 @@
 	return nil
 }
 
-// joinRows makes one list of several; what is no list has no rows.
+// joinRows joins JSON lists into one. Values that are not lists are skipped.
 func joinRows(lists []json.RawMessage) []byte {
 	var joined []byte
 	for _, list := range lists {
--- a/internal/transport/gateway/headwatch.go
+++ b/internal/transport/gateway/headwatch.go
@@ -9,33 +9,34 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Times that a server may take to begin its answer.
+// Timeouts for the head of an answer.
 const (
-	// headTimeoutFactor is how many goals a server may take to begin its answer before
-	// a request that may run again is sent elsewhere.
+	// headTimeoutFactor times the route's goal is the time in which a server must begin its
+	// answer. After that a repeatable request is sent to another server.
 	headTimeoutFactor = 4
-	// firstCheckFactor and stalledEvery are when it is first looked, and how often
-	// then, whether the server sends nothing to anybody.
+	// firstCheckFactor times the goal is the time of the first check for a stalled server,
+	// and checkInterval the interval between later checks.
 	firstCheckFactor = 1.5
 	checkInterval    = 100 * time.Millisecond
-	// minHeadTimeout is the least of these times, so that a short goal does not
-	// send again what is merely queued.
+	// minHeadTimeout is the lower bound of both times, so that with a short goal a request
+	// is not sent again while it is only queued.
 	minHeadTimeout = 400 * time.Millisecond
 )
 
-// headWatch waits for the head of an answer.
+// headWatch cancels an attempt whose server does not begin its answer in time.
 type headWatch struct {
 	gateway *Gateway
+	// goal is the route's goal for the time to the first byte.
 	goal    time.Duration
 	backend catalog.Backend
-	// wanted is what another server would have to take.
+	// request is the request as another server would have to accept it.
 	wanted fleet.Request
 	cancel func()
 	done   chan struct{}
 }
 
-// watchHead ends the attempt if its server does not begin to answer in time,
-// for requests that another server may still run.
+// watchHead cancels the attempt if its server does not begin its answer in time. It returns
+// nil if no other server may run the request.
 func (a *attempts) watchHead(backend catalog.Backend, cancel func()) *headWatch {
 	if !a.Class.Repeatable || a.Sent()+1 >= a.Class.Servers || a.route.Goal <= 0 {
 		return nil
@@ -49,10 +50,10 @@
 	return w
 }
 
-// run looks first after the time in which most answers begin, then often: a
-// server that sends nothing to anybody is given up sooner than one that is busy.
+// run checks first after the time in which most answers begin, then at short intervals, as a
+// stalled server is abandoned earlier than a busy one.
 func (w *headWatch) run() {
-	began := time.Now()
+	start := time.Now()
 	timer := time.NewTimer(max(time.Duration(firstCheckFactor*float64(w.goal)), minHeadTimeout))
 	defer timer.Stop()
 	for {
@@ -61,7 +62,7 @@
 			return
 		case <-timer.C:
 		}
-		if w.late(time.Since(began)) {
+		if w.late(time.Since(start)) {
 			w.cancel()
 			return
 		}
@@ -69,24 +70,26 @@
 	}
 }
 
-// late reports whether the attempt is better made elsewhere.
+// shouldReroute reports whether the request should be sent to another server.
 //
-// A server whose process is gone sends nothing any more, though a cut may hide its end.
+// A process that has been replaced sends nothing more, although a network partition may hide
+// that it ended. A stalled server sends nothing to any caller. Both are abandoned before the
+// head timeout.
 //
-// Guard: a request that is given up where no other server has a place is lost,
-// though its own may only be slow; it waits on.
+// If no other server has a free place the attempt continues, since the server may only be
+// slow and the request would fail.
 func (w *headWatch) late(waited time.Duration) bool {
 	g, now := w.gateway, boottime.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	silent := g.fleet.Followed(w.backend) || g.fleet.Stalled(w.backend.ID, now)
-	if waited < max(headTimeoutFactor*w.goal, minHeadTimeout) && !silent {
+	abandoned := g.fleet.Followed(w.backend) || g.fleet.Stalled(w.backend.ID, now)
+	if waited < max(headTimeoutFactor*w.goal, minHeadTimeout) && !abandoned {
 		return false
 	}
 	return g.fleet.Elsewhere(w.wanted, g.gate.Waiting, now)
 }
 
-// end stops the watch; nil watches nothing.
+// end stops the watch. The receiver may be nil.
 func (w *headWatch) end() {
 	if w != nil {
 		close(w.done)
--- a/internal/transport/gateway/messages.go
+++ b/internal/transport/gateway/messages.go
@@ -13,72 +13,76 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/quarantine"
 )
 
-// Datagram is a message between processes that may be lost.
+// Datagram is a message between entries, or between an entry and an agent. Delivery is not
+// guaranteed.
 type Datagram struct {
-	// Beat is an entry's heartbeat.
+	// Heartbeat is the heartbeat of an entry.
 	Beat *Beat `cbor:"1,keyasint,omitempty"`
-	// Counts is an entry's requests at backend servers.
+	// Counts are the requests of an entry in flight at backend servers.
 	Counts *Counts `cbor:"2,keyasint,omitempty"`
 	// Load is an agent's report on its backend server.
 	Load *LoadReport `cbor:"3,keyasint,omitempty"`
-	// Changed tells an agent that the sender knows more of versions than it does.
+	// Changed notifies an agent that its view of the named versions is outdated.
 	Changed bool `cbor:"4,keyasint,omitempty"`
-	// News is of requests that end the servers that run them.
+	// Crashes reports requests that crash backend servers.
 	News *quarantine.News `cbor:"5,keyasint,omitempty"`
 }
 
-// Beat tells other entries that one lives.
+// Heartbeat reports the state of an entry to the others.
 type Beat struct {
 	Entry Entry `cbor:"1,keyasint"`
-	Ready bool  `cbor:"2,keyasint,omitempty"`
+	// Ready is true if the entry accepts callers.
+	Ready bool `cbor:"2,keyasint,omitempty"`
 	// StoreUnreachable is true while the store does not answer the entry.
 	StoreUnreachable bool       `cbor:"3,keyasint,omitempty"`
 	Named            []NamedAge `cbor:"4,keyasint,omitempty"`
-	// Held differs between entries that keep different requests from servers; 0: none.
+	// HeldDigest is a digest of the quarantined requests; 0 if there are none. It differs
+	// between entries that hold different ones.
 	Held uint64 `cbor:"5,keyasint,omitempty"`
-	// Restored is true once the entry knows the verdicts that were made before it started.
+	// Restored is true once the entry has the quarantine verdicts from before its start.
 	Restored bool `cbor:"6,keyasint,omitempty"`
-	// StoreUptime is since when and until when the store has answered, as far as the entry knows;
-	// nil if it knows of no answer lately.
+	// StoreUptime is the latest period in which the store answered, as far as the entry
+	// knows; nil if there is no recent one.
 	StoreUptime *StoreUptime `cbor:"7,keyasint,omitempty"`
-	// StoreAnswerAgeMs is how many milliseconds ago the store last answered the entry itself; 0 if
-	// that was too long ago to matter.
+	// StoreAnswerAgeMs is how many milliseconds ago the store last answered the entry itself;
+	// 0 if that is longer ago than storeAnswerTTL.
 	StoreAnswerAgeMs uint16 `cbor:"8,keyasint,omitempty"`
 }
 
-// Counts tells how many requests an entry has at each backend server.
+// Counts reports the requests that an entry has in flight at each backend server.
 type Counts struct {
 	From filbertlever.HostID `cbor:"1,keyasint"`
-	// Sequence orders the counts of one entry, also across its restarts.
+	// Sequence orders the counts of one entry, including across its restarts.
 	Sequence int64          `cbor:"2,keyasint"`
 	Requests map[string]int `cbor:"3,keyasint,omitempty"`
-	// Silent are servers of the entry's region that have fallen silent.
+	// Silent are the unresponsive servers of the entry's region.
 	Silent []string `cbor:"4,keyasint,omitempty"`
-	// Boots are the processes that the counts are of, for servers that started again
-	// lately.
+	// Boots identifies the server processes that the counts refer to, for servers that
+	// restarted recently.
 	Boots map[string]catalog.Boot `cbor:"5,keyasint,omitempty"`
 }
 
-// NamedAge is a named version and how long ago it was named.
+// NamedAge is a version that operators have named, and how long ago.
 type NamedAge struct {
 	Model   string        `cbor:"1,keyasint"`
 	Version uint64        `cbor:"2,keyasint"`
 	Age     time.Duration `cbor:"3,keyasint"`
-	// Known is false if the age is not known by any process.
+	// Known is false if no process has reported the age.
 	Known bool `cbor:"4,keyasint,omitempty"`
 }
 
-// LoadReport is a backend server's load, and what its agent knows of versions.
+// LoadReport is the load of a backend server, and the versions that its agent has in its
+// view.
 type LoadReport struct {
 	Load fleet.Load `cbor:"1,keyasint"`
-	// Named are the versions that the agent knows of; nil before it has a view.
+	// Named are the named versions of the agent's view; nil before it has a view.
 	Named []NamedAge `cbor:"2,keyasint"`
 }
 
-// decMode bounds what a message may hold.
+// decMode limits the size and nesting of a message.
 var decMode = mustDecMode()
 
-// maxItems bounds the servers that one message tells of, as 8 KiB do.
+// maxItems bounds the servers in one message, as does the datagram size of 8 KiB.
 const maxItems = 1 << 10
 
 func mustDecMode() cbor.DecMode {
@@ -89,8 +93,7 @@
 	return mode
 }
 
-// EncodeDatagram encodes a message between processes, in CBOR with numbers for the names
-// of fields.
+// EncodeDatagram encodes a message in CBOR, with integer keys in place of field names.
 func EncodeDatagram(d Datagram) ([]byte, error) {
 	data, err := cbor.Marshal(d)
 	if err != nil {
@@ -99,10 +102,11 @@
 	return data, nil
 }
 
-// DecodeDatagram decodes a message between processes.
+// DecodeDatagram decodes and validates a message.
 //
-// Guard: anything may arrive at the socket. A heartbeat without addresses was called
-// back nowhere, and figures that cannot be would keep a server out of use for ever.
+// The socket may receive arbitrary data. An entry whose heartbeat has no valid
+// addresses cannot be contacted, and out-of-range load values would keep a server out of use
+// permanently.
 func DecodeDatagram(data []byte) (*Datagram, error) {
 	var d Datagram
 	if err := decMode.Unmarshal(data, &d); err != nil {
--- a/internal/transport/gateway/peers.go
+++ b/internal/transport/gateway/peers.go
@@ -8,53 +8,57 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// Times of what entries hear of each other.
+// Intervals and timeouts of the failure detector between entries.
 const (
-	// heartbeatInterval is how often an entry tells the others that it lives.
+	// heartbeatInterval is the interval between two heartbeats to the entries of the region.
 	heartbeatInterval = 400 * time.Millisecond
-	// heartbeatTimeout is the silence after which an entry is not named to callers:
-	// three heartbeats, since datagrams are lost now and then.
+	// heartbeatTimeout is the time without a heartbeat after which an entry of the region
+	// counts as dead. It spans three heartbeats, since datagrams may be dropped.
 	heartbeatTimeout = 1300 * time.Millisecond
-	// heartbeatsPerRemote is how many heartbeats pass between two that go to other regions
-	// too, where bytes are scarce; farMissed is the timeout there.
+	// One in heartbeatsPerRemote heartbeats is also sent to other regions, as bandwidth
+	// between regions is scarce. remoteHeartbeatTimeout is the timeout for their entries.
 	heartbeatsPerRemote    = 5
 	remoteHeartbeatTimeout = 5 * time.Second
-	// startTrust is how long after it learnt of another entry one takes that to be
-	// alive, until it can have been heard; for those of other regions it is farMissed.
+	// startupGrace is how long a newly discovered entry of the region counts as alive
+	// without a heartbeat. For entries of other regions it is remoteHeartbeatTimeout.
 	startTrust = 1500 * time.Millisecond
 )
 
-// minSiteEntries is how many entries of a caller's own site are enough to name no
-// others: one of them may be gone by the time that the caller comes.
+// minSiteEntries is the number of entries at a caller's own site from which on entries of
+// other sites are omitted. One of them may have stopped by the time the caller connects.
 const minSiteEntries = 2
 
-// maxLocateAddresses bounds the addresses named to a caller.
+// maxLocateAddresses is the maximum number of addresses returned to a caller.
 const maxLocateAddresses = 64
 
-// peers is what an entry knows of the others. The gateway's lock guards it.
+// peers tracks the other entries of the installation. The gateway's lock guards it.
 type peers struct {
-	self    Entry
+	self Entry
+	// started is when this entry started.
 	started time.Duration
 	byHost  map[filbertlever.HostID]*peer
-	// order has the known entries by name, and near is how many of them are of this one's
-	// region; order is nil if it is out of date.
+	// order caches the entries of byHost sorted by host, and regionCount how many of them
+	// are in this entry's region. order is nil if it is out of date.
 	order       []*peer
 	regionCount int
 }
 
+// peer is the state of one other entry.
 type peer struct {
 	entry Entry
-	// discoveredAt is when this entry learnt of it.
+	// discoveredAt is when this entry discovered the other one.
 	discoveredAt time.Duration
-	// listed is true while the store has the entry's row.
-	listed      bool
+	// listed is true while the store has a row for the entry.
+	listed bool
+	// heartbeatAt is when the last heartbeat arrived; 0 if none has.
 	heartbeatAt time.Duration
-	ready       bool
-	// storeUnreachable is true while the store does not answer it.
+	// ready is true if the last heartbeat reported that the entry accepts callers.
+	ready bool
+	// storeUnreachable is true while the entry reports that the store does not answer it.
 	storeUnreachable bool
-	// storeAnsweredAt is when the store last answered it; 0 if that is not known.
+	// storeAnsweredAt is when the store last answered the entry; 0 if unknown.
 	storeAnsweredAt time.Duration
-	// countsSequence is that of the last counts taken.
+	// countsSequence is the sequence number of the last applied counts.
 	countsSequence int64
 }
 
@@ -62,40 +66,41 @@
 	return &peers{self: self, started: now, byHost: map[filbertlever.HostID]*peer{}}
 }
 
-// applyRows takes rows of the store.
-func (p *peers) applyRows(present []Entry, gone []string, whole bool, now time.Duration) {
+// applyRows applies changes of the store's entry table: added or changed entries, and the
+// hosts of removed ones. If whole is true, present is the complete table.
+func (p *peers) applyRows(present []Entry, removed []string, whole bool, now time.Duration) {
 	if whole {
-		for _, known := range p.byHost {
-			known.listed = false
+		for _, other := range p.byHost {
+			other.listed = false
 		}
 	}
 	for _, entry := range present {
 		if entry.Host == p.self.Host {
 			continue
 		}
-		known, ok := p.byHost[entry.Host]
+		other, ok := p.byHost[entry.Host]
 		if !ok {
-			known = &peer{discoveredAt: now}
-			p.byHost[entry.Host] = known
+			other = &peer{discoveredAt: now}
+			p.byHost[entry.Host] = other
 		}
-		known.entry, known.listed = entry, true
+		other.entry, other.listed = entry, true
 		p.order = nil
 	}
-	for _, host := range gone {
-		if known, ok := p.byHost[filbertlever.HostID(host)]; ok {
-			known.listed = false
+	for _, host := range removed {
+		if other, ok := p.byHost[filbertlever.HostID(host)]; ok {
+			other.listed = false
 		}
 	}
-	for host, known := range p.byHost {
-		if !known.listed {
+	for host, other := range p.byHost {
+		if !other.listed {
 			delete(p.byHost, host)
 			p.order = nil
 		}
 	}
 }
 
-// addDiscovered takes entries that another entry told of. Their own heartbeats show whether
-// they live.
+// addDiscovered adds entries that another entry reported. Whether they are alive is decided
+// by their own heartbeats.
 func (p *peers) addDiscovered(entries []Entry, now time.Duration) {
 	for _, entry := range entries {
 		if _, ok := p.byHost[entry.Host]; !ok && entry.Host != p.self.Host {
@@ -105,103 +110,110 @@
 	}
 }
 
-// hear takes a heartbeat, and reports whether it is the first of that process.
-func (p *peers) hear(entry Entry, ready, lost bool, now time.Duration) (first bool) {
-	known, ok := p.byHost[entry.Host]
+// observeHeartbeat records a heartbeat, and reports whether it is the first one of that
+// process.
+func (p *peers) hear(entry Entry, ready, storeUnreachable bool, now time.Duration) (first bool) {
+	other, ok := p.byHost[entry.Host]
 	if !ok {
-		// A live entry whose row has not been read yet.
-		known = &peer{listed: true, discoveredAt: now}
-		p.byHost[entry.Host] = known
+		// The entry is alive, but its row has not been read yet.
+		other = &peer{listed: true, discoveredAt: now}
+		p.byHost[entry.Host] = other
 	}
-	if !ok || known.entry.Region != entry.Region {
+	if !ok || other.entry.Region != entry.Region {
 		p.order = nil
 	}
-	first = known.heartbeatAt == 0 || known.entry.Incarnation != entry.Incarnation
-	if known.entry.Incarnation != entry.Incarnation {
-		known.countsSequence = 0
+	first = other.heartbeatAt == 0 || other.entry.Incarnation != entry.Incarnation
+	if other.entry.Incarnation != entry.Incarnation {
+		other.countsSequence = 0
 	}
-	known.entry, known.heartbeatAt, known.ready, known.storeUnreachable = entry, now, ready, lost
+	other.entry, other.heartbeatAt, other.ready, other.storeUnreachable = entry, now, ready, storeUnreachable
 	return first
 }
 
-// acceptSequence reports whether counts of an entry are newer than the last taken.
+// acceptSequence records the sequence number of an entry's counts, and reports whether it
+// is higher than the last one.
 //
-// Guard: datagrams overtake each other, and a late one would bring back
-// requests that have ended.
+// Datagrams may be reordered. An outdated one would count requests that have already ended.
 func (p *peers) acceptSequence(host filbertlever.HostID, sequence int64) bool {
-	known, ok := p.byHost[host]
-	if !ok || sequence <= known.countsSequence {
+	other, ok := p.byHost[host]
+	if !ok || sequence <= other.countsSequence {
 		return false
 	}
-	known.countsSequence = sequence
+	other.countsSequence = sequence
 	return true
 }
 
-// isAlive reports whether an entry is taken to be alive.
+// isAlive reports whether an entry counts as alive.
 //
-// Guard: heartbeats of other regions are rarer; with the timeout of this one's, their entries would
-// count as dead right after a start, and pieces on their way from them would be given up.
-func (p *peers) isAlive(known *peer, now time.Duration) bool {
-	far := known.entry.Region != p.self.Region
+// Heartbeats of other regions are less frequent. With the timeout of this region, their
+// entries would count as dead right after a start, and fetches of pieces from them would be
+// aborted.
+func (p *peers) isAlive(other *peer, now time.Duration) bool {
+	remote := other.entry.Region != p.self.Region
 	switch {
-	case far:
-		return now-max(known.heartbeatAt, known.discoveredAt) < remoteHeartbeatTimeout
-	case known.heartbeatAt == 0:
-		return now-known.discoveredAt < startTrust
+	case remote:
+		return now-max(other.heartbeatAt, other.discoveredAt) < remoteHeartbeatTimeout
+	case other.heartbeatAt == 0:
+		return now-other.discoveredAt < startTrust
 	}
-	return now-known.heartbeatAt < heartbeatTimeout
+	return now-other.heartbeatAt < heartbeatTimeout
 }
 
-// isReady reports whether an entry has said that it is ready.
+// isReady reports whether an entry accepts callers, by its last heartbeat.
 func (p *peers) isReady(host filbertlever.HostID) bool {
-	known, ok := p.byHost[host]
-	return ok && known.ready
+	other, ok := p.byHost[host]
+	return ok && other.ready
 }
 
-// isReader reports whether an entry may read the store for its region.
+// canReadStore reports whether an entry may read the store for its region: it is ready, and
+// the store answers it.
 func (p *peers) isReader(host filbertlever.HostID) bool {
-	known, ok := p.byHost[host]
-	return ok && known.ready && !known.storeUnreachable
+	other, ok := p.byHost[host]
+	return ok && other.ready && !other.storeUnreachable
 }
 
-// recordStoreAnswer notes how long ago the store answered an entry; 0 if the entry does not say.
-func (p *peers) recordStoreAnswer(host filbertlever.HostID, ago, now time.Duration) {
-	if known, ok := p.byHost[host]; ok && ago > 0 {
-		known.storeAnsweredAt = now - ago
+// recordStoreAnswer records how long ago the store last answered an entry. An age of 0 means
+// unknown and is ignored.
+func (p *peers) recordStoreAnswer(host filbertlever.HostID, age, now time.Duration) {
+	if other, ok := p.byHost[host]; ok && age > 0 {
+		other.storeAnsweredAt = now - age
 	}
 }
 
-// isAnswered reports whether the store has answered an entry lately.
+// hasRecentStoreAnswer reports whether the store has answered an entry within
+// storeAnswerTTL.
 func (p *peers) isAnswered(host filbertlever.HostID, now time.Duration) bool {
-	known, ok := p.byHost[host]
-	return ok && known.storeAnsweredAt != 0 && now-known.storeAnsweredAt < storeAnswerTTL
+	other, ok := p.byHost[host]
+	return ok && other.storeAnsweredAt != 0 && now-other.storeAnsweredAt < storeAnswerTTL
 }
 
-// noteLost notes that an entry says that it lost the store, until its next heartbeat.
+// markStoreUnreachable records that the store does not answer an entry. The entry's next
+// heartbeat overrides this.
 func (p *peers) noteLost(host filbertlever.HostID) {
-	if known, ok := p.byHost[host]; ok {
-		known.storeUnreachable = true
+	if other, ok := p.byHost[host]; ok {
+		other.storeUnreachable = true
 	}
 }
 
-// isHeard reports whether an entry has been heard, and is not only listed.
+// hasHeartbeat reports whether a heartbeat of an entry has arrived. Entries that are only
+// listed have none.
 func (p *peers) isHeard(host filbertlever.HostID) bool {
-	known, ok := p.byHost[host]
-	return ok && known.heartbeatAt != 0
+	other, ok := p.byHost[host]
+	return ok && other.heartbeatAt != 0
 }
 
-// registered returns how many entries there are by the store's rows.
+// registeredCount returns the number of registered entries, including this one.
 func (p *peers) registered() int { return len(p.byHost) + 1 }
 
-// sorted returns the known entries by name.
+// sorted returns the other entries, sorted by host.
 func (p *peers) sorted() []*peer {
 	if p.order != nil {
 		return p.order
 	}
 	p.order, p.regionCount = make([]*peer, 0, len(p.byHost)), 0
-	for _, known := range p.byHost {
-		p.order = append(p.order, known)
-		if known.entry.Region == p.self.Region {
+	for _, other := range p.byHost {
+		p.order = append(p.order, other)
+		if other.entry.Region == p.self.Region {
 			p.regionCount++
 		}
 	}
@@ -209,17 +221,17 @@
 	return p.order
 }
 
-// alive returns the entries that are alive, this one included, by name.
+// alive returns the entries that count as alive, including this one, sorted by host.
 func (p *peers) alive(now time.Duration) []Entry {
 	sorted := p.sorted()
 	entries := make([]Entry, 0, len(sorted)+1)
 	self := false
-	for _, known := range sorted {
-		if !self && known.entry.Host > p.self.Host {
+	for _, other := range sorted {
+		if !self && other.entry.Host > p.self.Host {
 			entries, self = append(entries, p.self), true
 		}
-		if p.isAlive(known, now) {
-			entries = append(entries, known.entry)
+		if p.isAlive(other, now) {
+			entries = append(entries, other.entry)
 		}
 	}
 	if !self {
@@ -228,68 +240,69 @@
 	return entries
 }
 
-// scope says which entries a message goes to.
+// scope selects the entries that a message is sent to.
 type scope int
 
-// Whom messages go to: all entries that may live, those of this one's region, and those
-// of others.
+// The scopes: all entries, those of this entry's region, and those of other regions. They
+// include entries that may be dead.
 const (
 	scopeAll scope = iota
 	scopeRegion
 	scopeRemote
 )
 
-// addresses returns where messages go.
+// addresses returns the datagram addresses of the entries in a scope.
 func (p *peers) addresses(to scope) []string {
 	var addresses []string
-	for _, known := range p.sorted() {
-		near := known.entry.Region == p.self.Region
-		if to == scopeAll || near == (to == scopeRegion) {
-			addresses = append(addresses, known.entry.Datagrams)
+	for _, other := range p.sorted() {
+		local := other.entry.Region == p.self.Region
+		if to == scopeAll || local == (to == scopeRegion) {
+			addresses = append(addresses, other.entry.Datagrams)
 		}
 	}
 	return addresses
 }
 
-// regionCounts returns how many other entries of the region there are, and how many elsewhere.
-func (p *peers) regionCounts() (near, far int) {
-	known := len(p.sorted())
-	return p.regionCount, known - p.regionCount
+// regionCounts returns the number of other entries in this entry's region, and in other
+// regions.
+func (p *peers) regionCounts() (local, remote int) {
+	total := len(p.sorted())
+	return p.regionCount, total - p.regionCount
 }
 
-// timedOut returns the entries that were heard once and are no longer.
+// timedOut returns the entries that have sent heartbeats before, but no longer do.
 func (p *peers) timedOut(now time.Duration) []filbertlever.HostID {
 	var hosts []filbertlever.HostID
-	for host, known := range p.byHost {
-		if known.heartbeatAt != 0 && !p.isAlive(known, now) {
+	for host, other := range p.byHost {
+		if other.heartbeatAt != 0 && !p.isAlive(other, now) {
 			hosts = append(hosts, host)
 		}
 	}
 	return hosts
 }
 
-// locate returns the addresses for a caller at a site. Bytes between regions
-// are scarce, so a site's callers stay there while it has entries enough.
+// locate returns the addresses to which a caller at a site should connect. Bandwidth between
+// regions is scarce, so callers stay at their own site if it has minSiteEntries entries.
 func (p *peers) locate(site string, selfReady bool, now time.Duration) []string {
-	var near, all []string
+	var atSite, all []string
 	add := func(entry Entry) {
 		all = append(all, entry.Callers)
 		if entry.Site == site {
-			near = append(near, entry.Callers)
+			atSite = append(atSite, entry.Callers)
 		}
 	}
 	if selfReady {
 		add(p.self)
 	}
-	for _, known := range p.byHost {
-		if p.isAlive(known, now) && (known.ready || known.heartbeatAt == 0) {
-			add(known.entry)
+	for _, other := range p.byHost {
+		if p.isAlive(other, now) && (other.ready || other.heartbeatAt == 0) {
+			add(other.entry)
 		}
 	}
-	slices.Sort(near)
+	slices.Sort(atSite)
 	slices.Sort(all)
-	if len(near) >= minSiteEntries {
-		all = near
+	if len(atSite) >= minSiteEntries {
+		all = atSite
 	}
 	return all[:min(len(all), maxLocateAddresses)]
 }
--- a/internal/transport/gateway/seeds.go
+++ b/internal/transport/gateway/seeds.go
@@ -12,19 +12,20 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// seedsEvery is how often the seeds are asked, and seedTimeout bounds one answer.
+// seedInterval is the interval between two queries of the seeds, and seedTimeout bounds one
+// query.
 const (
 	seedInterval = 300 * time.Millisecond
 	seedTimeout  = 700 * time.Millisecond
 )
 
-// PathEntries is where entries ask each other for the entries that they know.
+// PathEntries is the path at which an entry lists the entries that it counts as alive.
 const PathEntries = "/entries"
 
-// runSeeds asks the seeds for other entries until the store has listed them.
+// runSeeds queries the seeds for other entries until the store has listed them.
 //
-// Guard: after a loss of power while the store, or its part with the entries, is away, each entry
-// believes that it is alone and fetches every piece over the origin's thin link.
+// After a power failure the store, or its entry table, may be unreachable. Without seeds each
+// entry would find no other one and fetch every piece over the origin's slow link.
 func (g *Gateway) runSeeds(ctx context.Context) {
 	ticker := time.NewTicker(seedInterval)
 	defer ticker.Stop()
@@ -42,11 +43,11 @@
 	}
 }
 
-// runSeed asks one seed, and makes this entry known to those that it names.
+// runSeed queries one seed, and sends a heartbeat to the entries that it returns.
 func (g *Gateway) runSeed(ctx context.Context, address string) {
 	entries, err := g.fetchEntries(ctx, address)
 	if err != nil {
-		g.log.Debug("seed does not answer", zap.String("Seed", address), zap.Error(err))
+		g.log.Debug("seed query failed", zap.String("Seed", address), zap.Error(err))
 		return
 	}
 	g.mu.Lock()
@@ -55,6 +56,7 @@
 	g.beat(boottime.Now(), true)
 }
 
+// fetchEntries returns the entries that the entry at an address counts as alive.
 func (g *Gateway) fetchEntries(ctx context.Context, address string) ([]Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
@@ -68,7 +70,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("entries from %s: answered %d", address, response.StatusCode)
+		return nil, fmt.Errorf("entries from %s: status %d", address, response.StatusCode)
 	}
 	entries, err := decodeEntries(response.Body)
 	if err != nil {
@@ -77,6 +79,7 @@
 	return entries, nil
 }
 
+// serveEntries responds with the entries that count as alive here, including this one.
 func (g *Gateway) serveEntries(w http.ResponseWriter, _ *http.Request) {
 	g.mu.Lock()
 	entries := g.peers.alive(boottime.Now())
