--- a/internal/transport/gateway/news_test.go
+++ b/internal/transport/gateway/crashreports_test.go
@@ -10,11 +10,11 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/quarantine"
 )
 
-// maxPacketBytes is what one packet carries on every link.
+// maxPacketBytes is the payload that one packet can carry on any link.
 const maxPacketBytes = 1400
 
-// News of servers that end was lost whole if one part of a message was, as it took several
-// packets. However much there is to tell, each message fits one.
+// A crash report of several packets was lost completely if one packet was dropped. Each
+// message must fit one packet, whatever the number of crashes.
 func TestCrashReportsFitOnePacket(t *testing.T) {
 	table := quarantine.New(quarantine.DefaultConfig())
 	now := 1000 * time.Hour
@@ -24,22 +24,23 @@
 		table.Broke(request.Fingerprint(), process, true, now)
 		table.Ended(process, now+time.Millisecond)
 	}
-	told := 0
-	for _, news := range table.Fresh(now + 123456*time.Microsecond) {
-		data, err := EncodeDatagram(Datagram{News: &news})
+	sent := 0
+	for _, report := range table.Fresh(now + 123456*time.Microsecond) {
+		data, err := EncodeDatagram(Datagram{News: &report})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, len(data) <= maxPacketBytes, qt.IsTrue, qt.Commentf("%d bytes", len(data)))
 		d, err := DecodeDatagram(data)
 		qt.Assert(t, err, qt.IsNil)
 		for _, e := range d.News.Ends {
-			told += len(e.Requests)
+			sent += len(e.Requests)
 		}
 	}
-	qt.Assert(t, told, qt.Equals, 18)
+	qt.Assert(t, sent, qt.Equals, 18)
 }
 
-// The end of one server with 16 requests under way, of which an entry had two, and what an
-// entry's tick costs then; 98 and 460 entries are told the former.
+// BenchmarkCrashReport measures the size of the report on the crash of one server, where this
+// entry had 2 of 16 requests in flight, and the cost of one tick afterwards. The report is sent
+// to 98 or 460 entries.
 func BenchmarkCrashReport(b *testing.B) {
 	table := quarantine.New(quarantine.DefaultConfig())
 	process := quarantine.Process{Server: "i-0b0818ed14"}
@@ -48,8 +49,8 @@
 		table.Broke(request.Fingerprint(), process, true, time.Second)
 	}
 	table.Ended(process, time.Second)
-	news := table.Fresh(time.Second)
-	data, err := EncodeDatagram(Datagram{News: &news[0]})
+	reports := table.Fresh(time.Second)
+	data, err := EncodeDatagram(Datagram{News: &reports[0]})
 	qt.Assert(b, err, qt.IsNil)
 	now := time.Second
 	for b.Loop() {
--- a/internal/transport/gateway/fuzz_test.go
+++ b/internal/transport/gateway/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Whatever comes to the socket is refused, or tells of processes that can be called and
-// of figures that can be.
+// FuzzDatagram checks that arbitrary data is either rejected, or decodes to valid addresses and
+// values in range.
 func FuzzDatagram(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		d, err := DecodeDatagram(data)
@@ -16,23 +16,23 @@
 			return
 		}
 		if d.Beat != nil && (d.Beat.Entry.Host == "" || checkAddress("", d.Beat.Entry.Datagrams) != nil) {
-			t.Fatalf("a heartbeat of nobody: %+v", d.Beat)
+			t.Fatalf("heartbeat without a valid entry: %+v", d.Beat)
 		}
 		if d.Load != nil && (d.Load.Load.Running < 0 || d.Load.Load.Queued < 0 || d.Load.Load.LeavesIn > maxLookahead) {
-			t.Fatalf("a load that cannot be: %+v", d.Load)
+			t.Fatalf("load out of range: %+v", d.Load)
 		}
 		if d.Counts != nil {
 			for id, n := range d.Counts.Requests {
 				if n < 0 {
-					t.Fatalf("%d requests at %s", n, id)
+					t.Fatalf("negative count of requests: %d at %s", n, id)
 				}
 			}
 		}
 	})
 }
 
-// Whatever an entry answers about a table is refused, or makes one list of rows: as it
-// comes, and where it was packed as entries do.
+// FuzzFeed checks that an arbitrary feed answer, raw or packed, is either rejected or joins to one
+// valid list of rows.
 func FuzzFeed(f *testing.F) {
 	header := http.Header{headerRevision: {"7"}, headerAge: {"5"}}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -44,7 +44,7 @@
 			joined := joinRows(answer.Raw)
 			var rows []json.RawMessage
 			if len(joined) > 0 && json.Unmarshal(joined, &rows) != nil {
-				t.Fatalf("joined to %q", joined)
+				t.Fatalf("joined rows are not a list: %q", joined)
 			}
 		}
 	})
--- a/internal/transport/gateway/messages_test.go
+++ b/internal/transport/gateway/messages_test.go
@@ -19,8 +19,8 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/fleet"
 )
 
-// message encodes what a JSON text says as a datagram would be, its fields by their
-// numbers, whatever types its values have. What is no JSON is taken as it is.
+// encodeJSONDatagram encodes a JSON text as a CBOR datagram, with integer keys in place of
+// field names and values of any type. A text that is not JSON is returned unchanged.
 func message(text string) []byte {
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.UseNumber()
@@ -35,7 +35,7 @@
 	return data
 }
 
-// withNumericKeys puts the numbers of a struct's fields in place of their names.
+// withNumericKeys replaces the field names of a struct by their integer keys.
 func withNumericKeys(value any, as reflect.Type) any {
 	for as != nil && as.Kind() == reflect.Pointer {
 		as = as.Elem()
@@ -82,7 +82,7 @@
 	return value
 }
 
-// Two processes that run the same version must read what the other tells, whole.
+// Every field of a message must survive encoding and decoding.
 func TestDatagramRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	for _, d := range []Datagram{
@@ -102,8 +102,8 @@
 	}
 }
 
-// While versions of the program are changed one process after the other, a message may
-// have a field that is not known yet. The rest of it counts.
+// During a rolling upgrade a message may contain fields that this version does not have. They
+// must be ignored, and the other fields decoded.
 func TestUnknownFieldsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	data, err := cbor.Marshal(map[int]any{2: map[int]any{1: "e", 2: 7, 99: []int{1, 2}}, 98: "later"})
@@ -113,8 +113,8 @@
 	c.Assert(d.Counts.Sequence, qt.Equals, int64(7))
 }
 
-// Bytes between regions are scarce and paid for; what an entry tells 78 others elsewhere
-// must stay small.
+// Bandwidth between regions is scarce and paid for, and an entry sends its messages to 78
+// entries of other regions. Messages must stay small.
 func TestDatagramSize(t *testing.T) {
 	c := qt.New(t)
 	counts := typicalCounts(15)
@@ -123,12 +123,13 @@
 	text, err := json.Marshal(counts)
 	c.Assert(err, qt.IsNil)
 	c.Check(len(data) < len(text)*9/10, qt.IsTrue, qt.Commentf("%d bytes, %d as text", len(data), len(text)))
-	beat, err := EncodeDatagram(Datagram{Beat: &Beat{Entry: Entry{Host: "edge-nave-erandio-13", Site: "nave-erandio", Region: "norte-vasco", Callers: "10.1.0.40:8005",
+	heartbeat, err := EncodeDatagram(Datagram{Beat: &Beat{Entry: Entry{Host: "edge-nave-erandio-13", Site: "nave-erandio", Region: "norte-vasco", Callers: "10.1.0.40:8005",
 		Peers: "10.1.0.40:7701", Datagrams: "10.1.0.40:7700", Incarnation: "d0mqyhbvrq2n"}, Ready: true}})
 	c.Assert(err, qt.IsNil)
-	c.Check(len(beat) < 150, qt.IsTrue, qt.Commentf("%d bytes", len(beat)))
+	c.Check(len(heartbeat) < 150, qt.IsTrue, qt.Commentf("%d bytes", len(heartbeat)))
 }
 
+// typicalCounts returns counts of one or two requests at each of some servers.
 func typicalCounts(servers int) Counts {
 	counts := Counts{From: "edge-nave-erandio-13", Sequence: 123456789012, Requests: map[string]int{}}
 	for i := range servers {
@@ -137,8 +138,8 @@
 	return counts
 }
 
-// BenchmarkDatagram tells what a message of 15 servers costs to read: 10.2 us and 48
-// allocations as JSON.
+// BenchmarkDatagram measures encoding and decoding of counts of 15 servers. Decoding them from
+// JSON took 10.2 us and 48 allocations.
 func BenchmarkDatagram(b *testing.B) {
 	counts := typicalCounts(15)
 	data, err := EncodeDatagram(Datagram{Counts: &counts})
--- a/internal/transport/gateway/peers_test.go
+++ b/internal/transport/gateway/peers_test.go
@@ -15,12 +15,13 @@
 	"github.com/filbertlever/filbertlever"
 )
 
+// entryAt returns an entry at a site of a region.
 func entryAt(host, site, region string) Entry {
 	return Entry{Host: filbertlever.HostID(host), Site: site, Region: region, Callers: host, Incarnation: "1"}
 }
 
-// A server looks full for seconds: counts that were overtaken on their way bring
-// back requests that have ended. A restarted entry begins to count anew.
+// Reordered counts would make a server look full for seconds, with requests that have
+// already ended. A restarted entry begins a new sequence.
 func TestOutdatedCountsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers(entryAt("e1", "a", "ra"), 0)
@@ -35,10 +36,10 @@
 	c.Assert(p.acceptSequence("unknown", 1), qt.IsFalse)
 }
 
-// Which entries callers of a site are told of.
+// TestLocate checks which addresses callers at a site receive.
 func TestLocate(t *testing.T) {
 	const now = 10 * time.Second
-	heard := func(p *peers, host, site string, ready bool, at time.Duration) {
+	observe := func(p *peers, host, site string, ready bool, at time.Duration) {
 		p.hear(entryAt(host, site, "r"+site), ready, false, at)
 	}
 	tests := []struct {
@@ -47,12 +48,12 @@
 		prepare   func(p *peers)
 		want      []string
 	}{
-		{"enough at the own site", true, func(p *peers) { heard(p, "e2", "a", true, now); heard(p, "e3", "b", true, now) }, []string{"e1", "e2"}},
-		{"too few at the own site", true, func(p *peers) { heard(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
-		{"one has fallen silent", true, func(p *peers) { heard(p, "e2", "a", true, now-2*time.Second); heard(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
-		{"one is not ready", true, func(p *peers) { heard(p, "e2", "a", false, now); heard(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
-		{"this one is not ready", false, func(p *peers) { heard(p, "e2", "a", true, now); heard(p, "e3", "b", true, now) }, []string{"e2", "e3"}},
-		{"nobody is", false, func(*peers) {}, nil},
+		{"enough at the same site", true, func(p *peers) { observe(p, "e2", "a", true, now); observe(p, "e3", "b", true, now) }, []string{"e1", "e2"}},
+		{"too few at the same site", true, func(p *peers) { observe(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
+		{"one has timed out", true, func(p *peers) { observe(p, "e2", "a", true, now-2*time.Second); observe(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
+		{"one is not ready", true, func(p *peers) { observe(p, "e2", "a", false, now); observe(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
+		{"this one is not ready", false, func(p *peers) { observe(p, "e2", "a", true, now); observe(p, "e3", "b", true, now) }, []string{"e2", "e3"}},
+		{"none is ready", false, func(*peers) {}, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// An entry that has just started knows the others only from their rows. They are
-// named until they could have been heard, and no longer.
+// After a start the other entries are known only by their rows. Callers receive their
+// addresses during startupGrace, and later only if heartbeats arrive.
 func TestListedEntriesAreAliveDuringStartupGrace(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers(entryAt("e1", "a", "ra"), 10*time.Second)
@@ -73,8 +74,8 @@
 	c.Assert(p.locate("a", true, 12*time.Second), qt.DeepEquals, []string{"e1"})
 }
 
-// Servers of one region had their weights 7 s after a loss of power: its entries
-// took those of the others for dead before these could have told that they live.
+// After a power failure the servers of one region received their weights 7 s late, since
+// its entries counted those of other regions as dead before their first heartbeat was due.
 func TestRemoteEntriesAreAliveUntilTheirHeartbeatIsDue(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers(Entry{Host: "self", Site: "a", Region: "ra"}, time.Second)
@@ -94,28 +95,28 @@
 	c.Check(names(8*time.Second+heartbeatTimeout), qt.Equals, "far self ")
 }
 
-// After a loss of power each entry drew a set of weights of its own from the
-// origin, since it had not heard of the others yet.
+// After a power failure each entry fetched its own copy of the weights from the origin,
+// since it had not discovered the others yet.
 func TestNoOriginFetchBeforePeersAreDiscovered(t *testing.T) {
 	c := qt.New(t)
 	state := catalog.New(1, nil, []catalog.Service{{Name: "origin", Origin: "127.0.0.1:1", OriginSite: "a"}}, nil, catalog.Limits{})
 	g := &Gateway{crashes: newCrashes(), peers: newPeers(Entry{Host: "self", Site: "a", Region: "ra"}, boottime.Now())}
 	g.state.Store(state)
-	drawn := func() bool {
+	fetches := func() bool {
 		_, _, ok := relayView{g}.Origin()
 		return ok
 	}
-	c.Check(drawn(), qt.IsFalse)
+	c.Check(fetches(), qt.IsFalse)
 	g.listed.Store(true)
-	c.Check(drawn(), qt.IsTrue)
+	c.Check(fetches(), qt.IsTrue)
 	g.listed.Store(false)
 	g.peers.started -= startTrust + time.Millisecond
-	c.Check(drawn(), qt.IsTrue)
+	c.Check(fetches(), qt.IsTrue)
 }
 
-// All entries have lost power. One that has started again asked another of its region
-// for the desired state that had not, and refused its callers for 0.6 s; it reads the
-// store itself, or asks one that it has heard.
+// After a power failure a restarted entry queried a listed entry that was still down for the
+// desired state, and refused its callers for 0.6 s. It must read the store itself, or query an
+// entry that has sent a heartbeat.
 func TestStartupQueriesOnlyEntriesWithHeartbeats(t *testing.T) {
 	c := qt.New(t)
 	self := entryAt("e1", "a", "ra")
@@ -135,8 +136,8 @@
 	c.Assert(host, qt.Equals, listed[2].Host)
 }
 
-// Two entries follow a third, which the store turns away. They ask another one that it
-// answers, and not each its own calls.
+// The store rejects the calls of a region's reader. Its followers must select another
+// reader that the store answers, and not all call the store themselves.
 func TestEntryWithoutStoreIsNotReader(t *testing.T) {
 	c := qt.New(t)
 	self := entryAt("e1", "a", "ra")
@@ -157,7 +158,7 @@
 		readers[host] = true
 	}
 	c.Assert(readers, qt.HasLen, 3)
-	// None is left: one of them tries for all, the same as at first.
+	// The store is unreachable for all entries: the initial reader keeps retrying for all.
 	g.lostUntil.Store(0)
 	for _, host := range []string{"e2", "e3"} {
 		g.peers.hear(entryAt(host, "a", "ra"), true, false, now)
@@ -171,9 +172,9 @@
 	c.Assert(again, qt.Equals, first)
 }
 
-// The reader of a region of many entries loses the store. All others asked the store for
-// the whole change over one thin border, which then answered nobody in time. They ask the
-// next reader; only that one asks the store.
+// When the reader of a large region could no longer reach the store, all others fetched the
+// whole change over one slow link, and all calls timed out. Only the next reader may call the
+// store.
 func TestOneEntryReplacesReaderWithoutStore(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
@@ -189,7 +190,7 @@
 		}
 		host, _, other := g.reader(now)
 		if !other {
-			// The reader itself.
+			// This entry is the reader.
 			continue
 		}
 		g.peers.noteLost(host)
@@ -200,8 +201,8 @@
 	c.Assert(direct, qt.Equals, 1)
 }
 
-// A process has just started and knows the desired state a moment later. A request that
-// came before was told to come back, and had no further try.
+// A request that arrived just before a new process had the desired state was refused with a
+// retry time, and had no retry left. It must wait for the desired state.
 func TestRequestWaitsForDesiredStateAfterStart(t *testing.T) {
 	c := qt.New(t)
 	g := &Gateway{crashes: newCrashes(), stated: make(chan struct{}), started: boottime.Now()}
@@ -211,9 +212,9 @@
 		close(g.stated)
 	})
 	c.Assert(g.awaitState(context.Background()), qt.Equals, state)
-	// The store is away, and nothing tells for how long.
+	// Long after the start the store is unreachable for an unknown time: no wait.
 	old := &Gateway{crashes: newCrashes(), stated: make(chan struct{}), started: boottime.Now() - stateExpected - 1}
-	began := time.Now()
+	start := time.Now()
 	c.Assert(old.awaitState(context.Background()), qt.IsNil)
-	c.Assert(time.Since(began) < stateWait/2, qt.IsTrue)
+	c.Assert(time.Since(start) < stateWait/2, qt.IsTrue)
 }
--- a/internal/transport/gateway/size_test.go
+++ b/internal/transport/gateway/size_test.go
@@ -12,7 +12,7 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// newSizedPeers are so many entries in five regions.
+// newSizedPeers returns the state of an installation of some entries in five regions.
 func newSizedPeers(entries int) *peers {
 	entry := func(i int) Entry {
 		return Entry{Host: filbertlever.HostID(fmt.Sprintf("edge-%d", i)), Site: fmt.Sprint("s", i%5), Region: fmt.Sprint("r", i%5),
@@ -26,11 +26,11 @@
 	return p
 }
 
-// BenchmarkPeers tells what an entry pays for the others. A heartbeat and a look at how
-// many there are come at a steady rate and must not grow with their number; who is alive
-// is asked for by agents, for pieces and to find the region's reader, some 30 times a
-// second, and a view is told to an agent in 3 s. At 98 and 460 entries a count took 1.9 and
-// 9.0 us and who is alive 62 and 309 us.
+// BenchmarkPeers measures how the cost of tracking other entries grows with their number.
+// Heartbeats and counts occur at a constant rate, so their cost must not grow. The list of
+// alive entries is needed some 30 times a second, for agents, pieces and the region's reader,
+// and each agent fetches a view every 3 s. With 98 and 460 entries a count took 1.9 and 9.0 us,
+// and the list of alive entries 62 and 309 us.
 func BenchmarkPeers(b *testing.B) {
 	for _, n := range []int{15, 98, 460} {
 		p, now := newSizedPeers(n), time.Second
@@ -58,21 +58,21 @@
 	}
 }
 
-// Agents, pieces and a region's reader are looked for among entries that are gone, or not
-// among new ones: who is known is kept in order, and a change was missed.
+// If the cached order misses a change, agents, pieces and the region's reader are assigned to
+// removed entries, or new entries are left out.
 func TestSortedPeersMatchAfterAnyChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPeers(Entry{Host: "e5", Region: "ra"}, 0)
 		now := time.Second
-		draw := func() Entry {
+		drawEntry := func() Entry {
 			return Entry{Host: filbertlever.HostID(fmt.Sprint("e", rapid.IntRange(0, 9).Draw(t, "entry"))),
 				Region: rapid.SampledFrom([]string{"ra", "rb"}).Draw(t, "region"), Incarnation: "a"}
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond
-			switch entry := draw(); rapid.IntRange(0, 3).Draw(t, "what") {
+			switch entry := drawEntry(); rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				p.applyRows([]Entry{entry}, []string{string(draw().Host)}, rapid.Bool().Draw(t, "whole"), now)
+				p.applyRows([]Entry{entry}, []string{string(drawEntry().Host)}, rapid.Bool().Draw(t, "whole"), now)
 			case 1:
 				p.addDiscovered([]Entry{entry}, now)
 			case 2:
@@ -81,13 +81,13 @@
 				}
 			}
 			var want []filbertlever.HostID
-			near := 0
-			for host, known := range p.byHost {
-				if p.isAlive(known, now) {
+			local := 0
+			for host, other := range p.byHost {
+				if p.isAlive(other, now) {
 					want = append(want, host)
 				}
-				if known.entry.Region == p.self.Region {
-					near++
+				if other.entry.Region == p.self.Region {
+					local++
 				}
 			}
 			want = append(want, p.self.Host)
@@ -97,10 +97,10 @@
 				got = append(got, entry.Host)
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("alive %v, found %v", want, got)
+				t.Fatalf("alive: want %v, got %v", want, got)
 			}
-			if n, far := p.regionCounts(); n != near || n+far != len(p.byHost) || len(p.addresses(scopeRegion)) != n || len(p.addresses(scopeRemote)) != far {
-				t.Fatalf("%d of %d are near, found %d and %d", near, len(p.byHost), n, far)
+			if n, remote := p.regionCounts(); n != local || n+remote != len(p.byHost) || len(p.addresses(scopeRegion)) != n || len(p.addresses(scopeRemote)) != remote {
+				t.Fatalf("%d of %d are in the region, found %d, and %d in others", local, len(p.byHost), n, remote)
 			}
 		}
 	})
--- a/internal/transport/gateway/uptime.go
+++ b/internal/transport/gateway/uptime.go
@@ -10,14 +10,15 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// StoreUptime is a stretch of time in which the store answered, up to a minute long, in
-// milliseconds before it was sent.
+// StoreUptime is a period in which the store answered, as sent to other entries: First and
+// Last are the times of the first and the last answer, in milliseconds before the message was
+// sent. First is at most math.MaxUint16, about a minute; longer periods are truncated.
 type StoreUptime struct {
 	First uint16 `cbor:"1,keyasint"`
 	Last  uint16 `cbor:"2,keyasint,omitempty"`
 }
 
-// newStoreUptime returns a span as it is sent; nil if it ended too long ago.
+// newStoreUptime encodes a span; nil if it ended too long ago.
 func newStoreUptime(span uptime.Span, now time.Duration) *StoreUptime {
 	last := (now - span.Last).Milliseconds()
 	if last < 0 || last > math.MaxUint16 {
@@ -26,13 +27,14 @@
 	return &StoreUptime{First: uint16(min((now - span.First).Milliseconds(), math.MaxUint16)), Last: uint16(last)}
 }
 
-// span returns the times of a span that was just received.
+// span decodes a span that was just received. A First after Last is set to Last.
 func (s *StoreUptime) span(now time.Duration) uptime.Span {
 	ago := func(ms uint16) time.Duration { return now - time.Duration(ms)*time.Millisecond }
 	return uptime.Span{First: ago(max(s.First, s.Last)), Last: ago(s.Last)}
 }
 
-// storeUptime is the heartbeat's part on the store; the caller holds the lock.
+// storeUptime returns the latest period in which the store answered; nil if there is no
+// recent one. The caller holds the lock.
 func (g *Gateway) storeUptime(now time.Duration) *StoreUptime {
 	span, ok := g.uptime.Latest()
 	if !ok {
@@ -41,15 +43,15 @@
 	return newStoreUptime(span, now)
 }
 
-// storeIsUp reports whether the store has answered some entry lately; the caller holds the
+// storeIsUp reports whether the store has answered any entry recently. The caller holds the
 // lock.
 func (g *Gateway) storeIsUp(now time.Duration) bool {
 	span, ok := g.uptime.Latest()
 	return ok && now-span.Last < uptime.OutageLeast
 }
 
-// recordStoreAnswer notes that the store has just answered this entry, and tells the others of the
-// region if they do not know that it does.
+// recordStoreAnswer records that the store has just answered this entry. If it is the first
+// answer within storeAnswerTTL, a heartbeat informs the region.
 func (g *Gateway) recordStoreAnswer() {
 	now := boottime.Now()
 	g.mu.Lock()
@@ -64,17 +66,18 @@
 	g.recordStoreUptime(uptime.Span{First: now, Last: now}, now)
 }
 
-// storeAnswerTTL is how long after an answer of the store an entry counts as served by it: a
-// reader has one within a second, and reports it with its next heartbeat.
+// storeAnswerTTL is how long after an answer the store counts as reachable for an entry. A
+// reader gets an answer every second, and reports it with its next heartbeat.
 const storeAnswerTTL = 1500 * time.Millisecond
 
-// answered reports whether the store has answered this entry lately; the caller holds the lock.
+// hasRecentStoreAnswer reports whether the store has answered this entry within
+// storeAnswerTTL. The caller holds the lock.
 func (g *Gateway) answered(now time.Duration) bool {
 	return g.answeredAt != 0 && now-g.answeredAt < storeAnswerTTL
 }
 
-// storeAnswerAgeMs is how long ago the store last answered this entry, in milliseconds; 0 if that
-// was too long ago to matter. The caller holds the lock.
+// storeAnswerAgeMs returns how many milliseconds ago the store last answered this entry; 0 if
+// that is longer ago than storeAnswerTTL. The caller holds the lock.
 func (g *Gateway) storeAnswerAgeMs(now time.Duration) uint16 {
 	if !g.answered(now) {
 		return 0
@@ -82,7 +85,7 @@
 	return uint16(max((now - g.answeredAt).Milliseconds(), 1))
 }
 
-// noteReported takes what another entry knows, nil if nothing.
+// recordReportedUptime records a period that another entry reported; nil is ignored.
 func (g *Gateway) noteReported(reported *StoreUptime) {
 	if reported == nil {
 		return
@@ -93,7 +96,8 @@
 	g.recordStoreUptime(reported.span(now), now)
 }
 
-// recordStoreUptime notes that the store answered some entry in a span; the caller holds the lock.
+// recordStoreUptime records a period in which the store answered any entry, and updates the end
+// of the last outage. The caller holds the lock.
 func (g *Gateway) recordStoreUptime(span uptime.Span, now time.Duration) {
 	before, _ := g.uptime.OutageEnd()
 	g.uptime.Report(span)
@@ -106,5 +110,5 @@
 		g.log.Info("store outage ended", zap.Duration("Ago", now-end))
 		return
 	}
-	g.log.Info("store outage was this entry's own absence")
+	g.log.Info("store outage revoked: other entries had reached the store")
 }
--- a/internal/transport/gateway/uptime_test.go
+++ b/internal/transport/gateway/uptime_test.go
@@ -38,14 +38,14 @@
 	}
 }
 
-// What cannot be, from a damaged process, becomes no longer a stretch than it says.
+// A faulty process may send a First after Last. The result must not be a longer period.
 func TestInvalidStoreUptimeBecomesEmptySpan(t *testing.T) {
 	got := (&StoreUptime{First: 10, Last: 500}).span(time.Second)
 	qt.Assert(t, got, qt.Equals, uptime.Span{First: 500 * time.Millisecond, Last: 500 * time.Millisecond})
 }
 
-// An entry that follows a reader took rows that lapsed in an outage for removed ones, as it
-// knew of the outage only with the next heartbeat.
+// A follower treated rows that had expired during an outage of the store as removed, since it
+// observed the outage only with the next heartbeat. The feed answer must carry the uptime.
 func TestFeedResponseCarriesStoreUptime(t *testing.T) {
 	c := qt.New(t)
 	header := http.Header{}
@@ -60,7 +60,8 @@
 	c.Assert(err, qt.ErrorMatches, "decode feed: Store-First: .*")
 }
 
-// Late reports of other entries end an outage that was this entry's own absence.
+// An apparent outage is revoked if late reports show that the store answered other entries
+// in that time.
 func TestLateReportsRevokeOutage(t *testing.T) {
 	c := qt.New(t)
 	g := &Gateway{fleet: fleet.New(fleet.DefaultConfig(), rand.New(rand.NewPCG(1, 2))), log: zap.NewNop()}
--- a/internal/transport/gateway/watch.go
+++ b/internal/transport/gateway/watch.go
@@ -12,58 +12,62 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Times of watching the store.
+// Intervals and timeouts of following the store.
 const (
-	// followWait is how long a feed waits for a change. The view is confirmed
-	// when it returns, so its age stays below twice this, well under the bound
-	// of keys, at one call a second.
+	// followWait is how long one call to the store waits for a change. Each return
+	// confirms the view, so its age stays below twice this, well below the time in
+	// which a revoked key must stop working. This costs one call a second.
 	followWait = time.Second
-	// entriesWait is longer: entries hear each other directly, and only learn of
-	// new ones here.
+	// entriesFollowWait is the same for the entry table. It is longer, since the table
+	// only serves to discover new entries and heartbeats show which ones are alive.
 	entriesWait = 6 * time.Second
-	// batchDelay is how long changes are left to gather after one was heard, since
-	// they come in series and each answer is a call. All bounds of what is heard
-	// here are 2 s and more.
+	// batchDelay is the delay before the next call after a change, so that a series of
+	// changes needs few calls. All deadlines for changes of these tables are at least 2 s.
 	batchDelay = 250 * time.Millisecond
-	// batchDelayDesired is the same for desired states and versions: the bound of a version
-	// counts from when it is heard of.
+	// batchDelayDesired is the same for desired states and versions. It is shorter, since
+	// the deadline of a version counts from the time at which entries observe it.
 	batchDelayDesired = 60 * time.Millisecond
-	// retryFirst and retryMost are the pauses after failed calls.
+	// initialBackoff and maxBackoff bound the exponential backoff after failed calls.
 	retryFirst = 100 * time.Millisecond
 	retryMost  = 800 * time.Millisecond
-	// readerRetryDelay is left before readers that have lost the store are asked again.
+	// readerRetryDelay is the delay before readers that cannot reach the store are queried
+	// again.
 	readerRetryDelay = 200 * time.Millisecond
-	// followGrace is how long beyond its waiting a call may take before the followers of
-	// this entry are told that the store is lost: longer than a slow store takes, and
-	// short enough that the next reader has a change within its bound.
+	// followGrace is how long a call may exceed its wait before the followers of this
+	// entry are notified that the store is unreachable. It is longer than a slow store
+	// takes, and short enough that the next reader has a change within its deadline.
 	followGrace = 400 * time.Millisecond
-	// confirmWait is how long a call waits for changes whose answer is wanted at once.
+	// confirmWait is the wait of a call that only has to confirm the view.
 	confirmWait = time.Millisecond
 )
 
-// watch keeps one table's view current.
+// tableWatch keeps the view of one table of the store current.
 type watch struct {
 	gateway *Gateway
 	table   Table
-	wait    time.Duration
-	// apply takes rows newer than after; whole is true if they are all there are.
-	apply func(rows Rows, after uint64, whole, first bool) error
-	// onConfirmed takes the time at which the view was surely current; nil if
-	// nobody wants to know.
+	// wait is how long one call waits for a change.
+	wait time.Duration
+	// apply applies rows newer than after. whole is true if they are the complete table,
+	// and initial on the first call.
+	apply func(rows Rows, after uint64, whole, initial bool) error
+	// onConfirmed is called with a time at which the view was current. It may be nil.
 	onConfirmed func(at time.Duration)
 
-	// revision is up to where the view is current; 0 if it must be read.
+	// revision is the revision of the view; 0 if the whole table must be read.
 	revision uint64
-	// droppedRevision is the newest revision from where the store could not go on.
+	// droppedRevision is the newest revision from which the store could no longer send
+	// changes; 0 if there is none.
 	droppedRevision uint64
-	initial         bool
-	unreachable     bool
+	// initial is true until rows have been applied.
+	initial bool
+	// unreachable is true while calls fail.
+	unreachable bool
 }
 
 // run reads the table and follows it until ctx ends.
 func (w *watch) run(ctx context.Context) {
 	w.initial = true
-	pause := retryFirst
+	backoff := retryFirst
 	for ctx.Err() == nil {
 		changed, err := w.turn(ctx)
 		switch {
@@ -75,11 +79,11 @@
 			w.gateway.sleep(ctx, readerRetryDelay)
 		case err != nil:
 			w.noteUnreachable(ctx, err)
-			w.gateway.sleep(ctx, pause)
-			pause = min(2*pause, retryMost)
+			w.gateway.sleep(ctx, backoff)
+			backoff = min(2*backoff, retryMost)
 		default:
 			w.noteReachable()
-			pause = retryFirst
+			backoff = retryFirst
 			if changed {
 				w.gateway.sleep(ctx, batchDelayFor(w.table))
 			}
@@ -87,10 +91,10 @@
 	}
 }
 
-// batchDelayFor is how long a table's changes are left to gather.
+// batchDelayFor returns the batch delay of a table.
 //
-// Guard: a version that is named right after a desired state waits for the next call, and its bound
-// is kept so much too late.
+// A version that is named right after a desired state is observed only with the next call. A
+// long delay would make entries miss its deadline.
 func batchDelayFor(table Table) time.Duration {
 	if table == TableDesired {
 		return batchDelayDesired
@@ -98,7 +102,7 @@
 	return batchDelay
 }
 
-// turn makes one call, to the store or to the region's reader.
+// poll makes one call, to the region's reader or to the store.
 func (w *watch) turn(ctx context.Context) (changed bool, err error) {
 	g := w.gateway
 	if w.revision == 0 {
@@ -113,15 +117,15 @@
 		return false, err
 	}
 	if ok {
-		// Guard: entries disagree for a while on which one reads, and some follow one that
-		// follows another. Each entry passes on what it was sent.
+		// Entries may disagree temporarily on which one is the reader, so that some follow an
+		// entry that itself follows another one. Each entry forwards the changes it receives.
 		g.feeds.publish(w.table, w.revision, rows, at)
 		return len(rows.Raw) > 0, w.applyRows(rows, at, false)
 	}
 	rows, sent, err := w.follow(ctx)
 	if err != nil {
-		// An answer that is merely late may be a large change on a busy link, which the next
-		// reader would fetch once more.
+		// Other errors do not hand the reading over to another entry: a late answer may be a
+		// large change on a busy link, which that entry would fetch again.
 		if errors.Is(err, ErrTurnedAway) {
 			g.loseStore(w.table)
 		}
@@ -132,13 +136,14 @@
 	return len(rows.Raw) > 0, w.applyRows(rows, sent, false)
 }
 
-// follow asks the store for changes; it also returns when that was.
+// follow calls the store for changes. It also returns when the call was sent.
 //
-// Guard: followers of a reader that the store leaves unanswered must not wait for it; they are told
-// soon, and one of them reads for all.
+// If the store does not answer in time, the followers of this entry are notified, and one of
+// them reads the store for all.
 //
-// Guard: the view of the one that takes over is as old as the reader's. It asks for what there is
-// now, so that the others do not leave it while it waits for a change.
+// The view of an entry that takes over is as old as that of the previous reader. Its first call
+// returns without waiting for a change. Otherwise the followers would reject its view as too
+// old and take over in turn.
 func (w *watch) follow(ctx context.Context) (Rows, time.Duration, error) {
 	sent, wait := boottime.Now(), w.wait
 	if w.gateway.feeds.age(w.table, sent) > w.wait+followGrace {
@@ -148,12 +153,13 @@
 	defer late.Stop()
 	rows, err := w.gateway.store.Follow(ctx, w.table, w.revision, wait)
 	if err != nil && !errors.Is(err, ErrHistoryGone) {
-		// Guard: a call that fails at once must end the followers' waiting too.
+		// A call that fails immediately must also notify the followers.
 		w.gateway.feeds.lose(w.table)
 	}
 	return rows, sent, err
 }
 
+// readAll reads the whole table from the store.
 func (w *watch) readAll(ctx context.Context) error {
 	g := w.gateway
 	sent := boottime.Now()
@@ -166,7 +172,7 @@
 	return w.applyRows(rows, sent, true)
 }
 
-// applyRows applies rows that were surely all there were at a time.
+// applyRows applies rows that were complete at a time, and confirms the view.
 func (w *watch) applyRows(rows Rows, at time.Duration, whole bool) error {
 	after := w.revision
 	if err := w.apply(rows, after, whole, w.initial); err != nil {
@@ -180,45 +186,49 @@
 	return nil
 }
 
+// noteUnreachable logs the first of a series of failed calls.
 func (w *watch) noteUnreachable(ctx context.Context, err error) {
 	if !w.unreachable && ctx.Err() == nil {
 		w.unreachable = true
-		w.gateway.log.Warn("store lost", zap.String("Table", string(w.table)), zap.Error(err))
+		w.gateway.log.Warn("store unreachable", zap.String("Table", string(w.table)), zap.Error(err))
 	}
 }
 
+// noteReachable logs the first successful call after failed ones.
 func (w *watch) noteReachable() {
 	if w.unreachable {
 		w.unreachable = false
-		w.gateway.log.Info("store regained", zap.String("Table", string(w.table)), zap.Uint64("Revision", w.revision))
+		w.gateway.log.Info("store reachable again", zap.String("Table", string(w.table)), zap.Uint64("Revision", w.revision))
 	}
 }
 
-// sleep waits for a pause, spread so that entries do not call together.
-func (g *Gateway) sleep(ctx context.Context, pause time.Duration) {
+// sleepJittered sleeps for half to one and a half times a delay, so that entries do not make
+// their calls at the same time.
+func (g *Gateway) sleep(ctx context.Context, delay time.Duration) {
 	g.mu.Lock()
-	pause = pause/2 + time.Duration(g.rng.Int64N(int64(pause)))
+	delay = delay/2 + time.Duration(g.rng.Int64N(int64(delay)))
 	g.mu.Unlock()
 	select {
 	case <-ctx.Done():
-	case <-time.After(pause):
+	case <-time.After(delay):
 	}
 }
 
+// runDesired follows the table of desired states.
 func (g *Gateway) runDesired(ctx context.Context) {
 	w := &watch{gateway: g, table: TableDesired, wait: followWait, apply: g.applyDesired,
 		onConfirmed: func(at time.Duration) {
-			// The region's reader may be a little behind what was read directly.
+			// The view of the region's reader may be older than one read from the store.
 			g.confirmed.Store(max(g.confirmed.Load(), int64(at)))
 		}}
 	w.run(ctx)
 }
 
-// applyDesired puts a desired state in force.
+// applyDesired applies changes of the desired state and the named versions.
 //
-// Guard: an answer of the store may arrive after a newer one, and the older
-// state must not come back; only a higher version is taken.
-func (g *Gateway) applyDesired(rows Rows, after uint64, _, first bool) error {
+// Answers of the store may arrive out of order. Only a state with a higher version replaces
+// the current one.
+func (g *Gateway) applyDesired(rows Rows, after uint64, _, initial bool) error {
 	desired, err := g.store.Desired(rows, after)
 	if err != nil {
 		return err
@@ -236,11 +246,12 @@
 		}
 		g.log.Info("desired state in force", zap.Uint64("Version", desired.State.Version), zap.Uint64("Revision", rows.Revision))
 	}
-	g.setNamed(desired.Named, first, now)
+	g.setNamed(desired.Named, initial, now)
 	g.noteBad(desired.Bad)
 	return nil
 }
 
+// runBackends follows the table of backend servers.
 func (g *Gateway) runBackends(ctx context.Context) {
 	last := boottime.Now()
 	apply := func(rows Rows, after uint64, whole, _ bool) error {
@@ -262,18 +273,18 @@
 	w.run(ctx)
 }
 
-// takeBackends takes rows of backend servers, and returns those of them that may be used;
-// the caller holds the lock.
+// applyBackends applies rows of backend servers, and returns the servers that may be used. The
+// caller holds the lock.
 func (g *Gateway) takeBackends(backends Backends, whole bool, now time.Duration) []catalog.Backend {
-	present, gone := g.withhold(backends, whole)
-	g.fleet.Apply(present, gone, whole, now)
-	g.logBackends(Backends{Present: present, Gone: gone})
+	present, removed := g.withhold(backends, whole)
+	g.fleet.Apply(present, removed, whole, now)
+	g.logBackends(Backends{Present: present, Gone: removed})
 	g.logRestarts()
 	return present
 }
 
-// runLearn has the manifests of what servers hold, which are small, drawn before they
-// are needed.
+// runFetchManifests prefetches the manifests of the versions that servers hold. Manifests are
+// small.
 func (g *Gateway) runLearn(present []catalog.Backend) {
 	for _, b := range present {
 		for _, m := range b.Models {
@@ -282,18 +293,19 @@
 	}
 }
 
+// logBackends logs servers that were added, changed or removed.
 func (g *Gateway) logBackends(backends Backends) {
 	for _, b := range backends.Present {
 		g.log.Info("backend server listed", zap.String("Backend", b.ID), zap.String("Service", b.Service),
 			zap.String("Address", b.Address), zap.Bool("Leaving", b.Leaving), zap.Int("Models", len(b.Models)), zap.Duration("Within", g.viewGap))
 	}
 	for _, id := range backends.Gone {
-		g.log.Info("backend server gone", zap.String("Backend", id), zap.Duration("Within", g.viewGap))
+		g.log.Info("backend server removed", zap.String("Backend", id), zap.Duration("Within", g.viewGap))
 	}
 }
 
-// logRestarts writes what was believed of servers that started again, and what is now;
-// the caller holds the lock.
+// logRestarts logs the state of restarted servers before and after the restart. The caller
+// holds the lock.
 func (g *Gateway) logRestarts() {
 	for _, r := range g.fleet.Restarts() {
 		g.log.Info("backend server started again", zap.String("Backend", r.Backend), zap.String("Source", string(r.Source)),
@@ -302,6 +314,7 @@
 	}
 }
 
+// modelNames formats models as NAME@VERSION.
 func modelNames(models []catalog.Model) []string {
 	names := make([]string, 0, len(models))
 	for _, m := range models {
@@ -310,6 +323,7 @@
 	return names
 }
 
+// runEntries registers this entry and follows the table of entries.
 func (g *Gateway) runEntries(ctx context.Context) {
 	go g.runRegister(ctx)
 	apply := func(rows Rows, after uint64, whole, _ bool) error {
@@ -331,14 +345,14 @@
 	w.run(ctx)
 }
 
-// runRegister writes this entry's row, until the store has taken it.
+// runRegister registers this entry in the store, with retries until it succeeds.
 func (g *Gateway) runRegister(ctx context.Context) {
-	for pause := retryFirst; ctx.Err() == nil; pause = min(2*pause, retryMost) {
+	for backoff := retryFirst; ctx.Err() == nil; backoff = min(2*backoff, retryMost) {
 		err := g.store.Register(ctx, g.config.Self)
 		if err == nil {
 			return
 		}
-		g.log.Warn("entry not registered", zap.Error(err))
-		g.sleep(ctx, pause)
+		g.log.Warn("failed to register entry", zap.Error(err))
+		g.sleep(ctx, backoff)
 	}
 }
--- a/internal/transport/gateway/watch_test.go
+++ b/internal/transport/gateway/watch_test.go
@@ -15,7 +15,7 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// fakeStore is a store that answers as a test says.
+// fakeStore is a Store whose answers a test defines.
 type fakeStore struct {
 	Store
 	follow func(ctx context.Context, after uint64, wait time.Duration) (Rows, error)
@@ -28,9 +28,9 @@
 
 func (s fakeStore) Read(context.Context, Table) (Rows, error) { return s.read(), nil }
 
-// The store has dropped its history. The reader had the whole table from another entry,
-// which follows the reader and knew no more than it: at that revision the store could not
-// go on, and so on for 1.9 s; a desired state was in force there 2.9 s after it was written.
+// After the store dropped its history, the reader fetched the whole table from one of its own
+// followers, at the same dropped revision, and again for 1.9 s. A desired state took effect
+// 2.9 s after it was written. The reader must read the store itself.
 func TestReaderWithoutHistoryReadsTheStore(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
@@ -52,14 +52,14 @@
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, store: store, peers: newPeers(self, now), feeds: newFeeds(), client: server.Client(), log: zap.NewNop(),
 		rng: rand.New(rand.NewPCG(1, 2))}
 	g.listed.Store(true)
-	// The other one has lost the store, so that this one reads.
+	// The other entry cannot reach the store, so that this one is the reader.
 	other := entryAt("e2", "a", "ra")
 	other.Peers = server.Listener.Addr().String()
 	g.peers.hear(other, true, true, now)
 	g.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	w := &watch{gateway: g, table: TableDesired, wait: followWait, revision: 5, apply: func(rows Rows, _ uint64, _, _ bool) error {
 		if rows.Revision >= 6 {
 			cancel()
@@ -68,12 +68,12 @@
 	}}
 	w.run(ctx)
 	c.Assert(w.revision, qt.Equals, uint64(6))
-	c.Assert(time.Since(began) < time.Second/2, qt.IsTrue)
+	c.Assert(time.Since(start) < time.Second/2, qt.IsTrue)
 }
 
-// The store leaves the calls of a region's reader unanswered. Those who follow it asked it
-// again and again, 0.7 s each time, and then drew each desired state themselves over the
-// border: it was in force there 2.3 s after it was elsewhere, where 2 s are allowed.
+// When the store did not answer a region's reader, its followers repeated calls of 0.7 s to it
+// and then each fetched the desired state over the link between regions. It took effect 2.3 s
+// later than elsewhere; 2 s are allowed.
 func TestFollowersAreNotifiedOfUnresponsiveStore(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
@@ -88,16 +88,16 @@
 	defer cancel()
 	w := &watch{gateway: g, table: TableDesired, wait: 10 * time.Millisecond, revision: 5}
 	go func() { _, _ = w.turn(ctx) }()
-	began := time.Now()
+	start := time.Now()
 	_, ok := g.feeds.since(ctx, TableDesired, 5)
 	c.Assert(ok, qt.IsFalse)
 	c.Assert(g.feeds.lost(TableDesired), qt.IsTrue)
-	c.Assert(time.Since(began) < readerWait, qt.IsTrue)
+	c.Assert(time.Since(start) < readerWait, qt.IsTrue)
 }
 
-// The store refuses the connections of a region's reader. Its calls ended at once, without
-// a word to those who follow it: their views grew 2.8 s old, and then all of them drew a
-// desired state at the same time, in force 2.1 s after it was elsewhere.
+// When the store refused the connections of a region's reader, its followers were not notified.
+// Their views became 2.8 s old, then all fetched a desired state at the same time, which took
+// effect 2.1 s later than elsewhere.
 func TestFollowersAreNotifiedOfFailedCall(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
@@ -110,7 +110,7 @@
 	_, err := w.turn(context.Background())
 	c.Assert(err, qt.ErrorIs, failed)
 	c.Assert(g.feeds.lost(TableDesired), qt.IsTrue)
-	// That its history is gone says nothing of the store.
+	// A dropped history does not mean that the store is unreachable.
 	g.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now)
 	failed = ErrHistoryGone
 	_, err = w.turn(context.Background())
@@ -118,9 +118,8 @@
 	c.Assert(g.feeds.lost(TableDesired), qt.IsFalse)
 }
 
-// The whole store is away for 4 s. All entries had lost it and said so; each asked three
-// others, and then the store itself, 2,400 calls where 1,850 did, and it was no sooner back
-// for that. One of them tries for all.
+// While the store was unreachable for 4 s, each entry queried three others and then the store
+// itself: 2,400 calls instead of 1,850, without an earlier recovery. Only one entry may retry.
 func TestOneEntryPollsAnUnreachableStore(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
@@ -150,8 +149,8 @@
 	c.Assert(calls, qt.Equals, 1)
 }
 
-// An entry reads in place of one that the store leaves waiting. Its view is as old as that
-// one's, and those who follow it would leave it too, before its first call returns.
+// An entry replaces a reader that the store does not answer. Its view is as old as that of the
+// previous reader. Its followers would reject it as well if its first call waited for a change.
 func TestNewReaderConfirmsItsViewImmediately(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
