--- a/internal/transport/gateway/datagrams.go
+++ b/internal/transport/gateway/datagrams.go
@@ -116,7 +116,8 @@
 	}
 }
 
-// runHeartbeat sends heartbeats at every interval, and to the region also on demand.
+// runHeartbeat sends a heartbeat to all entries at the start, then one at every interval, and
+// one to the region whenever beatNow requests it.
 func (g *Gateway) runHeartbeat(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
--- a/internal/transport/gateway/headwatch.go
+++ b/internal/transport/gateway/headwatch.go
@@ -42,10 +42,10 @@
 		return nil
 	}
 	a.gateway.mu.Lock()
-	wanted := a.wanted(boottime.Now())
+	request := a.wanted(boottime.Now())
 	a.gateway.mu.Unlock()
-	wanted.Avoid = slices.Clone(wanted.Avoid)
-	w := &headWatch{gateway: a.gateway, goal: a.route.Goal, backend: backend, wanted: wanted, cancel: cancel, done: make(chan struct{})}
+	request.Avoid = slices.Clone(request.Avoid)
+	w := &headWatch{gateway: a.gateway, goal: a.route.Goal, backend: backend, wanted: request, cancel: cancel, done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -73,7 +73,7 @@
 // shouldReroute reports whether the request should be sent to another server.
 //
 // A process that has been replaced sends nothing more, although a network partition may hide
-// that it ended. A stalled server sends nothing to any caller. Both are abandoned before the
+// its end. A stalled server sends nothing to any caller. Both are abandoned before the
 // head timeout.
 //
 // If no other server has a free place the attempt continues, since the server may only be
--- a/internal/transport/gateway/messages.go
+++ b/internal/transport/gateway/messages.go
@@ -34,15 +34,16 @@
 	// Ready is true if the entry accepts callers.
 	Ready bool `cbor:"2,keyasint,omitempty"`
 	// StoreUnreachable is true while the store does not answer the entry.
-	StoreUnreachable bool       `cbor:"3,keyasint,omitempty"`
-	Named            []NamedAge `cbor:"4,keyasint,omitempty"`
+	StoreUnreachable bool `cbor:"3,keyasint,omitempty"`
+	// Named are the named versions that the entry has observed, with their ages.
+	Named []NamedAge `cbor:"4,keyasint,omitempty"`
 	// HeldDigest is a digest of the quarantined requests; 0 if there are none. It differs
 	// between entries that hold different ones.
 	Held uint64 `cbor:"5,keyasint,omitempty"`
 	// Restored is true once the entry has the quarantine verdicts from before its start.
 	Restored bool `cbor:"6,keyasint,omitempty"`
-	// StoreUptime is the latest period in which the store answered, as far as the entry
-	// knows; nil if there is no recent one.
+	// StoreUptime is the latest period in which the store answered, by the reports that
+	// the entry has; nil if there is no recent one.
 	StoreUptime *StoreUptime `cbor:"7,keyasint,omitempty"`
 	// StoreAnswerAgeMs is how many milliseconds ago the store last answered the entry itself;
 	// 0 if that is longer ago than storeAnswerTTL.
@@ -53,7 +54,8 @@
 type Counts struct {
 	From filbertlever.HostID `cbor:"1,keyasint"`
 	// Sequence orders the counts of one entry, including across its restarts.
-	Sequence int64          `cbor:"2,keyasint"`
+	Sequence int64 `cbor:"2,keyasint"`
+	// Requests has the number of requests by server ID.
 	Requests map[string]int `cbor:"3,keyasint,omitempty"`
 	// Silent are the unresponsive servers of the entry's region.
 	Silent []string `cbor:"4,keyasint,omitempty"`
