--- a/internal/transport/gateway/messages_test.go
+++ b/internal/transport/gateway/messages_test.go
@@ -19,8 +19,8 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/fleet"
 )
 
-// message encodes what a JSON text says as a datagram would be, its fields by their
-// numbers, whatever types its values have. What is no JSON is taken as it is.
+// encodeJSONDatagram encodes a JSON text as a CBOR datagram, with integer keys in place of
+// field names and values of any type. A text that is not JSON is returned unchanged.
 func message(text string) []byte {
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.UseNumber()
@@ -28,15 +28,15 @@
 	if decoder.Decode(&value) != nil {
 		return []byte(text)
 	}
-	data, err := cbor.Marshal(numbered(value, reflect.TypeFor[Datagram]()))
+	data, err := cbor.Marshal(withNumericKeys(value, reflect.TypeFor[Datagram]()))
 	if err != nil {
 		panic(err)
 	}
 	return data
 }
 
-// numbered puts the numbers of a struct's fields in place of their names.
-func numbered(value any, as reflect.Type) any {
+// withNumericKeys replaces the field names of a struct by their integer keys.
+func withNumericKeys(value any, as reflect.Type) any {
 	for as != nil && as.Kind() == reflect.Pointer {
 		as = as.Elem()
 	}
@@ -54,14 +54,14 @@
 	case []any:
 		var list []any
 		for _, item := range v {
-			list = append(list, numbered(item, as.Elem()))
+			list = append(list, withNumericKeys(item, as.Elem()))
 		}
 		return list
 	case map[string]any:
 		if as.Kind() == reflect.Map {
 			fields := map[string]any{}
 			for name, item := range v {
-				fields[name] = numbered(item, as.Elem())
+				fields[name] = withNumericKeys(item, as.Elem())
 			}
 			return fields
 		}
@@ -75,20 +75,20 @@
 			if err != nil {
 				panic(err)
 			}
-			fields[number] = numbered(item, field.Type)
+			fields[number] = withNumericKeys(item, field.Type)
 		}
 		return fields
 	}
 	return value
 }
 
-// Two processes that run the same version must read what the other tells, whole.
-func TestMessagesArriveAsTheyWere(t *testing.T) {
+// Every field of a message must survive encoding and decoding.
+func TestDatagramRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	for _, d := range []Datagram{
 		{Changed: true},
 		{Beat: &Beat{Entry: Entry{Host: "e", Site: "a", Region: "ra", Callers: "10.0.0.1:1", Peers: "10.0.0.1:2", Datagrams: "10.0.0.1:3", Incarnation: "x"},
-			Ready: true, Lost: true, Named: []NamedAge{{Model: "d", Version: 2, Age: time.Second, Known: true}}}},
+			Ready: true, StoreUnreachable: true, Named: []NamedAge{{Model: "d", Version: 2, Age: time.Second, Known: true}}}},
 		{Counts: &Counts{From: "e", Sequence: 1 << 60, Requests: map[string]int{"i-1": 3}, Silent: []string{"i-2"}, Boots: map[string]catalog.Boot{"i-1": 7}}},
 		{Load: &LoadReport{Load: fleet.Load{Address: "10.0.0.1:1", Boot: 5, Before: []catalog.Boot{3}, Sequence: 1 << 63, Running: 3, Queued: 1, Pace: 1.5,
 			Switching: true, Models: []catalog.Model{{Name: "d", Version: 2}}, LeavesIn: time.Second, LoadedIn: time.Minute},
@@ -102,9 +102,9 @@
 	}
 }
 
-// While versions of the program are changed one process after the other, a message may
-// have a field that is not known yet. The rest of it counts.
-func TestFieldsThatAreNotKnownAreLeftOut(t *testing.T) {
+// During a rolling upgrade a message may contain fields that this version does not have. They
+// must be ignored, and the other fields decoded.
+func TestUnknownFieldsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	data, err := cbor.Marshal(map[int]any{2: map[int]any{1: "e", 2: 7, 99: []int{1, 2}}, 98: "later"})
 	c.Assert(err, qt.IsNil)
@@ -113,23 +113,24 @@
 	c.Assert(d.Counts.Sequence, qt.Equals, int64(7))
 }
 
-// Bytes between regions are scarce and paid for; what an entry tells 78 others elsewhere
-// must stay small.
-func TestMessagesAreSmall(t *testing.T) {
+// Bandwidth between regions is scarce and paid for, and an entry sends its messages to 78
+// entries of other regions. Messages must stay small.
+func TestDatagramSize(t *testing.T) {
 	c := qt.New(t)
-	counts := usualCounts(15)
+	counts := typicalCounts(15)
 	data, err := EncodeDatagram(Datagram{Counts: &counts})
 	c.Assert(err, qt.IsNil)
 	text, err := json.Marshal(counts)
 	c.Assert(err, qt.IsNil)
 	c.Check(len(data) < len(text)*9/10, qt.IsTrue, qt.Commentf("%d bytes, %d as text", len(data), len(text)))
-	beat, err := EncodeDatagram(Datagram{Beat: &Beat{Entry: Entry{Host: "edge-nave-erandio-13", Site: "nave-erandio", Region: "norte-vasco", Callers: "10.1.0.40:8005",
+	heartbeat, err := EncodeDatagram(Datagram{Beat: &Beat{Entry: Entry{Host: "edge-nave-erandio-13", Site: "nave-erandio", Region: "norte-vasco", Callers: "10.1.0.40:8005",
 		Peers: "10.1.0.40:7701", Datagrams: "10.1.0.40:7700", Incarnation: "d0mqyhbvrq2n"}, Ready: true}})
 	c.Assert(err, qt.IsNil)
-	c.Check(len(beat) < 150, qt.IsTrue, qt.Commentf("%d bytes", len(beat)))
+	c.Check(len(heartbeat) < 150, qt.IsTrue, qt.Commentf("%d bytes", len(heartbeat)))
 }
 
-func usualCounts(servers int) Counts {
+// typicalCounts returns counts of one or two requests at each of some servers.
+func typicalCounts(servers int) Counts {
 	counts := Counts{From: "edge-nave-erandio-13", Sequence: 123456789012, Requests: map[string]int{}}
 	for i := range servers {
 		counts.Requests[fmt.Sprintf("i-%010x", i*7919)] = 1 + i%2
@@ -137,10 +138,10 @@
 	return counts
 }
 
-// BenchmarkDatagram tells what a message of 15 servers costs to read: 10.2 us and 48
-// allocations as JSON.
+// BenchmarkDatagram measures encoding and decoding of counts of 15 servers. Decoding them from
+// JSON took 10.2 us and 48 allocations.
 func BenchmarkDatagram(b *testing.B) {
-	counts := usualCounts(15)
+	counts := typicalCounts(15)
 	data, err := EncodeDatagram(Datagram{Counts: &counts})
 	qt.Assert(b, err, qt.IsNil)
 	b.Run("Encode", func(b *testing.B) {
--- a/internal/transport/gateway/peers_test.go
+++ b/internal/transport/gateway/peers_test.go
@@ -15,30 +15,31 @@
 	"github.com/filbertlever/filbertlever"
 )
 
+// entryAt returns an entry at a site of a region.
 func entryAt(host, site, region string) Entry {
 	return Entry{Host: filbertlever.HostID(host), Site: site, Region: region, Callers: host, Incarnation: "1"}
 }
 
-// A server looks full for seconds: counts that were overtaken on their way bring
-// back requests that have ended. A restarted entry begins to count anew.
-func TestOlderCountsAreLeftOut(t *testing.T) {
+// Reordered counts would make a server look full for seconds, with requests that have
+// already ended. A restarted entry begins a new sequence.
+func TestOutdatedCountsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers(entryAt("e1", "a", "ra"), 0)
 	other := entryAt("e2", "a", "ra")
 	p.hear(other, true, false, time.Second)
-	c.Assert(p.newer("e2", 5), qt.IsTrue)
-	c.Assert(p.newer("e2", 4), qt.IsFalse)
-	c.Assert(p.newer("e2", 6), qt.IsTrue)
+	c.Assert(p.acceptSequence("e2", 5), qt.IsTrue)
+	c.Assert(p.acceptSequence("e2", 4), qt.IsFalse)
+	c.Assert(p.acceptSequence("e2", 6), qt.IsTrue)
 	other.Incarnation = "2"
 	p.hear(other, true, false, time.Second)
-	c.Assert(p.newer("e2", 1), qt.IsTrue)
-	c.Assert(p.newer("unknown", 1), qt.IsFalse)
+	c.Assert(p.acceptSequence("e2", 1), qt.IsTrue)
+	c.Assert(p.acceptSequence("unknown", 1), qt.IsFalse)
 }
 
-// Which entries callers of a site are told of.
+// TestLocate checks which addresses callers at a site receive.
 func TestLocate(t *testing.T) {
 	const now = 10 * time.Second
-	heard := func(p *peers, host, site string, ready bool, at time.Duration) {
+	observe := func(p *peers, host, site string, ready bool, at time.Duration) {
 		p.hear(entryAt(host, site, "r"+site), ready, false, at)
 	}
 	tests := []struct {
@@ -47,12 +48,12 @@
 		prepare   func(p *peers)
 		want      []string
 	}{
-		{"enough at the own site", true, func(p *peers) { heard(p, "e2", "a", true, now); heard(p, "e3", "b", true, now) }, []string{"e1", "e2"}},
-		{"too few at the own site", true, func(p *peers) { heard(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
-		{"one has fallen silent", true, func(p *peers) { heard(p, "e2", "a", true, now-2*time.Second); heard(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
-		{"one is not ready", true, func(p *peers) { heard(p, "e2", "a", false, now); heard(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
-		{"this one is not ready", false, func(p *peers) { heard(p, "e2", "a", true, now); heard(p, "e3", "b", true, now) }, []string{"e2", "e3"}},
-		{"nobody is", false, func(*peers) {}, nil},
+		{"enough at the same site", true, func(p *peers) { observe(p, "e2", "a", true, now); observe(p, "e3", "b", true, now) }, []string{"e1", "e2"}},
+		{"too few at the same site", true, func(p *peers) { observe(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
+		{"one has timed out", true, func(p *peers) { observe(p, "e2", "a", true, now-2*time.Second); observe(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
+		{"one is not ready", true, func(p *peers) { observe(p, "e2", "a", false, now); observe(p, "e3", "b", true, now) }, []string{"e1", "e3"}},
+		{"this one is not ready", false, func(p *peers) { observe(p, "e2", "a", true, now); observe(p, "e3", "b", true, now) }, []string{"e2", "e3"}},
+		{"none is ready", false, func(*peers) {}, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -63,22 +64,22 @@
 	}
 }
 
-// An entry that has just started knows the others only from their rows. They are
-// named until they could have been heard, and no longer.
-func TestRowsAreTrustedAfterAStart(t *testing.T) {
+// After a start the other entries are known only by their rows. Callers receive their
+// addresses during startupGrace, and later only if heartbeats arrive.
+func TestListedEntriesAreAliveDuringStartupGrace(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers(entryAt("e1", "a", "ra"), 10*time.Second)
-	p.list([]Entry{entryAt("e2", "a", "ra")}, nil, true, 10*time.Second)
+	p.applyRows([]Entry{entryAt("e2", "a", "ra")}, nil, true, 10*time.Second)
 	c.Assert(p.locate("a", true, 11*time.Second), qt.DeepEquals, []string{"e1", "e2"})
 	c.Assert(p.locate("a", true, 12*time.Second), qt.DeepEquals, []string{"e1"})
 }
 
-// Servers of one region had their weights 7 s after a loss of power: its entries
-// took those of the others for dead before these could have told that they live.
-func TestFarEntriesAreTrustedUntilTheyCanBeHeard(t *testing.T) {
+// After a power failure the servers of one region received their weights 7 s late, since
+// its entries counted those of other regions as dead before their first heartbeat was due.
+func TestRemoteEntriesAreAliveUntilTheirHeartbeatIsDue(t *testing.T) {
 	c := qt.New(t)
 	p := newPeers(Entry{Host: "self", Site: "a", Region: "ra"}, time.Second)
-	p.list([]Entry{{Host: "near", Site: "a", Region: "ra"}, {Host: "far", Site: "b", Region: "rb"}}, nil, true, 2*time.Second)
+	p.applyRows([]Entry{{Host: "near", Site: "a", Region: "ra"}, {Host: "far", Site: "b", Region: "rb"}}, nil, true, 2*time.Second)
 	names := func(now time.Duration) string {
 		text := ""
 		for _, e := range p.alive(now) {
@@ -88,35 +89,35 @@
 	}
 	c.Check(names(3*time.Second), qt.Equals, "far near self ")
 	c.Check(names(2*time.Second+startTrust), qt.Equals, "far self ")
-	c.Check(names(2*time.Second+farMissed), qt.Equals, "self ")
+	c.Check(names(2*time.Second+remoteHeartbeatTimeout), qt.Equals, "self ")
 	p.hear(Entry{Host: "far", Site: "b", Region: "rb"}, true, false, 8*time.Second)
 	p.hear(Entry{Host: "near", Site: "a", Region: "ra"}, true, false, 8*time.Second)
-	c.Check(names(8*time.Second+beatMissed), qt.Equals, "far self ")
+	c.Check(names(8*time.Second+heartbeatTimeout), qt.Equals, "far self ")
 }
 
-// After a loss of power each entry drew a set of weights of its own from the
-// origin, since it had not heard of the others yet.
-func TestNothingIsDrawnBeforeOthersCanBeKnown(t *testing.T) {
+// After a power failure each entry fetched its own copy of the weights from the origin,
+// since it had not discovered the others yet.
+func TestNoOriginFetchBeforePeersAreDiscovered(t *testing.T) {
 	c := qt.New(t)
 	state := catalog.New(1, nil, []catalog.Service{{Name: "origin", Origin: "127.0.0.1:1", OriginSite: "a"}}, nil, catalog.Limits{})
 	g := &Gateway{crashes: newCrashes(), peers: newPeers(Entry{Host: "self", Site: "a", Region: "ra"}, boottime.Now())}
 	g.state.Store(state)
-	drawn := func() bool {
+	fetches := func() bool {
 		_, _, ok := relayView{g}.Origin()
 		return ok
 	}
-	c.Check(drawn(), qt.IsFalse)
+	c.Check(fetches(), qt.IsFalse)
 	g.listed.Store(true)
-	c.Check(drawn(), qt.IsTrue)
+	c.Check(fetches(), qt.IsTrue)
 	g.listed.Store(false)
 	g.peers.started -= startTrust + time.Millisecond
-	c.Check(drawn(), qt.IsTrue)
+	c.Check(fetches(), qt.IsTrue)
 }
 
-// All entries have lost power. One that has started again asked another of its region
-// for the desired state that had not, and refused its callers for 0.6 s; it reads the
-// store itself, or asks one that it has heard.
-func TestOnlyEntriesThatAreHeardAreAskedAtTheStart(t *testing.T) {
+// After a power failure a restarted entry queried a listed entry that was still down for the
+// desired state, and refused its callers for 0.6 s. It must read the store itself, or query an
+// entry that has sent a heartbeat.
+func TestStartupQueriesOnlyEntriesWithHeartbeats(t *testing.T) {
 	c := qt.New(t)
 	self := entryAt("e1", "a", "ra")
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, peers: newPeers(self, 0)}
@@ -125,7 +126,7 @@
 	for _, host := range []string{"e2", "e3", "e4", "e5"} {
 		listed = append(listed, entryAt(host, "a", "ra"))
 	}
-	g.peers.list(listed, nil, true, now)
+	g.peers.applyRows(listed, nil, true, now)
 	_, _, other := g.starter(now)
 	c.Assert(other, qt.IsFalse)
 	c.Assert(g.peers.hear(listed[2], true, false, now), qt.IsTrue)
@@ -135,9 +136,9 @@
 	c.Assert(host, qt.Equals, listed[2].Host)
 }
 
-// Two entries follow a third, which the store turns away. They ask another one that it
-// answers, and not each its own calls.
-func TestAnEntryThatLostTheStoreIsNoReader(t *testing.T) {
+// The store rejects the calls of a region's reader. Its followers must select another
+// reader that the store answers, and not all call the store themselves.
+func TestEntryWithoutStoreIsNotReader(t *testing.T) {
 	c := qt.New(t)
 	self := entryAt("e1", "a", "ra")
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, peers: newPeers(self, 0)}
@@ -157,7 +158,7 @@
 		readers[host] = true
 	}
 	c.Assert(readers, qt.HasLen, 3)
-	// None is left: one of them tries for all, the same as at first.
+	// The store is unreachable for all entries: the initial reader keeps retrying for all.
 	g.lostUntil.Store(0)
 	for _, host := range []string{"e2", "e3"} {
 		g.peers.hear(entryAt(host, "a", "ra"), true, false, now)
@@ -171,10 +172,10 @@
 	c.Assert(again, qt.Equals, first)
 }
 
-// The reader of a region of many entries loses the store. All others asked the store for
-// the whole change over one thin border, which then answered nobody in time. They ask the
-// next reader; only that one asks the store.
-func TestOneEntryTakesOverFromAReaderThatLostTheStore(t *testing.T) {
+// When the reader of a large region could no longer reach the store, all others fetched the
+// whole change over one slow link, and all calls timed out. Only the next reader may call the
+// store.
+func TestOneEntryReplacesReaderWithoutStore(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
 	names := []string{"e1", "e2", "e3", "e4", "e5"}
@@ -189,7 +190,7 @@
 		}
 		host, _, other := g.reader(now)
 		if !other {
-			// The reader itself.
+			// This entry is the reader.
 			continue
 		}
 		g.peers.noteLost(host)
@@ -200,9 +201,9 @@
 	c.Assert(direct, qt.Equals, 1)
 }
 
-// A process has just started and knows the desired state a moment later. A request that
-// came before was told to come back, and had no further try.
-func TestARequestWaitsAMomentForTheDesiredState(t *testing.T) {
+// A request that arrived just before a new process had the desired state was refused with a
+// retry time, and had no retry left. It must wait for the desired state.
+func TestRequestWaitsForDesiredStateAfterStart(t *testing.T) {
 	c := qt.New(t)
 	g := &Gateway{crashes: newCrashes(), stated: make(chan struct{}), started: boottime.Now()}
 	state := catalog.New(1, nil, nil, nil, catalog.Limits{})
@@ -211,9 +212,9 @@
 		close(g.stated)
 	})
 	c.Assert(g.awaitState(context.Background()), qt.Equals, state)
-	// The store is away, and nothing tells for how long.
+	// Long after the start the store is unreachable for an unknown time: no wait.
 	old := &Gateway{crashes: newCrashes(), stated: make(chan struct{}), started: boottime.Now() - stateExpected - 1}
-	began := time.Now()
+	start := time.Now()
 	c.Assert(old.awaitState(context.Background()), qt.IsNil)
-	c.Assert(time.Since(began) < stateWait/2, qt.IsTrue)
+	c.Assert(time.Since(start) < stateWait/2, qt.IsTrue)
 }
