--- a/internal/coordination/fleet/announcements_test.go
+++ b/internal/coordination/fleet/announcements_test.go
@@ -12,17 +12,17 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// twoServers has two plain servers.
-func twoServers() (*Fleet, []catalog.Backend) {
+// newFleetWithTwoServers has two plain servers.
+func newFleetWithTwoServers() (*Fleet, []catalog.Backend) {
 	f := newFleet()
-	f.SetState(state(), 0)
-	all := []catalog.Backend{listed("o1", plainService, "10.0.0.1:1", 0), listed("o2", plainService, "10.0.0.2:1", 0)}
+	f.SetState(testState(), 0)
+	all := []catalog.Backend{newBackend("o1", plainService, "10.0.0.1:1", 0), newBackend("o2", plainService, "10.0.0.2:1", 0)}
 	f.Apply(all, nil, true, 0)
 	return f, all
 }
 
-// picked returns which servers get requests at a time.
-func picked(f *Fleet, now time.Duration) map[string]bool {
+// pickedServers returns which servers get requests at a time.
+func pickedServers(f *Fleet, now time.Duration) map[string]bool {
 	ids := map[string]bool{}
 	for range 20 {
 		p := f.Choose(Request{Service: plainService}, now)
@@ -38,7 +38,7 @@
 // A server said in an answer that it leaves, and is sent requests again: its row says that
 // it is ready, its row lapsed and came back, all others are suspected, or it was the last.
 // Only another process takes the word back.
-func TestAServerThatSaidThatItLeavesIsNotPicked(t *testing.T) {
+func TestAnnouncedDrainingServerGetsNoRequests(t *testing.T) {
 	other := map[string]bool{"o2": true}
 	both := map[string]bool{"o1": true, "o2": true}
 	tests := []struct {
@@ -50,7 +50,7 @@
 		{"its row says ready", func(f *Fleet, all []catalog.Backend) { f.Apply(all, nil, true, time.Second) }, other},
 		{"its row lapses and comes back", func(f *Fleet, all []catalog.Backend) {
 			f.Apply(all[1:], nil, true, time.Second)
-			picked(f, 9*time.Second)
+			pickedServers(f, 9*time.Second)
 			f.Apply(all, nil, true, 9*time.Second)
 		}, other},
 		{"it answers soundly", func(f *Fleet, all []catalog.Backend) { f.Answered("o1", time.Second) }, other},
@@ -60,7 +60,7 @@
 			first, second := all[0], all[0]
 			first.Boot, second.Boot = 1764723093000, 1764723099000
 			f.Apply([]catalog.Backend{first}, nil, false, time.Second)
-			qt.Assert(t, picked(f, time.Second), qt.DeepEquals, other)
+			qt.Assert(t, pickedServers(f, time.Second), qt.DeepEquals, other)
 			f.Apply([]catalog.Backend{second}, nil, false, time.Second)
 			// What the process before still says is not of this one.
 			f.NoteDraining(first, 2*time.Second)
@@ -73,12 +73,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f, all := twoServers()
+			f, all := newFleetWithTwoServers()
 			qt.Assert(t, f.NoteDraining(all[0], 0), qt.IsTrue)
 			qt.Assert(t, f.NoteDraining(all[0], 0), qt.IsFalse)
 			qt.Assert(t, f.Accepts(all[0], 0), qt.IsFalse)
 			test.then(f, all)
-			qt.Assert(t, picked(f, 10*time.Second), qt.DeepEquals, test.want)
+			qt.Assert(t, pickedServers(f, 10*time.Second), qt.DeepEquals, test.want)
 		})
 	}
 }
@@ -86,7 +86,7 @@
 // A server refuses and says for how long it wants nothing, and is asked all the same: as the
 // last that is not suspected, once its row comes again, or after a shorter word. It is used
 // again at the end of the longest time that it named, or once another process is there.
-func TestAServerThatRestsIsNotPicked(t *testing.T) {
+func TestServerGetsNoRequestsUntilRetryAfter(t *testing.T) {
 	const rest = 3 * time.Second
 	other, both := map[string]bool{"o2": true}, map[string]bool{"o1": true, "o2": true}
 	tests := []struct {
@@ -108,25 +108,25 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f, all := twoServers()
+			f, all := newFleetWithTwoServers()
 			qt.Assert(t, f.NoteRetryAfter(all[0], rest, 0), qt.IsTrue)
 			qt.Assert(t, f.NoteRetryAfter(all[0], rest, 0), qt.IsFalse)
 			test.then(f, all)
 			qt.Assert(t, f.Accepts(all[0], rest-time.Millisecond), qt.IsFalse)
-			qt.Assert(t, picked(f, rest-time.Millisecond), qt.DeepEquals, test.want)
+			qt.Assert(t, pickedServers(f, rest-time.Millisecond), qt.DeepEquals, test.want)
 			if len(test.want) == 0 {
 				qt.Assert(t, f.ReadyIn(plainService, rest-time.Millisecond), qt.Equals, time.Millisecond)
 			}
-			f, all = twoServers()
+			f, all = newFleetWithTwoServers()
 			f.NoteRetryAfter(all[0], rest, 0)
 			qt.Assert(t, f.Accepts(all[0], rest), qt.IsTrue)
-			qt.Assert(t, picked(f, rest+sweepEvery), qt.DeepEquals, both)
+			qt.Assert(t, pickedServers(f, rest+healthCheckInterval), qt.DeepEquals, both)
 		})
 	}
 }
 
 // A request that waited for a connection went to a server that had left meanwhile.
-func TestARequestOnItsWayIsNotSentToAServerThatLeft(t *testing.T) {
+func TestAcceptsRejectsServersThatLeft(t *testing.T) {
 	tests := []struct {
 		name string
 		then func(f *Fleet, one catalog.Backend)
@@ -150,7 +150,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f, all := twoServers()
+			f, all := newFleetWithTwoServers()
 			test.then(f, all[0])
 			qt.Assert(t, f.Accepts(all[0], 1500*time.Millisecond), qt.Equals, test.want)
 		})
@@ -159,9 +159,9 @@
 
 // After an outage, a server whose row is missing and that closes its connections was taken for
 // one that lapsed.
-func TestAMissingServerThatClosesItsConnectionHasLeft(t *testing.T) {
+func TestMissingServerThatClosesConnectionsIsRemoved(t *testing.T) {
 	c := qt.New(t)
-	f, all := twoServers()
+	f, all := newFleetWithTwoServers()
 	c.Assert(f.NoteConnectionClose(all[0], 0), qt.IsFalse)
 	f.SetOutageEnd(time.Second, true, time.Second)
 	f.Apply(nil, []string{all[0].ID}, false, time.Second)
@@ -176,11 +176,11 @@
 }
 
 // Entries used a server that was leaving for as long as the store was away; its agent saw it.
-func TestAServerThatItsAgentSeesLeavingGetsNoRequests(t *testing.T) {
+func TestServerReportedDrainingByAgentGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
-	f.SetState(state(), 0)
-	f.Apply([]catalog.Backend{listed("m1", modelService, "10.0.0.1:1", 1), listed("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
+	f.SetState(testState(), 0)
+	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
 	load := Load{Address: "10.0.0.1:1", Sequence: 1, Models: []catalog.Model{{Name: model, Version: 1}}, Leaving: true}
 	f.Report(load, time.Second)
 	for range 20 {
@@ -194,9 +194,9 @@
 
 // Whatever servers say, and whichever rows come in which order, no process gets a request
 // after it has said that it leaves.
-func TestWhatServersSayInAnyOrder(t *testing.T) {
+func TestAnnouncementsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, all := twoServers()
+		f, all := newFleetWithTwoServers()
 		boots := []catalog.Boot{1764723093000, 1764723094000}
 		now := time.Second
 		left := map[string]bool{}
@@ -226,7 +226,7 @@
 				all[at].Revision++
 				f.Apply(all[at:at+1], nil, false, now)
 			}
-			for id := range picked(f, now) {
+			for id := range pickedServers(f, now) {
 				b := f.servers[id].backend
 				if !f.Accepts(b, now) {
 					t.Fatalf("%s gets requests while it wants none", b.ID)
--- a/internal/coordination/fleet/boots.go
+++ b/internal/coordination/fleet/boots.go
@@ -8,54 +8,55 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// Source is what news came by.
+// Source names the kind of message from which a restart was detected.
 type Source string
 
-// The sources.
+// The sources of restarts.
 const (
 	SourceRow    Source = "Row"
 	SourceReport Source = "Report"
 )
 
-// Restart is a server that was seen to have started again.
+// Restart is a restart of a server under its ID.
 type Restart struct {
 	Backend string
-	// Source is what showed it.
-	Source        Source
+	Source  Source
+	// OldBoot is the boot of the replaced process and NewBoot that of the current one.
 	Before, After catalog.Boot
-	// Held is what the process before was taken to hold, and Holds what this one is.
+	// OldModels are the models that the replaced process was assumed to hold, and NewModels those
+	// of the current one.
 	Held, Holds []catalog.Model
-	// UnderWay is how many requests of this entry the process before had; whether they
-	// have run is not known.
+	// InFlight is the number of requests that this entry had in flight at the replaced process. It
+	// is unknown whether they were executed.
 	UnderWay int
 }
 
-// life is one process of a server.
-type life struct {
+// process identifies one process of a server.
+type process struct {
 	id   string
 	boot catalog.Boot
 }
 
-// rowOf is what the last row of a server said of its process.
-type rowOf struct {
+// rowVersion is the boot and the revision of the last row of a server.
+type rowVersion struct {
 	boot     catalog.Boot
 	revision uint64
 }
 
-// endedKept is how long a process that has ended is remembered. Late news of it come
-// within seconds: a row over a region's reader, or the last write of a process that the
-// store performed late.
-const endedKept = time.Minute
+// endedProcessTTL is how long an ended process is remembered. Late updates about it arrive within
+// seconds: a row through a region's reader, or the last write of the process that the store
+// performed late.
+const endedProcessTTL = time.Minute
 
-// show takes one server as it is listed now.
-func (f *Fleet) show(backend catalog.Backend, now time.Duration) {
+// applyRow applies one row of the server list.
+func (f *Fleet) applyRow(backend catalog.Backend, now time.Duration) {
 	s, ok := f.servers[backend.ID]
 	if !ok {
 		s = &server{backend: catalog.Backend{ID: backend.ID}}
 		f.servers[backend.ID] = s
 	}
-	s.missingSince, s.closes = 0, false
-	if !f.takesRow(s, &backend, now) {
+	s.missingSince, s.closesConnections = 0, false
+	if !f.acceptRow(s, &backend, now) {
 		return
 	}
 	if old := s.backend.Address; old != backend.Address && f.byAddress[old] == backend.ID {
@@ -65,146 +66,147 @@
 	f.byAddress[backend.Address] = backend.ID
 }
 
-// takesRow reports whether a row is of the process that is believed in, or of one that has
-// followed it, which then is believed in.
+// acceptRow reports whether a row belongs to the current process or to one that replaced it, which
+// then becomes the current process.
 //
-// Guard: a process's last write may be performed after the report of the next. Its row must not
-// bring back what a process that is gone held.
-func (f *Fleet) takesRow(s *server, row *catalog.Backend, now time.Duration) bool {
-	if row.Revision < s.row.revision {
+// The store may perform a process's last write after the report of the next process has arrived.
+// That row must not restore the models of the ended process.
+func (f *Fleet) acceptRow(s *server, row *catalog.Backend, now time.Duration) bool {
+	if row.Revision < s.lastRow.revision {
 		return false
 	}
-	s.row = rowOf{boot: row.Boot, revision: row.Revision}
-	believed := s.backend.Boot
+	s.lastRow = rowVersion{boot: row.Boot, revision: row.Revision}
+	current := s.backend.Boot
 	switch {
 	case row.Boot == 0:
-		row.Boot = believed
+		row.Boot = current
 		return true
-	case row.Boot == believed || believed == 0:
+	case row.Boot == current || current == 0:
 		return true
-	case row.Boot < believed && (f.reportsLately(s, now) || f.hasEnded(life{row.ID, row.Boot}, now)):
+	case row.Boot < current && (f.hasFreshReport(s, now) || f.hasEnded(process{row.ID, row.Boot}, now)):
 		return false
 	}
-	f.restart(s, SourceRow, row.Boot, row.Models, now)
+	f.applyRestart(s, SourceRow, row.Boot, row.Models, now)
 	return true
 }
 
-// takesReport does the same for a server's own report.
-func (f *Fleet) takesReport(s *server, load *Load, now time.Duration) bool {
-	believed := s.backend.Boot
+// acceptReport does the same as acceptRow for a report of the server's agent.
+func (f *Fleet) acceptReport(s *server, report *Load, now time.Duration) bool {
+	current := s.backend.Boot
 	switch {
-	case load.Boot == 0 || load.Boot == believed:
+	case report.Boot == 0 || report.Boot == current:
 		return true
-	case believed == 0:
-		s.backend.Boot = load.Boot
+	case current == 0:
+		s.backend.Boot = report.Boot
 		return true
-	case slices.Contains(load.Before, believed):
-		// The agent has seen this one follow.
-	case load.Boot == s.row.boot && !f.reportsLately(s, now):
-		// A late datagram was believed, and its process reports nothing more.
-	case load.Boot < believed || f.hasEnded(life{s.backend.ID, load.Boot}, now):
+	case slices.Contains(report.Before, current):
+		// The agent observed that this process replaced the current one.
+	case report.Boot == s.lastRow.boot && !f.hasFreshReport(s, now):
+		// The current boot came from a late datagram, and its process sends no more reports.
+	case report.Boot < current || f.hasEnded(process{s.backend.ID, report.Boot}, now):
 		return false
 	}
-	for _, boot := range load.Before {
-		f.noteEnded(life{s.backend.ID, boot}, now)
+	for _, boot := range report.Before {
+		f.recordEnded(process{s.backend.ID, boot}, now)
 	}
-	f.restart(s, SourceReport, load.Boot, load.Models, now)
+	f.applyRestart(s, SourceReport, report.Boot, report.Models, now)
 	return true
 }
 
-// reportsLately reports whether the process that is believed in has a fresh report.
-func (f *Fleet) reportsLately(s *server, now time.Duration) bool {
-	return s.hasReport && now-s.reportedAt < f.config.ReportFresh
+// hasFreshReport reports whether the current process has a fresh report.
+func (f *Fleet) hasFreshReport(s *server, now time.Duration) bool {
+	return s.hasReport && now-s.reportedAt < f.config.ReportTTL
 }
 
-// restart drops all that is held of the process before.
+// applyRestart discards the state of the replaced process.
 //
-// Guard: a server that starts again under its ID holds nothing of before; weights, counts, drain
-// and suspicion were those of another process.
-func (f *Fleet) restart(s *server, source Source, boot catalog.Boot, holds []catalog.Model, now time.Duration) {
-	before := s.backend
-	f.noteReplaced(before)
-	f.restarts = append(f.restarts, Restart{Backend: before.ID, Source: source, Before: before.Boot, After: boot,
-		Held: f.models(s, now), Holds: holds, UnderWay: s.own})
-	f.noteEnded(life{before.ID, before.Boot}, now)
-	delete(f.ended, life{before.ID, boot})
-	backend := before
+// A server that restarts under its ID holds no models. Its counts, its draining announcement and
+// its suspicion belonged to the old process.
+func (f *Fleet) applyRestart(s *server, source Source, boot catalog.Boot, models []catalog.Model, now time.Duration) {
+	old := s.backend
+	f.recordReplaced(old)
+	f.restarts = append(f.restarts, Restart{Backend: old.ID, Source: source, Before: old.Boot, After: boot,
+		Held: f.heldModels(s, now), Holds: models, UnderWay: s.ownRequests})
+	f.recordEnded(process{old.ID, old.Boot}, now)
+	delete(f.endedProcesses, process{old.ID, boot})
+	backend := old
 	backend.Boot, backend.Models, backend.Leaving = boot, nil, false
-	delete(f.busy, before.ID)
-	delete(f.announcements, before.ID)
-	f.forgetReport(s)
-	*s = server{backend: backend, row: s.row, missingSince: s.missingSince, bootedAt: max(now, 1)}
-	f.noteUsable(s, false)
-	f.forget(backend)
+	delete(f.busy, old.ID)
+	delete(f.announcements, old.ID)
+	f.removeFromReportOrder(s)
+	*s = server{backend: backend, lastRow: s.lastRow, missingSince: s.missingSince, restartedAt: max(now, 1)}
+	f.markUsable(s, false)
+	f.clearProcessState(backend)
 	if source == SourceReport {
-		// Rows are followed by the list anyway.
-		f.list(now)
+		// After a row, Apply updates the membership itself.
+		f.updateMembership(now)
 	}
 }
 
-// forget drops what router and membership hold of a process that is gone.
-func (f *Fleet) forget(b catalog.Backend) {
+// clearProcessState removes the state of an ended process from the router and the membership table.
+func (f *Fleet) clearProcessState(b catalog.Backend) {
 	id := filbertlever.HostID(b.ID)
 	if router := f.router(b.Service); router != nil {
 		router.Forget(id)
 	}
-	f.table.Restarted(id)
+	f.members.Restarted(id)
 }
 
-func (f *Fleet) noteEnded(l life, now time.Duration) {
-	for other, at := range f.ended {
-		if now-at >= endedKept {
-			delete(f.ended, other)
+func (f *Fleet) recordEnded(p process, now time.Duration) {
+	for other, at := range f.endedProcesses {
+		if now-at >= endedProcessTTL {
+			delete(f.endedProcesses, other)
 		}
 	}
-	f.ended[l] = now
+	f.endedProcesses[p] = now
 }
 
-func (f *Fleet) hasEnded(l life, now time.Duration) bool {
-	at, ok := f.ended[l]
-	return ok && now-at < endedKept
+func (f *Fleet) hasEnded(p process, now time.Duration) bool {
+	at, ok := f.endedProcesses[p]
+	return ok && now-at < endedProcessTTL
 }
 
-// Restarts returns the restarts seen since the last call.
+// TakeRestarts returns the restarts detected since the last call.
 func (f *Fleet) Restarts() []Restart {
 	restarts := f.restarts
 	f.restarts = nil
 	return restarts
 }
 
-// replacedMost bounds the processes that Replacements returns at once.
-const replacedMost = 4096
+// maxReplaced limits the number of processes that TakeReplaced returns at once.
+const maxReplaced = 4096
 
-func (f *Fleet) noteReplaced(b catalog.Backend) {
-	if len(f.replaced) < replacedMost {
+func (f *Fleet) recordReplaced(b catalog.Backend) {
+	if len(f.replaced) < maxReplaced {
 		f.replaced = append(f.replaced, b)
 	}
 }
 
-// Replacements returns the processes, as they were, that were seen to have been followed
-// by another since the last call.
+// TakeReplaced returns the processes that were found to have been replaced since the last call, in
+// their last known state.
 func (f *Fleet) Replacements() []catalog.Backend {
 	replaced := f.replaced
 	f.replaced = nil
 	return replaced
 }
 
-// Followed reports whether another process of the server has followed the one that a
-// request was placed at; false if that one's boot is not known. What the request tells then counts for neither. A server that
-// is only missing from the list may go on.
+// Superseded reports whether the process that a request was placed at has been replaced by another
+// process of the server. The outcome of the request then says nothing about the current process. It
+// returns false if the boot of the placement is unknown, or if the server is only missing from the
+// list and may still run.
 func (f *Fleet) Followed(b catalog.Backend) bool {
 	s, ok := f.servers[b.ID]
 	return ok && b.Boot != 0 && s.backend.Boot != b.Boot
 }
 
-// Avoid returns the servers that a request is to go to no more, of those that it has been
-// to.
+// ServersToAvoid returns the servers, of those that a request was sent to, that it must not be sent
+// to again.
 //
-// Guard: where a service has few servers, the one that broke an answer off, once started again, is
-// the one to go on at.
-func (f *Fleet) Avoid(tried []catalog.Backend) []filbertlever.HostID {
+// A server that has restarted since is left out. Where a service has few servers, the one that
+// interrupted an answer may be the only one that can resume it after its restart.
+func (f *Fleet) Avoid(visited []catalog.Backend) []filbertlever.HostID {
 	var avoid []filbertlever.HostID
-	for _, b := range tried {
+	for _, b := range visited {
 		if !f.Followed(b) {
 			avoid = append(avoid, filbertlever.HostID(b.ID))
 		}
@@ -212,31 +214,31 @@
 	return avoid
 }
 
-// bootHeard is how long after a restart was heard of here all entries have heard of it:
-// by the agent's report, which goes to all at once, or by the row, within 2 s and a
-// heartbeat.
-const bootHeard = 5 * time.Second
+// restartPropagationDelay is the time after which all entries have observed a restart that this
+// entry has observed. The agent's report goes to all entries at once. The row arrives within two
+// seconds and a heartbeat interval.
+const restartPropagationDelay = 5 * time.Second
 
-// IsCurrent reports whether another entry's report on a server is of the process believed in.
-// The boot that it names is 0 if it knows of no restart.
+// IsCurrentBoot reports whether gossip of another entry about a server refers to the current
+// process. The boot in the gossip is 0 if that entry has observed no restart.
 //
-// Guard: entries hear of a restart seconds apart. Requests at the process before must not count
-// at the new one, which would look full or silent.
+// Entries observe a restart seconds apart. Requests at the old process must not count at the new
+// one, which would appear to be full or silent.
 func (f *Fleet) IsCurrent(id string, boot catalog.Boot, now time.Duration) bool {
 	s, ok := f.servers[id]
-	if !ok || s.bootedAt == 0 {
+	if !ok || s.restartedAt == 0 {
 		return true
 	}
-	return boot == s.backend.Boot || boot == 0 && now-s.bootedAt >= bootHeard
+	return boot == s.backend.Boot || boot == 0 && now-s.restartedAt >= restartPropagationDelay
 }
 
-// Boots returns which process this entry's reports on servers are of, for those that started
-// again lately.
+// RecentBoots returns the current boot of those servers that restarted recently, to be sent with
+// the gossip about them.
 func (f *Fleet) Boots(ids []string, now time.Duration) map[string]catalog.Boot {
 	var boots map[string]catalog.Boot
 	for _, id := range ids {
 		s, ok := f.servers[id]
-		if !ok || s.bootedAt == 0 || now-s.bootedAt >= 2*bootHeard {
+		if !ok || s.restartedAt == 0 || now-s.restartedAt >= 2*restartPropagationDelay {
 			continue
 		}
 		if boots == nil {
@@ -247,10 +249,11 @@
 	return boots
 }
 
-// EndedAt notes that a request has ended at the process that it was placed at.
+// ReleaseIfCurrent removes a request from the count of the process that it was placed at, unless
+// that process was replaced.
 //
-// Guard: requests at a process that is gone end late; taken from the count of the new one, it
-// would look idle while full.
+// Requests at an ended process may end late. If they were subtracted from the count of the new
+// process, it would appear to be idle while it is full.
 func (f *Fleet) EndedAt(b catalog.Backend) {
 	if !f.Followed(b) {
 		f.Ended(b.ID)
--- a/internal/coordination/fleet/boots_rapid_test.go
+++ b/internal/coordination/fleet/boots_property_test.go
@@ -10,57 +10,57 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// news is a row or a report of one of a server's starts.
-type news struct {
+// update is a row or a report of one of a server's starts.
+type update struct {
 	boot     int
 	row      bool
 	revision uint64
 }
 
-// newsMost is the most milliseconds between two news, so that all arrive while a report
+// maxUpdateGap is the most milliseconds between two news, so that all arrive while a report
 // of the newest start is fresh.
-const newsMost = 60
+const maxUpdateGap = 60
 
-// bootWorld delivers rows and reports of three starts of one server in any order, some
+// bootModel delivers rows and reports of three starts of one server in any order, some
 // of them more than once. Start n of the server holds version n.
-type bootWorld struct {
+type bootModel struct {
 	t     *rapid.T
 	fleet *Fleet
 	// boots are what the starts tell as their time.
 	boots []catalog.Boot
-	// seen is true if the agent saw each start end.
-	seen bool
-	all  []news
-	now  time.Duration
-	// sent are the places of requests under way.
-	sent []catalog.Backend
+	// agentSawRestarts is true if the agent saw each start end.
+	agentSawRestarts bool
+	updates          []update
+	now              time.Duration
+	// placed are the places of requests under way.
+	placed []catalog.Backend
 	// newest is the latest start of which news was delivered.
 	newest int
 }
 
-func newBootWorld(t *rapid.T, boots []catalog.Boot) *bootWorld {
-	w := &bootWorld{t: t, fleet: newFleet(), boots: boots, newest: -1, now: time.Second}
-	w.fleet.SetState(state(), 0)
+func newBootModel(t *rapid.T, boots []catalog.Boot) *bootModel {
+	w := &bootModel{t: t, fleet: newFleet(), boots: boots, newest: -1, now: time.Second}
+	w.fleet.SetState(testState(), 0)
 	revision := uint64(0)
 	for boot := range boots {
 		for range rapid.IntRange(1, 3).Draw(t, "rows") {
 			revision++
-			w.all = append(w.all, news{boot: boot, row: true, revision: revision})
+			w.updates = append(w.updates, update{boot: boot, row: true, revision: revision})
 		}
-		w.all = append(w.all, news{boot: boot})
+		w.updates = append(w.updates, update{boot: boot})
 	}
 	return w
 }
 
-func (w *bootWorld) deliver(n news) {
-	w.now += time.Duration(rapid.IntRange(0, newsMost).Draw(w.t, "ms")) * time.Millisecond
+func (w *bootModel) deliver(n update) {
+	w.now += time.Duration(rapid.IntRange(0, maxUpdateGap).Draw(w.t, "ms")) * time.Millisecond
 	version := uint64(n.boot + 1)
 	if n.row {
-		row := booted("m1", modelService, w.boots[n.boot], n.revision, version)
+		row := newBackendWithBoot("m1", modelService, w.boots[n.boot], n.revision, version)
 		w.fleet.Apply([]catalog.Backend{row}, nil, rapid.Bool().Draw(w.t, "whole"), w.now)
 	} else {
-		load := told(w.boots[n.boot], version)
-		if w.seen || rapid.Bool().Draw(w.t, "seen") {
+		load := newReport(w.boots[n.boot], version)
+		if w.agentSawRestarts || rapid.Bool().Draw(w.t, "seen") {
 			load.Before = slices.Clone(w.boots[:n.boot])
 		}
 		w.fleet.Report(load, w.now)
@@ -71,7 +71,7 @@
 }
 
 // check compares with the model: the newest start of which anything was heard counts.
-func (w *bootWorld) check() {
+func (w *bootModel) check() {
 	if !w.fleet.Known("m1") {
 		return
 	}
@@ -79,13 +79,13 @@
 	if got := s.backend.Boot; got != w.boots[w.newest] {
 		w.t.Fatalf("boot %d is believed in, of %v up to %d were heard", got, w.boots, w.newest)
 	}
-	for _, m := range append(slices.Clone(s.backend.Models), s.reported...) {
+	for _, m := range append(slices.Clone(s.backend.Models), s.reportedModels...) {
 		if m.Version < uint64(w.newest+1) {
 			w.t.Fatalf("version %d is believed in at start %d", m.Version, w.newest+1)
 		}
 	}
 	here := 0
-	for _, backend := range w.sent {
+	for _, backend := range w.placed {
 		if !w.fleet.Followed(backend) {
 			here++
 		}
@@ -98,20 +98,20 @@
 // Whatever the order in which rows and reports of a server's starts arrive, an entry
 // believes the newest of which it heard, nothing of an older one, and counts only the
 // requests that the newest has.
-func TestTheNewestBootCountsInAnyOrder(t *testing.T) {
+func TestNewestBootWinsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newBootWorld(t, []catalog.Boot{1000, 2000, 3000})
-		pending := rapid.Permutation(append(slices.Clone(w.all), w.all...)).Draw(t, "news")
+		w := newBootModel(t, []catalog.Boot{1000, 2000, 3000})
+		pending := rapid.Permutation(append(slices.Clone(w.updates), w.updates...)).Draw(t, "news")
 		for _, n := range pending {
 			w.deliver(n)
 			w.check()
 			if placement := w.fleet.Choose(wanted, w.now); placement.Found {
-				w.sent = append(w.sent, placement.Backend)
+				w.placed = append(w.placed, placement.Backend)
 			}
-			if len(w.sent) > 0 && rapid.Bool().Draw(t, "ends") {
-				i := rapid.IntRange(0, len(w.sent)-1).Draw(t, "which")
-				w.fleet.EndedAt(w.sent[i])
-				w.sent = slices.Delete(w.sent, i, i+1)
+			if len(w.placed) > 0 && rapid.Bool().Draw(t, "ends") {
+				i := rapid.IntRange(0, len(w.placed)-1).Draw(t, "which")
+				w.fleet.EndedAt(w.placed[i])
+				w.placed = slices.Delete(w.placed, i, i+1)
 			}
 			w.check()
 		}
@@ -120,14 +120,14 @@
 
 // The host's clock steps between starts, so their times are in any order. Once the last
 // start's row and report have arrived, it is the one believed in.
-func TestTheLastBootCountsWhateverTheClockSaid(t *testing.T) {
+func TestLastBootWinsDespiteClockSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boots := rapid.Permutation([]catalog.Boot{1000, 2000, 3000}).Draw(t, "boots")
-		w := newBootWorld(t, boots)
-		w.seen = true
-		last := w.all[len(w.all)-2:]
-		rest := w.all[:len(w.all)-2]
-		for _, n := range rapid.Permutation(append(slices.Clone(rest), w.all...)).Draw(t, "news") {
+		w := newBootModel(t, boots)
+		w.agentSawRestarts = true
+		last := w.updates[len(w.updates)-2:]
+		rest := w.updates[:len(w.updates)-2]
+		for _, n := range rapid.Permutation(append(slices.Clone(rest), w.updates...)).Draw(t, "news") {
 			w.deliver(n)
 		}
 		for _, n := range rapid.Permutation(slices.Clone(last)).Draw(t, "last") {
--- a/internal/coordination/fleet/choose.go
+++ b/internal/coordination/fleet/choose.go
@@ -8,57 +8,60 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/routing"
 )
 
-// Request is what is placed.
+// Request describes a request to place.
 type Request struct {
 	Service string
 	// Model is empty for plain services.
 	Model string
-	// Version is the only version wanted; 0 means any.
+	// Version is the only acceptable version; 0 means any.
 	Version uint64
-	// Least is the oldest version wanted, one that SetNamed was given; 0 means any.
+	// MinVersion is the oldest acceptable version, one of those set by SetNamedVersions; 0 means
+	// any.
 	Least        uint64
 	PromptTokens int
-	// AnswerTokens is how long the answer is expected to be; 0 if not known.
+	// AnswerTokens is the expected length of the answer; 0 if unknown.
 	AnswerTokens int
-	// Final is true if the answer cannot go on at another server once more.
+	// LastAttempt is true if an interrupted answer cannot be resumed at another server.
 	Final bool
-	// Avoid are servers that the request has been to.
+	// Avoid are the servers that must not be picked, such as those that the request was already
+	// sent to.
 	Avoid []filbertlever.HostID
 }
 
-// Placement is the server picked for a request.
+// Placement is the server picked for a request and what is known of it.
 type Placement struct {
 	Backend catalog.Backend
 	// Found is false if no server can take the request.
 	Found bool
-	// Version is the version that must answer, if Version or Least was wanted.
+	// Version is the version that must answer, if Request.Version or Request.MinVersion was set.
 	Version uint64
-	// Pace is how many times longer than it should the server takes; 0 if not known.
+	// Slowdown is the factor by which the server is slower than expected; 0 if unknown.
 	Pace float64
-	// Holds is the version that the server is taken to hold; 0 if none.
-	Holds     uint64
+	// HeldVersion is the version of the model that the server holds, as far as known; 0 if none.
+	Holds uint64
+	// PredictedLatency is the predicted time to the first event of the answer.
 	Predicted time.Duration
-	// Ahead is how many requests the server has beyond what it runs at once,
-	// this one included; 0 or less if it need not wait.
-	Ahead   int
-	Reason  routing.Reason
+	// QueuePosition is the number of requests at the server, including this one, beyond what it
+	// runs concurrently; 0 or less if the request need not queue.
+	Ahead  int
+	Reason routing.Reason
+	// Candidates is the number of servers that were compared.
 	Weighed int
-	// Reading is how long the server still reads prompts that came before.
+	// PrefillWait is the predicted time until the server has prefilled the prompts that it received
+	// before.
 	Reading time.Duration
-	// Cut is true if the server is predicted to break the answer off for a change
-	// of its weights.
+	// WillInterrupt is true if the server is predicted to interrupt the answer to switch weights.
 	Cut bool
-	// ReportAge is the age of the load report that decided; negative if none.
+	// ReportAge is the age of the last report of the server; negative if there is none.
 	ReportAge time.Duration
-	// Missing is how long the list has lacked the server; 0 if it is listed.
+	// MissingFor is how long the server has been missing from the list; 0 if it is listed.
 	Missing time.Duration
-	// ReadyIn is when a server is predicted to be able to take the request, if
-	// none can now; 0 if that is not known.
+	// ReadyIn is the predicted time until a server can take the request, if none can now; 0 if
+	// unknown.
 	ReadyIn time.Duration
 }
 
-// Choose picks a server and counts the request as sent there; Ended takes that
-// back.
+// Choose picks a server and counts the request as in flight there. Release reverts the count.
 func (f *Fleet) Choose(request Request, now time.Duration) Placement {
 	f.refresh(now)
 	router := f.router(request.Service)
@@ -71,44 +74,44 @@
 	case request.Version != 0:
 		target = versionTarget(request.Model, request.Version)
 	case request.Least != 0:
-		target = leastTarget(request.Model, request.Least)
+		target = minVersionTarget(request.Model, request.Least)
 	default:
 		target = modelTarget(request.Model)
 	}
-	wanted := &routing.Request{Target: target, PromptTokens: request.PromptTokens, Avoid: request.Avoid, Now: now,
-		Lasts: f.lasts(request), Final: request.Final}
-	choice := router.Choose(wanted)
+	routed := &routing.Request{Target: target, PromptTokens: request.PromptTokens, Avoid: request.Avoid, Now: now,
+		Lasts: f.answerDuration(request), Final: request.Final}
+	choice := router.Choose(routed)
 	if choice.Host == "" {
-		choice = f.chooseSuspected(router, request.Service, wanted, now)
+		choice = f.chooseSuspected(router, request.Service, routed, now)
 	}
 	s, ok := f.servers[string(choice.Host)]
 	if !ok {
 		return Placement{Reason: choice.Reason, Weighed: choice.Weighed, ReadyIn: f.readyIn(request, now)}
 	}
-	f.sent(s, now)
+	f.recordSent(s, now)
 	age := time.Duration(-1)
 	if s.hasReport {
 		age = now - s.reportedAt
 	}
 	placement := Placement{Backend: s.backend, Found: true, Predicted: choice.Predicted, Ahead: choice.Ahead, Reason: choice.Reason, Weighed: choice.Weighed, ReportAge: age, Cut: choice.Cut, Reading: choice.Reading}
 	if f.config.Regions[s.backend.Site] != f.config.Region {
-		placement.Ahead += f.config.FarMargin
+		placement.Ahead += f.config.OtherRegionMargin
 	}
 	if s.hasReport {
-		placement.Pace = s.load.Pace
+		placement.Pace = s.report.Pace
 	}
 	if s.missingSince != 0 {
 		placement.Missing = now - s.missingSince
 	}
-	placement.Holds = f.version(s, request.Model, now)
+	placement.Holds = f.heldVersion(s, request.Model, now)
 	if request.Version != 0 || request.Least != 0 {
 		placement.Version = placement.Holds
 	}
 	return placement
 }
 
-// lasts predicts how long an answer takes after its first event, at a full engine.
-func (f *Fleet) lasts(request Request) time.Duration {
+// answerDuration predicts the time from the first event to the end of an answer at a full engine.
+func (f *Fleet) answerDuration(request Request) time.Duration {
 	e := f.state.Services[request.Service].Engine
 	if e == nil || e.UsualAnswer == 0 || request.AnswerTokens == 0 {
 		return 0
@@ -116,58 +119,59 @@
 	return serviceTime(e) * time.Duration(request.AnswerTokens) / time.Duration(e.UsualAnswer)
 }
 
-// chooseSuspected picks among servers that failed lately.
+// chooseSuspected picks among suspected servers.
 //
-// Guard: if all servers of a service fail some requests, all are suspected most of the time; most
-// requests would still be answered.
-func (f *Fleet) chooseSuspected(router *routing.Router, service string, wanted *routing.Request, now time.Duration) routing.Choice {
+// If all servers of a service fail some of their requests, all of them are suspected most of the
+// time, although they would still answer most requests.
+func (f *Fleet) chooseSuspected(router *routing.Router, service string, request *routing.Request, now time.Duration) routing.Choice {
 	var suspected []string
-	for id := range f.transient {
+	for id := range f.recheck {
 		s, ok := f.servers[id]
-		fit := ok && s.backend.Service == service && s.missingSince == 0 && now >= s.switchingUntil && now >= f.retryAt(s) && !f.unreachable(s, now)
-		if fit && f.table.Fit(filbertlever.HostID(id), f.at(now)) {
+		eligible := ok && s.backend.Service == service && s.missingSince == 0 && now >= s.switchingUntil && now >= f.retryAt(s) && !f.recentlyUnreachable(s, now)
+		if eligible && f.members.Fit(filbertlever.HostID(id), f.membershipTime(now)) {
 			suspected = append(suspected, id)
 			router.SetHost(f.host(s.backend), true)
 		}
 	}
 	choice := routing.Choice{Reason: routing.ReasonNone}
 	if len(suspected) > 0 {
-		choice = router.Choose(wanted)
+		choice = router.Choose(request)
 	}
 	for _, id := range suspected {
-		f.place(id, now)
+		f.syncRouter(id, now)
 	}
 	return choice
 }
 
-// Elsewhere reports whether a server other than those that a request has been to
-// could take it now, with at most so many waiting there.
-func (f *Fleet) Elsewhere(request Request, waiting int, now time.Duration) bool {
+// HasAlternative reports whether a server that the request does not avoid could take it now with a
+// queue position of at most maxQueue. The check leaves the counts unchanged.
+func (f *Fleet) Elsewhere(request Request, maxQueue int, now time.Duration) bool {
 	placement := f.Choose(request, now)
 	if !placement.Found {
 		return false
 	}
 	f.Ended(placement.Backend.ID)
-	return placement.Ahead <= waiting
+	return placement.Ahead <= maxQueue
 }
 
-// ReadyIn is when the first server of a service will hold what it is being
-// brought; 0 if nothing is known to be.
+// ReadyIn returns the time until the first server of a service holds the model that it loads or
+// accepts requests again; 0 if unknown.
 func (f *Fleet) ReadyIn(service string, now time.Duration) time.Duration {
 	return f.readyIn(Request{Service: service}, now)
 }
 
-// readyIn is when the first server will hold what a request needs, or accept requests again.
+// readyIn returns the time until the first server of the request's service holds the model that it
+// loads or accepts requests again; 0 if unknown.
 func (f *Fleet) readyIn(request Request, now time.Duration) time.Duration {
-	first := time.Duration(0)
+	earliest := time.Duration(0)
 	for _, s := range f.servers {
 		at := max(s.loadedAt, f.retryAt(s))
 		if s.backend.Service != request.Service || at <= now || f.announcedDraining(s.backend) {
 			continue
 		}
-		if in := at - now; first == 0 || in < first {
-			first = in
+		if in := at - now; earliest == 0 || in < earliest {
+			earliest = in
 		}
 	}
-	return first
+	return earliest
 }
--- a/internal/coordination/fleet/counts.go
+++ b/internal/coordination/fleet/counts.go
@@ -7,112 +7,112 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// Load is a server's own report, as its agent sends it.
+// Report is the state of a server as its agent reports it.
 type Load struct {
-	// Address is where the server serves.
+	// Address is the address at which the server accepts requests.
 	Address string `cbor:"1,keyasint"`
-	// Boot is the server's start; 0 if the agent does not report it.
+	// Boot is the boot of the server; 0 if the agent does not report it.
 	Boot catalog.Boot `cbor:"2,keyasint,omitempty"`
-	// Before are the boots that the agent saw end, the latest last.
+	// PreviousBoots are the boots that the agent has observed to end, oldest first.
 	Before []catalog.Boot `cbor:"3,keyasint,omitempty"`
-	// Agent is where the report came from, and the agent gives out pieces.
+	// AgentAddress is the address that the report came from, at which the agent serves pieces.
 	Agent string `cbor:"-"`
-	// Sequence grows with each report, also across restarts of the agent, but for
-	// steps of the host's clock.
+	// Sequence increases with each report, also across restarts of the agent, unless the host's
+	// clock is set back.
 	Sequence uint64 `cbor:"4,keyasint"`
 	Running  int    `cbor:"5,keyasint,omitempty"`
 	Queued   int    `cbor:"6,keyasint,omitempty"`
-	// Pace is above 1 if the server takes so many times longer than it should; 0 if
-	// that is not known.
+	// Pace is the factor by which the server is slower than expected, above 1 if it is slower; 0 if
+	// unknown.
 	Pace float64 `cbor:"7,keyasint,omitempty"`
-	// Switching is true from shortly before a load order until it is done.
+	// Switching is true from shortly before a load order until the load has ended.
 	Switching bool            `cbor:"8,keyasint,omitempty"`
 	Models    []catalog.Model `cbor:"9,keyasint,omitempty"`
-	// LeavesIn is how long it still takes until the server breaks off what it does
-	// for a change of its weights; 0 if none is due.
+	// LeavesIn is the time until the server interrupts its requests to switch weights; 0 if no
+	// switch is due.
 	LeavesIn time.Duration `cbor:"10,keyasint,omitempty"`
-	// LoadedIn is how long it still takes until the server holds what it is
-	// being brought; 0 if nothing is.
+	// LoadedIn is the time until the server holds the model that it loads; 0 if it loads none.
 	LoadedIn time.Duration `cbor:"11,keyasint,omitempty"`
-	// Leaving is true if the server seems to leave, by its own answers.
+	// Draining is true if the answers of the server indicate that it is draining.
 	Leaving bool `cbor:"12,keyasint,omitempty"`
 }
 
-// Report takes a server's own report.
-func (f *Fleet) Report(load Load, now time.Duration) {
-	s, ok := f.servers[f.byAddress[load.Address]]
-	if !ok || !f.takesReport(s, &load, now) {
+// ApplyReport applies the report of a server's agent.
+func (f *Fleet) Report(report Load, now time.Duration) {
+	s, ok := f.servers[f.byAddress[report.Address]]
+	if !ok || !f.acceptReport(s, &report, now) {
 		return
 	}
-	changed := load.Leaving != s.load.Leaving
+	changed := report.Leaving != s.report.Leaving
 	s.hasReport = true
-	s.load = load
-	s.reported = load.Models
+	s.report = report
+	s.reportedModels = report.Models
 	s.reportedAt = now
-	f.noteReport(s)
-	s.switchingUntil, s.loadedAt, s.leavesAt = 0, 0, 0
-	if load.LeavesIn > 0 {
-		s.leavesAt = now + load.LeavesIn
+	f.moveToNewest(s)
+	s.switchingUntil, s.loadedAt, s.interruptsAt = 0, 0, 0
+	if report.LeavesIn > 0 {
+		s.interruptsAt = now + report.LeavesIn
 	}
-	if load.LoadedIn > 0 {
-		s.loadedAt = now + load.LoadedIn
+	if report.LoadedIn > 0 {
+		s.loadedAt = now + report.LoadedIn
 	}
-	if load.Switching {
-		s.switchingUntil = now + f.config.SwitchMost
-		f.transient[s.backend.ID] = true
+	if report.Switching {
+		s.switchingUntil = now + f.config.MaxSwitchDuration
+		f.recheck[s.backend.ID] = true
 	}
 	if changed {
-		f.list(now)
+		f.updateMembership(now)
 	}
-	f.place(s.backend.ID, now)
+	f.syncRouter(s.backend.ID, now)
 }
 
-// strayRequests is how many more requests a server may report than the entries
-// know of before the report is believed: what the server took and ended since the report was made.
-const strayRequests = 4
+// reportTolerance is the number of requests by which a report may exceed the sum of all known
+// requests before the report takes precedence. It covers the requests that the server received and
+// ended since the report was made.
+const reportTolerance = 4
 
-// count updates the router's count of other entries' requests at a server.
+// syncPeerRequests updates the router's count of other entries' requests at a server.
 //
-// Guard: requests of an entry that is not heard wait in the same queue; only the server's own
-// report shows them.
-func (f *Fleet) count(s *server, now time.Duration) {
+// Requests of an entry whose gossip does not arrive wait in the same queue. Only the report of the
+// server's agent includes them.
+func (f *Fleet) syncPeerRequests(s *server, now time.Duration) {
 	router := f.router(s.backend.Service)
 	if router == nil {
 		return
 	}
-	others := s.othersSum
-	if s.hasReport && now-s.reportedAt < f.config.ReportFresh {
-		others = max(others, s.load.Running+s.load.Queued-s.own-strayRequests)
+	others := s.peerTotal
+	if s.hasReport && now-s.reportedAt < f.config.ReportTTL {
+		others = max(others, s.report.Running+s.report.Queued-s.ownRequests-reportTolerance)
 	}
 	router.SetOthers(filbertlever.HostID(s.backend.ID), others, s.backend.Slots, now)
 }
 
-// Counts returns how many requests of this entry each server has.
+// InFlightCounts returns the number of requests of this entry in flight, by server.
 func (f *Fleet) Counts() map[string]int {
 	counts := make(map[string]int, len(f.busy))
 	for id, s := range f.busy {
-		counts[id] = s.own
+		counts[id] = s.ownRequests
 	}
 	return counts
 }
 
-// sent counts one more request of this entry at a server.
-func (f *Fleet) sent(s *server, now time.Duration) {
-	if s.own == 0 {
-		s.progressAt, s.batchAt = now, now
+// recordSent counts one more request of this entry at a server.
+func (f *Fleet) recordSent(s *server, now time.Duration) {
+	if s.ownRequests == 0 {
+		s.progressAt, s.batchStartedAt = now, now
 		f.busy[s.backend.ID] = s
 	}
-	s.own++
+	s.ownRequests++
 }
 
-// Ended notes that a request sent to a server has ended there, or was not sent.
+// Release removes a request from the count of a server, after it has ended there or was not sent.
 func (f *Fleet) Ended(id string) {
 	s, ok := f.busy[id]
 	if !ok {
 		return
 	}
-	s.own--
-	if s.own == 0 {
+	s.ownRequests--
+	if s.ownRequests == 0 {
 		delete(f.busy, id)
 	}
 	if router := f.router(s.backend.Service); router != nil {
@@ -120,52 +120,52 @@
 	}
 }
 
-// SetCounts takes how many requests another entry has at each server; nil if
-// the entry is gone.
+// SetPeerCounts sets the number of requests that another entry has in flight, by server. The counts
+// are nil if the entry has left.
 func (f *Fleet) SetCounts(entry filbertlever.HostID, counts map[string]int, now time.Duration) {
-	for _, id := range f.gossiped[entry] {
+	for _, id := range f.gossipedServers[entry] {
 		if counts[id] == 0 {
-			f.setOthers(id, entry, 0, now)
+			f.setPeerCount(id, entry, 0, now)
 		}
 	}
-	known := f.gossiped[entry][:0]
+	servers := f.gossipedServers[entry][:0]
 	for id, n := range counts {
-		if n > 0 && f.setOthers(id, entry, n, now) {
-			known = append(known, id)
+		if n > 0 && f.setPeerCount(id, entry, n, now) {
+			servers = append(servers, id)
 		}
 	}
-	if len(known) == 0 {
-		delete(f.gossiped, entry)
+	if len(servers) == 0 {
+		delete(f.gossipedServers, entry)
 		return
 	}
-	f.gossiped[entry] = known
+	f.gossipedServers[entry] = servers
 }
 
-// setOthers takes how many requests another entry has at one server; it returns false if
-// the server is not known.
-func (f *Fleet) setOthers(id string, entry filbertlever.HostID, n int, now time.Duration) bool {
+// setPeerCount sets the number of requests that another entry has in flight at one server. It
+// returns false if the fleet does not track the server.
+func (f *Fleet) setPeerCount(id string, entry filbertlever.HostID, n int, now time.Duration) bool {
 	s, ok := f.servers[id]
 	if !ok {
 		return false
 	}
-	old := s.others[entry]
+	old := s.peerRequests[entry]
 	if n == old {
 		return true
 	}
-	s.othersSum += n - old
+	s.peerTotal += n - old
 	switch {
 	case n == 0:
-		delete(s.others, entry)
-	case s.others == nil:
-		s.others = map[filbertlever.HostID]int{entry: n}
+		delete(s.peerRequests, entry)
+	case s.peerRequests == nil:
+		s.peerRequests = map[filbertlever.HostID]int{entry: n}
 	default:
-		s.others[entry] = n
+		s.peerRequests[entry] = n
 	}
-	f.count(s, now)
+	f.syncPeerRequests(s, now)
 	return true
 }
 
-// ServiceAt returns the service of the server at an address; empty if none is known there.
+// ServiceAt returns the service of the server at an address; empty if there is none.
 func (f *Fleet) ServiceAt(address string) string {
 	if s, ok := f.servers[f.byAddress[address]]; ok {
 		return s.backend.Service
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet keeps what one entry believes of the backend servers of all
-// services, and picks one for each request.
+// Package fleet tracks the state of the backend servers of all services as one entry sees it, and
+// picks a server for each request.
 package fleet
 
 import (
@@ -16,183 +16,194 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/routing"
 )
 
-// Config holds the costs and times of a Fleet.
+// Config holds the penalties, timeouts and limits of a Fleet.
 type Config struct {
+	// Site and Region are those of this entry.
 	Site   string
 	Region string
-	// Regions gives the region of each site.
+	// Regions maps each site to its region.
 	Regions map[string]string
-	// OtherSite and OtherRegion are what a server there must be better by.
-	OtherSite   time.Duration
-	OtherRegion time.Duration
-	// FarMargin is how many more requests a server of another region is taken to
-	// have than is known: what its own entries send it is heard later, and of
-	// several such servers the one that seems best is the one most misjudged.
-	FarMargin int
-	// PlainService is what a plain service takes for a request, until known.
-	PlainService time.Duration
-	// ReportFresh is how long a server's own report goes before the list.
-	ReportFresh time.Duration
-	// SwitchMost is how long a server may be switching weights before a missing
-	// end of it is taken for a lost report.
-	SwitchMost time.Duration
-	// EngineStall and PlainStall are the silences after which a server with
-	// requests gets no more.
-	EngineStall time.Duration
-	PlainStall  time.Duration
-	// ReportMissed is the time without a report after which a server of this
-	// region is silent, and ReportForgotten when it counts as one without agent.
-	ReportMissed    time.Duration
-	ReportForgotten time.Duration
-	// SilentTTL is how long another entry's report of a silent server holds.
+	// OtherSitePenalty is added to the predicted latency of a server of another site in this
+	// region, and OtherRegionPenalty to that of a server of another region.
+	OtherSitePenalty   time.Duration
+	OtherRegionPenalty time.Duration
+	// OtherRegionMargin is added to the known number of requests at a server of another region.
+	// Requests that entries of that region send are gossiped here with a delay, and of several such
+	// servers the one that seems least loaded is the one whose load is underestimated most.
+	OtherRegionMargin int
+	// PlainServiceTime is the assumed duration of a request of a service without models, until it
+	// is known.
+	PlainServiceTime time.Duration
+	// ReportTTL is how long a report of a server's agent takes precedence over the server list.
+	ReportTTL time.Duration
+	// MaxSwitchDuration is how long a server counts as switching weights after the last report of
+	// the switch. The report of its end may have been lost.
+	MaxSwitchDuration time.Duration
+	// EngineStallTimeout and PlainStallTimeout are the times without progress after which a server
+	// with requests in flight gets no more requests.
+	EngineStallTimeout time.Duration
+	PlainStallTimeout  time.Duration
+	// ReportTimeout is the time without a report or an answer after which a server of this region
+	// is silent. After AgentTimeout without a report it counts as a server without an agent.
+	ReportTimeout time.Duration
+	AgentTimeout  time.Duration
+	// SilentTTL is how long gossip that a server is silent stays valid.
 	SilentTTL time.Duration
-	// LapseGrace is how long after an outage of the store a missing row may be one that
-	// lapsed meanwhile and comes back.
-	LapseGrace time.Duration
-	// Lapsed is what a server whose row may have lapsed must be better by.
-	Lapsed time.Duration
+	// ExpiryGracePeriod is the time after an outage of the store during which a missing row may
+	// have expired in the outage and may be written again.
+	ExpiryGracePeriod time.Duration
+	// ExpiredRowPenalty is added to the predicted latency of a server whose row is missing and may
+	// have expired.
+	ExpiredRowPenalty time.Duration
 }
 
-// DefaultConfig returns the costs used in production.
+// DefaultConfig returns the configuration used in production.
 func DefaultConfig() Config {
 	return Config{
-		OtherSite: 20 * time.Millisecond,
-		// A little more than one waiting request costs: a server elsewhere is taken
-		// if two would wait here. Bytes between regions are scarce too.
-		OtherRegion:  90 * time.Millisecond,
-		FarMargin:    2,
-		PlainService: 30 * time.Millisecond,
-		ReportFresh:  2 * time.Second,
-		// Longer than the first event of a request in a full engine's queue takes, and than work at
-		// plain servers does.
-		EngineStall: 600 * time.Millisecond,
-		PlainStall:  300 * time.Millisecond,
-		// Three reports missed, and one late.
-		ReportMissed:    700 * time.Millisecond,
-		SilentTTL:       time.Second,
-		ReportForgotten: 15 * time.Second,
-		SwitchMost:      4 * time.Second,
-		LapseGrace:      2 * time.Second,
-		Lapsed:          90 * time.Millisecond,
+		OtherSitePenalty: 20 * time.Millisecond,
+		// Slightly more than the wait behind one queued request. A server of another region is used if two
+		// requests would queue in this region. Bandwidth between regions is scarce too.
+		OtherRegionPenalty: 90 * time.Millisecond,
+		OtherRegionMargin:  2,
+		PlainServiceTime:   30 * time.Millisecond,
+		ReportTTL:          2 * time.Second,
+		// Longer than a request in the queue of a full engine waits for its first event, and longer than
+		// a request takes at a server without models.
+		EngineStallTimeout: 600 * time.Millisecond,
+		PlainStallTimeout:  300 * time.Millisecond,
+		// Three missed reports and one late report.
+		ReportTimeout:     700 * time.Millisecond,
+		SilentTTL:         time.Second,
+		AgentTimeout:      15 * time.Second,
+		MaxSwitchDuration: 4 * time.Second,
+		ExpiryGracePeriod: 2 * time.Second,
+		ExpiredRowPenalty: 90 * time.Millisecond,
 	}
 }
 
-// server is what is known of one life of a backend server.
+// server is the state of one process of a backend server.
 type server struct {
-	// backend is by the row, but for the boot, which may be known by a report first.
+	// backend is the server as its row describes it. The boot may come from a report before the row
+	// has it.
 	backend catalog.Backend
-	row     rowOf
-	// own is how many requests of this entry the server has now, and others how
-	// many each other entry says that it has there.
-	own int
-	// progressAt is when a part of an answer last came, or the first of the
-	// present requests was sent; heardAt only the former.
-	progressAt time.Duration
-	heardAt    time.Duration
-	// batchAt is when the first of the present requests was sent.
-	batchAt time.Duration
-	others  map[filbertlever.HostID]int
-	// othersSum is the sum of others.
-	othersSum int
-	// load is what the server itself reported last.
-	load Load
-	// reported are the models by the server's own report, at reportedAt.
-	reported   []catalog.Model
-	reportedAt time.Duration
-	hasReport  bool
-	// turn is the server's place in Fleet.reports; nil if it has none.
-	turn *list.Element
-	// loadedAt is when the server will hold what it is being brought; 0 if unknown.
+	lastRow rowVersion
+	// ownRequests is the number of requests of this entry in flight at the server.
+	ownRequests int
+	// progressAt is when the server last sent a part of an answer or the first of the requests in
+	// flight was sent to it. lastEventAt is the former only.
+	progressAt  time.Duration
+	lastEventAt time.Duration
+	// batchStartedAt is when the first of the requests in flight was sent.
+	batchStartedAt time.Duration
+	// peerRequests is the number of requests in flight at the server, by the entry that gossiped
+	// it.
+	peerRequests map[filbertlever.HostID]int
+	// peerTotal is the sum of peerRequests.
+	peerTotal int
+	// report is the last report of the server's agent.
+	report Load
+	// reportedModels are the models of the last report, which arrived at reportedAt.
+	reportedModels []catalog.Model
+	reportedAt     time.Duration
+	hasReport      bool
+	// reportElement is the server's element in Fleet.reportOrder; nil if it has none.
+	reportElement *list.Element
+	// loadedAt is when the server is expected to hold the model that it loads; 0 if unknown.
 	loadedAt time.Duration
-	// leavesAt is when the server breaks off what it does for a change of its
-	// weights; 0 if none is due.
-	leavesAt time.Duration
-	// switchingUntil is when the server is taken to have ended its switch.
+	// interruptsAt is when the server interrupts its requests to switch weights; 0 if no switch is
+	// due.
+	interruptsAt time.Duration
+	// switchingUntil is when a weight switch is assumed to have ended.
 	switchingUntil time.Duration
-	// placedUsable is what the router was last given; Fleet.unusable has those that are not.
-	placedUsable bool
-	// silentUntil is until when entries of the server's own region say that it is
-	// silent; this entry, of another region, cannot see it.
+	// routerUsable is the value that the router was last given. Servers for which it is false are
+	// in Fleet.unusable.
+	routerUsable bool
+	// silentUntil is when gossip that the server is silent expires. It is set for servers of other
+	// regions, whose silence this entry cannot detect itself.
 	silentUntil time.Duration
-	// bootedAt is when this process was first heard of, if it followed another; else 0.
-	bootedAt time.Duration
-	// unreachableAt is when a connection to the server could last not be opened; 0 if always one could.
+	// restartedAt is when this process was first observed, if it replaced another process; else 0.
+	restartedAt time.Duration
+	// unreachableAt is when opening a connection to the server last failed; 0 if it never did.
 	unreachableAt time.Duration
-	// missingSince is when the list first lacked the server; 0 if it is listed.
+	// missingSince is when the server was first missing from the list; 0 if it is listed.
 	missingSince time.Duration
-	// closes is true once the server has closed a connection while it was not listed.
-	closes bool
+	// closesConnections is true if the server closed a connection while it was missing from the
+	// list.
+	closesConnections bool
 }
 
-// Fleet is not safe for concurrent use. Times are of one steady clock.
+// Fleet tracks the backend servers of all services. It is not safe for concurrent use. All times
+// are of one monotonic clock.
 type Fleet struct {
 	config  Config
 	rng     *rand.Rand
 	state   *catalog.State
-	table   *membership.Table
+	members *membership.Table
 	routers map[string]*routing.Router
 	servers map[string]*server
-	// byAddress gives the server listed last for an address.
+	// byAddress maps each address to the ID of the server with the newest row for it.
 	byAddress map[string]string
 	revision  uint64
-	// announcements are what servers have announced in answers, by ID.
+	// announcements are what servers announced in their answers, by server ID.
 	announcements map[string]*announcement
-	// named are the versions of each model that operators have named.
-	named map[string][]uint64
-	// modelMisses is how many servers of a service in a row lacked what they should hold.
+	// namedVersions are the versions of each model that operators have named.
+	namedVersions map[string][]uint64
+	// modelMisses counts, by service, consecutive requests at servers that lacked the model they
+	// were expected to hold.
 	modelMisses map[string]int
-	// transient are servers whose fitness changes with time alone.
-	transient map[string]bool
-	// ended are processes that have ended, and restarts those that Restarts has not returned.
-	ended    map[life]time.Duration
+	// recheck are the servers whose state changes with time alone. Each refresh evaluates them.
+	recheck map[string]bool
+	// endedProcesses maps each process that has ended to when this was observed.
+	endedProcesses map[process]time.Duration
+	// restarts are those that TakeRestarts has not returned yet.
 	restarts []Restart
-	// replaced are processes that another has followed, and that Replacements has not returned.
+	// replaced are the processes that were replaced and that TakeReplaced has not returned yet.
 	replaced []catalog.Backend
-	// What has changed is noted where it changes, so that no step looks at every server.
+	// The following indexes are updated incrementally, so that periodic work need not scan all servers.
 
-	// busy are the servers that have requests of this entry.
+	// busy are the servers at which this entry has requests in flight.
 	busy map[string]*server
-	// gossiped are the servers at which another entry has requests.
-	gossiped map[filbertlever.HostID][]string
-	// reports has the servers of this region by when they last reported, the longest ago
-	// first, but for those that are forgotten.
-	reports *list.List
-	// unusable are the servers that get no requests.
+	// gossipedServers are, by entry, the servers at which that entry has requests in flight.
+	gossipedServers map[filbertlever.HostID][]string
+	// reportOrder holds the servers of this region by the time of their last report, oldest first.
+	// Servers whose agent has timed out are not in it.
+	reportOrder *list.List
+	// unusable are the servers that are marked as unusable in their router.
 	unusable map[string]*server
-	// sweptAt is when servers were last looked at for silence.
-	sweptAt time.Duration
-	// outageEnd is the end of the store's last outage; hadOutage is false if none is known.
-	outageEnd time.Duration
-	hadOutage bool
-	epoch     time.Time
+	// healthCheckedAt is the time of the last health check.
+	healthCheckedAt time.Duration
+	// outageEnd is the end of the store's last outage; outageKnown is false if none is known.
+	outageEnd   time.Duration
+	outageKnown bool
+	epoch       time.Time
 }
 
-// New returns a fleet that knows no server.
+// New returns a fleet without servers.
 func New(config Config, rng *rand.Rand) *Fleet {
 	return &Fleet{
-		config:        config,
-		rng:           rng,
-		table:         membership.New(membership.DefaultConfig()),
-		routers:       map[string]*routing.Router{},
-		servers:       map[string]*server{},
-		byAddress:     map[string]string{},
-		announcements: map[string]*announcement{},
-		named:         map[string][]uint64{},
-		modelMisses:   map[string]int{},
-		transient:     map[string]bool{},
-		ended:         map[life]time.Duration{},
-		busy:          map[string]*server{},
-		gossiped:      map[filbertlever.HostID][]string{},
-		reports:       list.New(),
-		unusable:      map[string]*server{},
-		epoch:         time.Unix(0, 0),
+		config:          config,
+		rng:             rng,
+		members:         membership.New(membership.DefaultConfig()),
+		routers:         map[string]*routing.Router{},
+		servers:         map[string]*server{},
+		byAddress:       map[string]string{},
+		announcements:   map[string]*announcement{},
+		namedVersions:   map[string][]uint64{},
+		modelMisses:     map[string]int{},
+		recheck:         map[string]bool{},
+		endedProcesses:  map[process]time.Duration{},
+		busy:            map[string]*server{},
+		gossipedServers: map[filbertlever.HostID][]string{},
+		reportOrder:     list.New(),
+		unusable:        map[string]*server{},
+		epoch:           time.Unix(0, 0),
 	}
 }
 
-// at maps the steady clock to the times that membership counts in.
-func (f *Fleet) at(now time.Duration) time.Time { return f.epoch.Add(now) }
+// membershipTime converts a monotonic time to the time that package membership expects.
+func (f *Fleet) membershipTime(now time.Duration) time.Time { return f.epoch.Add(now) }
 
-// SetState takes the desired state that is in force.
+// SetState sets the active desired state.
 func (f *Fleet) SetState(state *catalog.State, now time.Duration) {
 	old := f.state
 	f.state = state
@@ -202,7 +213,7 @@
 		}
 	}
 	for id := range f.servers {
-		f.place(id, now)
+		f.syncRouter(id, now)
 	}
 }
 
@@ -214,56 +225,56 @@
 		a.UsualPrompt == b.UsualPrompt && a.UsualAnswer == b.UsualAnswer
 }
 
-// SetOutageEnd takes the end of the store's last outage; ok is false if none is known.
+// SetOutageEnd sets the end of the store's last outage; ok is false if none is known.
 func (f *Fleet) SetOutageEnd(end time.Duration, ok bool, now time.Duration) {
-	f.outageEnd, f.hadOutage = end, ok
+	f.outageEnd, f.outageKnown = end, ok
 	f.refresh(now)
 }
 
-// SetNamed takes the versions of a model that operators have named.
+// SetNamedVersions sets the versions of a model that operators have named.
 func (f *Fleet) SetNamed(model string, versions []uint64, now time.Duration) {
-	f.named[model] = versions
+	f.namedVersions[model] = versions
 	for id := range f.servers {
-		f.place(id, now)
+		f.syncRouter(id, now)
 	}
 }
 
-// Apply takes servers that the list shows or no longer shows. A whole list
-// also drops the servers that it lacks.
-func (f *Fleet) Apply(present []catalog.Backend, gone []string, whole bool, now time.Duration) {
+// Apply applies changes of the server list. If complete is true, present is the whole list and all
+// other servers are removed from it.
+func (f *Fleet) Apply(present []catalog.Backend, removed []string, complete bool, now time.Duration) {
 	listed := map[string]bool{}
 	for _, backend := range present {
 		listed[backend.ID] = true
-		f.show(backend, now)
+		f.applyRow(backend, now)
 	}
-	f.dropReplaced(present)
-	if whole {
+	f.removeReplaced(present)
+	if complete {
 		for id := range f.servers {
 			if !listed[id] {
-				gone = append(gone, id)
+				removed = append(removed, id)
 			}
 		}
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		if s, ok := f.servers[id]; ok && s.missingSince == 0 {
 			s.missingSince = max(now, 1)
-			f.transient[id] = true
+			f.recheck[id] = true
 		}
 	}
-	f.list(now)
+	f.updateMembership(now)
 	for _, backend := range present {
 		if f.Known(backend.ID) {
-			f.place(backend.ID, now)
+			f.syncRouter(backend.ID, now)
 		}
 	}
 	f.refresh(now)
 }
 
-// dropReplaced drops servers whose address has been taken by another one since.
+// removeReplaced removes servers whose address has since been taken by another server.
 //
-// Guard: after a loss of power every server is a new one at its old address, and the rows of
-// the old ones, which stay for seconds, would use up the retries.
-func (f *Fleet) dropReplaced(present []catalog.Backend) {
+// After a power failure every server has a new ID at its old address. The rows of the old servers
+// stay for seconds, and requests would use up their retries on them.
+func (f *Fleet) removeReplaced(present []catalog.Backend) {
 	newest := map[string]string{}
 	for id, s := range f.servers {
 		old, ok := f.servers[newest[s.backend.Address]]
@@ -277,27 +288,27 @@
 	for id, s := range f.servers {
 		other, ok := f.servers[newest[s.backend.Address]]
 		if ok && newest[s.backend.Address] != id && s.backend.Revision < other.backend.Revision {
-			f.noteReplaced(s.backend)
-			f.drop(id, s)
+			f.recordReplaced(s.backend)
+			f.remove(id, s)
 		}
 	}
 }
 
-// list hands the present list to the membership table.
-func (f *Fleet) list(now time.Duration) {
+// updateMembership passes the current servers to the membership table.
+func (f *Fleet) updateMembership(now time.Duration) {
 	f.revision++
 	hosts := make([]filbertlever.Host, 0, len(f.servers))
 	for _, s := range f.servers {
 		hosts = append(hosts, f.host(s.backend))
 	}
-	f.table.ApplyList(f.revision, hosts, f.at(now))
+	f.members.ApplyList(f.revision, hosts, f.membershipTime(now))
 }
 
 func (f *Fleet) host(b catalog.Backend) filbertlever.Host {
 	return filbertlever.Host{ID: filbertlever.HostID(b.ID), Site: b.Site, Region: f.config.Regions[b.Site], Leaving: f.draining(b)}
 }
 
-// plainTarget is the target of services without models.
+// plainTarget is the routing target of services without models.
 const plainTarget routing.Target = "plain"
 
 func modelTarget(model string) routing.Target { return routing.Target(model) }
@@ -306,55 +317,55 @@
 	return routing.Target(model + "@" + strconv.FormatUint(version, 10))
 }
 
-func leastTarget(model string, version uint64) routing.Target {
+func minVersionTarget(model string, version uint64) routing.Target {
 	return routing.Target(model + ">=" + strconv.FormatUint(version, 10))
 }
 
-// place brings the router up to date on one server.
-func (f *Fleet) place(id string, now time.Duration) {
+// syncRouter updates the router with the state of one server.
+func (f *Fleet) syncRouter(id string, now time.Duration) {
 	s := f.servers[id]
 	router := f.router(s.backend.Service)
 	if router == nil {
 		return
 	}
 	host := f.host(s.backend)
-	f.noteUsable(s, f.usable(s, now))
-	router.SetHost(host, s.placedUsable)
+	f.markUsable(s, f.usable(s, now))
+	router.SetHost(host, s.routerUsable)
 	router.SetLoaded(host.ID, f.targets(s, now))
-	router.SetLeaves(host.ID, s.leavesAt)
+	router.SetLeaves(host.ID, s.interruptsAt)
 	router.SetDoubtful(host.ID, s.missingSince != 0)
-	f.count(s, now)
+	f.syncPeerRequests(s, now)
 }
 
-// targets are what a server can serve: by its own report while that is fresh,
-// else by the list, which is up to a heartbeat behind.
+// targets returns the routing targets that a server can serve.
 func (f *Fleet) targets(s *server, now time.Duration) []routing.Target {
 	if f.state == nil || f.state.Services[s.backend.Service].Engine == nil {
 		return []routing.Target{plainTarget}
 	}
 	var targets []routing.Target
-	for _, model := range f.models(s, now) {
+	for _, model := range f.heldModels(s, now) {
 		targets = append(targets, modelTarget(model.Name), versionTarget(model.Name, model.Version))
-		for _, named := range f.named[model.Name] {
+		for _, named := range f.namedVersions[model.Name] {
 			if model.Version >= named {
-				targets = append(targets, leastTarget(model.Name, named))
+				targets = append(targets, minVersionTarget(model.Name, named))
 			}
 		}
 	}
 	return targets
 }
 
-// models are what a server holds.
-func (f *Fleet) models(s *server, now time.Duration) []catalog.Model {
-	if s.hasReport && now-s.reportedAt < f.config.ReportFresh {
-		return s.reported
+// heldModels returns the models that a server holds. A fresh report takes precedence over the list,
+// which lags by up to a heartbeat interval.
+func (f *Fleet) heldModels(s *server, now time.Duration) []catalog.Model {
+	if s.hasReport && now-s.reportedAt < f.config.ReportTTL {
+		return s.reportedModels
 	}
 	return s.backend.Models
 }
 
-// version is the version that a server holds of a model; 0 if none.
-func (f *Fleet) version(s *server, model string, now time.Duration) uint64 {
-	for _, m := range f.models(s, now) {
+// heldVersion returns the version of a model that a server holds; 0 if none.
+func (f *Fleet) heldVersion(s *server, model string, now time.Duration) uint64 {
+	for _, m := range f.heldModels(s, now) {
 		if m.Name == model {
 			return m.Version
 		}
@@ -362,7 +373,8 @@
 	return 0
 }
 
-// router returns the router of a service, or nil if the state lacks it.
+// router returns the router of a service, creating it if needed, or nil if the desired state lacks
+// the service.
 func (f *Fleet) router(name string) *routing.Router {
 	if router, ok := f.routers[name]; ok {
 		return router
@@ -375,15 +387,15 @@
 		return nil
 	}
 	config := routing.Config{
-		Service: f.config.PlainService, OtherSite: f.config.OtherSite, OtherRegion: f.config.OtherRegion, Samples: samples,
-		Doubtful: f.config.Lapsed,
+		Service: f.config.PlainServiceTime, OtherSite: f.config.OtherSitePenalty, OtherRegion: f.config.OtherRegionPenalty, Samples: candidateSamples,
+		Doubtful: f.config.ExpiredRowPenalty,
 	}
 	if e := service.Engine; e != nil {
 		config.Service = serviceTime(e)
 		config.PrefillToken = e.PromptToken
 		config.UsualPrompt = time.Duration(e.UsualPrompt) * e.PromptToken
-		config.Cut = cutCost
-		config.FirstToken = firstPasses * time.Duration(e.Stride) * e.Step
+		config.Cut = interruptionCost
+		config.FirstToken = passesBeforeFirstEvent * time.Duration(e.Stride) * e.Step
 	}
 	router := routing.New(config, f.config.Site, f.config.Region, f.rng)
 	f.routers[name] = router
@@ -391,25 +403,26 @@
 }
 
 const (
-	// samples is how many servers are weighed: one of the least loaded fifth is among them
-	// nearly always.
-	samples = 8
-	// cutCost is what it costs to begin an answer where it will be broken off: it decides
-	// between servers that are alike, and does not gather long answers at a few.
-	cutCost = 20 * time.Millisecond
-	// firstPasses is how many passes of an engine a new request waits through
-	// before its first event, with others' prompts read between.
-	firstPasses = 2
+	// candidateSamples is the number of servers compared for a request. The sample nearly always
+	// includes one of the least loaded fifth.
+	candidateSamples = 8
+	// interruptionCost is the cost of starting an answer at a server that will interrupt it. It is
+	// small enough to decide only between similar servers and not to concentrate long answers at a
+	// few.
+	interruptionCost = 20 * time.Millisecond
+	// passesBeforeFirstEvent is the number of engine passes that a new request waits for before its
+	// first event. Prompts of other requests are prefilled between them.
+	passesBeforeFirstEvent = 2
 )
 
-// serviceTime is how long a request holds a slot of a full engine: each of the
-// batch waits while the prompts of all are read.
+// serviceTime returns how long a request occupies a slot of a full engine. Each request of a batch
+// waits while the prompts of all of them are prefilled.
 func serviceTime(e *catalog.Engine) time.Duration {
-	reading := time.Duration(e.Slots*e.UsualPrompt) * e.PromptToken
-	return reading + time.Duration(e.UsualAnswer)*e.Step
+	prefill := time.Duration(e.Slots*e.UsualPrompt) * e.PromptToken
+	return prefill + time.Duration(e.UsualAnswer)*e.Step
 }
 
-// Backends returns the servers of a service that are not gone, by ID.
+// Backends returns the listed servers of a service, sorted by ID.
 func (f *Fleet) Backends(service string) []catalog.Backend {
 	var backends []catalog.Backend
 	for _, s := range f.servers {
@@ -421,7 +434,8 @@
 	return backends
 }
 
-// Known reports whether a server is still listed.
+// Contains reports whether the fleet tracks a server. A server that is missing from the list is
+// tracked until it is removed.
 func (f *Fleet) Known(id string) bool {
 	_, ok := f.servers[id]
 	return ok
--- a/internal/coordination/fleet/health.go
+++ b/internal/coordination/fleet/health.go
@@ -8,82 +8,85 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// gone reports whether a server's row was removed. After an outage of the store, in which
-// the rows of live servers lapse, a missing row shows nothing for a while.
+// isRemoved reports whether a server's row was removed. Rows of running servers expire during an
+// outage of the store, so a missing row counts as removed only after a grace period.
 //
-// Guard: an absence of this entry alone lapses no row.
-func (f *Fleet) gone(s *server, now time.Duration) bool {
-	return s.missingSince != 0 && (s.closes || !f.hadOutage || now-f.outageEnd >= f.config.LapseGrace)
+// Only outages of the store itself count. If this entry alone lost contact with the store, no rows
+// expired.
+func (f *Fleet) isRemoved(s *server, now time.Duration) bool {
+	return s.missingSince != 0 && (s.closesConnections || !f.outageKnown || now-f.outageEnd >= f.config.ExpiryGracePeriod)
 }
 
-// usable reports whether new requests may go to a server.
+// usable reports whether new requests may be sent to a server.
 func (f *Fleet) usable(s *server, now time.Duration) bool {
-	if f.gone(s, now) {
+	if f.isRemoved(s, now) {
 		return false
 	}
-	return now >= s.switchingUntil && now >= s.silentUntil && now >= f.retryAt(s) && !f.stalled(s, now) && !f.silent(s, now) && f.table.Usable(filbertlever.HostID(s.backend.ID), f.at(now))
+	return now >= s.switchingUntil && now >= s.silentUntil && now >= f.retryAt(s) && !f.stalled(s, now) && !f.silent(s, now) && f.members.Usable(filbertlever.HostID(s.backend.ID), f.membershipTime(now))
 }
 
-// stalled reports whether a server has requests and has been silent for longer
-// than any sound one is.
+// stalled reports whether a server with requests in flight has made no progress for longer than a
+// healthy server would.
 //
-// Guard: a suspended host refuses nothing and breaks nothing off; it looks idle until its first
-// request is given up.
+// A suspended host neither refuses nor closes connections. It appears idle until its first request
+// times out.
 func (f *Fleet) stalled(s *server, now time.Duration) bool {
-	if s.own == 0 {
+	if s.ownRequests == 0 {
 		return false
 	}
-	limit := f.config.PlainStall
+	limit := f.config.PlainStallTimeout
 	if f.state != nil {
 		if engine := f.state.Services[s.backend.Service].Engine; engine != nil {
-			limit = f.config.EngineStall + f.firstReading(s, engine)
+			limit = f.config.EngineStallTimeout + f.firstPrefill(s, engine)
 		}
 	}
 	return now-s.progressAt > limit
 }
 
-// firstReading is how long an engine that has sent nothing yet of the requests that
-// it has now may read their prompts before it sends anything.
+// firstPrefill returns how long an engine may take to prefill the prompts of the requests in flight
+// before it sends a first event for any of them.
 //
-// Guard: after a loss of power each engine gets a whole batch at once, and sends nothing while it
-// reads the prompts; it is not stalled.
-func (f *Fleet) firstReading(s *server, engine *catalog.Engine) time.Duration {
-	if s.heardAt >= s.batchAt {
+// After a power failure each engine receives a whole batch at once and sends nothing while it
+// prefills the prompts. This is not a stall.
+func (f *Fleet) firstPrefill(s *server, engine *catalog.Engine) time.Duration {
+	if s.lastEventAt >= s.batchStartedAt {
 		return 0
 	}
-	return time.Duration(min(s.own+s.othersSum, engine.Slots)*engine.UsualPrompt) * engine.PromptToken
+	return time.Duration(min(s.ownRequests+s.peerTotal, engine.Slots)*engine.UsualPrompt) * engine.PromptToken
 }
 
-// Stalled reports whether a server is silent; its requests are better elsewhere.
+// Stalled reports whether a server with requests in flight makes no progress, so that they should
+// be retried elsewhere.
 func (f *Fleet) Stalled(id string, now time.Duration) bool {
 	s, ok := f.servers[id]
 	return ok && f.stalled(s, now)
 }
 
-// Progress notes that a part of an answer came from a server.
+// RecordProgress records that a server sent a part of an answer.
 func (f *Fleet) Progress(id string, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
-		s.progressAt, s.heardAt = now, now
+		s.progressAt, s.lastEventAt = now, now
 	}
 }
 
-// silent reports whether a server of this region has not been heard of for a while, neither by
-// its agent's reports nor by its answers.
+// silent reports whether a server of this region has sent neither reports of its agent nor answers
+// for ReportTimeout.
 //
-// Guard: of several suspended hosts, a request that is given up at one would be sent to the next.
-// A restart of the agent alone is no sign, as answers go on.
+// When several hosts are suspended, a request that timed out at one of them must not be retried at
+// another. A restart of the agent alone does not make a server silent, because it continues to
+// answer.
 func (f *Fleet) silent(s *server, now time.Duration) bool {
 	if !s.hasReport || f.config.Regions[s.backend.Site] != f.config.Region {
 		return false
 	}
-	quiet := now - max(s.reportedAt, s.heardAt)
-	return quiet > f.config.ReportMissed && now-s.reportedAt < f.config.ReportForgotten
+	idle := now - max(s.reportedAt, s.lastEventAt)
+	return idle > f.config.ReportTimeout && now-s.reportedAt < f.config.AgentTimeout
 }
 
-// Silent returns the servers of this region that are silent, for entries of
-// other regions.
+// SilentServers returns the silent or stalled servers of this region, which are gossiped to entries
+// of other regions.
 func (f *Fleet) Silent(now time.Duration) []string {
-	ids := f.silentReporters(now)
+	ids := f.silentByReport(now)
 	for id, s := range f.busy {
 		if f.config.Regions[s.backend.Site] == f.config.Region && f.stalled(s, now) && !f.silent(s, now) {
 			ids = append(ids, id)
@@ -93,18 +96,18 @@
 	return ids
 }
 
-// silentReporters returns the servers whose agents have fallen silent, and whose answers
-// do not go on.
-func (f *Fleet) silentReporters(now time.Duration) []string {
+// silentByReport returns the servers whose agents stopped reporting and that send no answers. It
+// removes servers from reportOrder whose agent has timed out.
+func (f *Fleet) silentByReport(now time.Duration) []string {
 	var ids []string
-	for e := f.reports.Front(); e != nil; {
+	for e := f.reportOrder.Front(); e != nil; {
 		s := e.Value.(*server)
-		if now-s.reportedAt <= f.config.ReportMissed {
+		if now-s.reportedAt <= f.config.ReportTimeout {
 			break
 		}
 		e = e.Next()
-		if now-s.reportedAt >= f.config.ReportForgotten {
-			f.forgetReport(s)
+		if now-s.reportedAt >= f.config.AgentTimeout {
+			f.removeFromReportOrder(s)
 			continue
 		}
 		if f.silent(s, now) {
@@ -114,64 +117,65 @@
 	return ids
 }
 
-// noteReport notes that a server of this region has just reported.
-func (f *Fleet) noteReport(s *server) {
+// moveToNewest moves a server of this region that has just reported to the end of reportOrder.
+func (f *Fleet) moveToNewest(s *server) {
 	switch {
 	case f.config.Regions[s.backend.Site] != f.config.Region:
-	case s.turn == nil:
-		s.turn = f.reports.PushBack(s)
+	case s.reportElement == nil:
+		s.reportElement = f.reportOrder.PushBack(s)
 	default:
-		f.reports.MoveToBack(s.turn)
+		f.reportOrder.MoveToBack(s.reportElement)
 	}
 }
 
-func (f *Fleet) forgetReport(s *server) {
-	if s.turn != nil {
-		f.reports.Remove(s.turn)
-		s.turn = nil
+func (f *Fleet) removeFromReportOrder(s *server) {
+	if s.reportElement != nil {
+		f.reportOrder.Remove(s.reportElement)
+		s.reportElement = nil
 	}
 }
 
-// SetSilent takes another entry's report on servers of its region.
+// MarkSilent applies the gossip of another entry about silent servers of its region.
 func (f *Fleet) SetSilent(ids []string, now time.Duration) {
 	for _, id := range ids {
 		s, ok := f.servers[id]
 		if ok && f.config.Regions[s.backend.Site] != f.config.Region {
 			s.silentUntil = now + f.config.SilentTTL
-			f.setUsable(s, now)
+			f.refreshUsable(s, now)
 		}
 	}
 }
 
-// Observe notes how long a server took to begin an answer beside what was
-// predicted for it.
-func (f *Fleet) Observe(id string, predicted, took, now time.Duration) {
+// RecordLatency records the measured time to the first event of an answer together with the
+// predicted time.
+func (f *Fleet) Observe(id string, predicted, measured, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
 		if router := f.router(s.backend.Service); router != nil {
-			router.Observe(filbertlever.HostID(id), predicted, took, now)
+			router.Observe(filbertlever.HostID(id), predicted, measured, now)
 		}
 	}
 }
 
-// Answered notes that a server answered a request soundly.
+// RecordSuccess records that a server answered a request correctly.
 func (f *Fleet) Answered(id string, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
 		f.modelMisses[s.backend.Service] = 0
 	}
-	f.table.Answered(filbertlever.HostID(id), f.at(now))
+	f.members.Answered(filbertlever.HostID(id), f.membershipTime(now))
 }
 
-// Failed notes that a server could not be reached, broke off, or answered
-// unsoundly; it gets no request for a while.
+// RecordFailure records that a server could not be reached, interrupted an answer or sent an
+// invalid one. The server is then suspected and gets no requests for some time, unless no other
+// server is usable.
 func (f *Fleet) Failed(id string, now time.Duration) {
-	f.table.Failed(filbertlever.HostID(id), f.at(now))
-	f.transient[id] = true
+	f.members.Failed(filbertlever.HostID(id), f.membershipTime(now))
+	f.recheck[id] = true
 	if _, ok := f.servers[id]; ok {
-		f.place(id, now)
+		f.syncRouter(id, now)
 	}
 }
 
-// Unreachable notes that no connection to a server could be opened.
+// RecordUnreachable records that opening a connection to a server failed.
 func (f *Fleet) Unreachable(id string, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
 		s.unreachableAt = now
@@ -179,81 +183,84 @@
 	f.Failed(id, now)
 }
 
-// unreachablePause is how long a server to which no connection could be opened is not tried again,
-// also if no other is fit: the requests of a moment do not all find out the same.
-const unreachablePause = 250 * time.Millisecond
+// unreachableBackoff is how long no request is sent to a server after a connection could not be
+// opened, even if no other server is usable. It keeps concurrent requests from all failing at the
+// same server.
+const unreachableBackoff = 250 * time.Millisecond
 
-// unreachable reports whether a connection to a server has just failed.
+// recentlyUnreachable reports whether opening a connection to a server failed within
+// unreachableBackoff.
 //
-// Guard: while all servers load their weights, those that are gone for good seem to be the only
-// ones that hold any; requests would use up their tries there instead of waiting.
-func (f *Fleet) unreachable(s *server, now time.Duration) bool {
-	return s.unreachableAt != 0 && now-s.unreachableAt < unreachablePause
+// While all running servers load their weights, servers that no longer exist appear to be the only
+// ones that hold a model. Requests would use up their attempts there instead of waiting.
+func (f *Fleet) recentlyUnreachable(s *server, now time.Duration) bool {
+	return s.unreachableAt != 0 && now-s.unreachableAt < unreachableBackoff
 }
 
-// Replaced notes that another server answers at the address of this one, so
-// that this one is gone.
+// RecordReplaced records that another server answers at the address of this one, and removes this
+// one.
 func (f *Fleet) Replaced(id string, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
-		f.noteReplaced(s.backend)
-		f.drop(id, s)
-		f.list(now)
+		f.recordReplaced(s.backend)
+		f.remove(id, s)
+		f.updateMembership(now)
 	}
 }
 
-// NoteModelMissing notes that a server does not hold what was expected.
+// RecordModelMissing records that a server does not hold the model that it was expected to hold.
 //
-// Guard: the list is a heartbeat behind, and after a loss of power names what every server held
-// before. Until the server's agent or the list says more, the server holds nothing.
+// The list lags by a heartbeat interval, and after a power failure it shows what every server held
+// before. The server counts as holding no model until its agent or the list reports one.
 func (f *Fleet) NoteModelMissing(id string, now time.Duration) {
 	s, ok := f.servers[id]
 	if !ok || f.state == nil || f.state.Services[s.backend.Service].Engine == nil {
 		return
 	}
 	s.backend.Models = nil
-	s.reported = nil
-	f.place(id, now)
+	s.reportedModels = nil
+	f.syncRouter(id, now)
 	f.modelMisses[s.backend.Service]++
-	if f.modelMisses[s.backend.Service] >= modelMissesMost {
-		f.distrustList(s.backend.Service, now)
+	if f.modelMisses[s.backend.Service] >= maxModelMisses {
+		f.discardListedModels(s.backend.Service, now)
 	}
 }
 
-// modelMissesMost is how many servers in a row must lack what the list says before the list is
-// distrusted for all.
-const modelMissesMost = 2
+// maxModelMisses is the number of consecutive servers found without their listed model after which
+// the listed models of all servers of the service are discarded.
+const maxModelMisses = 2
 
-// distrustList takes servers of a service to hold only what agents have reported.
+// discardListedModels discards the listed models of the servers of a service that have no fresh
+// report.
 //
-// Guard: after a loss of power requests would try one server after the other that held the model
-// before, and use up the budget of retries.
-func (f *Fleet) distrustList(service string, now time.Duration) {
+// After a power failure, requests would otherwise try one server after another that held the model
+// before, and use up the retry budget.
+func (f *Fleet) discardListedModels(service string, now time.Duration) {
 	for id, s := range f.servers {
-		if s.backend.Service != service || s.hasReport && now-s.reportedAt < f.config.ReportFresh {
+		if s.backend.Service != service || s.hasReport && now-s.reportedAt < f.config.ReportTTL {
 			continue
 		}
 		s.backend.Models = nil
-		f.place(id, now)
+		f.syncRouter(id, now)
 	}
 }
 
-// sweepEvery is how often it is looked which servers have fallen silent, or are no longer.
-const sweepEvery = 50 * time.Millisecond
+// healthCheckInterval is the minimum time between two health checks.
+const healthCheckInterval = 50 * time.Millisecond
 
-// setUsable updates the router if it has changed whether a server is usable.
-func (f *Fleet) setUsable(s *server, now time.Duration) {
+// refreshUsable updates the router if the usability of a server has changed.
+func (f *Fleet) refreshUsable(s *server, now time.Duration) {
 	usable := f.usable(s, now)
-	if usable == s.placedUsable {
+	if usable == s.routerUsable {
 		return
 	}
 	if router := f.router(s.backend.Service); router != nil {
-		f.noteUsable(s, usable)
+		f.markUsable(s, usable)
 		router.SetHost(f.host(s.backend), usable)
 	}
 }
 
-func (f *Fleet) noteUsable(s *server, usable bool) {
-	s.placedUsable = usable
+func (f *Fleet) markUsable(s *server, usable bool) {
+	s.routerUsable = usable
 	if usable {
 		delete(f.unusable, s.backend.ID)
 		return
@@ -261,54 +268,54 @@
 	f.unusable[s.backend.ID] = s
 }
 
-// sweep looks at the servers that time alone may have made unusable, or fit again: those
-// whose agents are silent, those with requests, and those that are unusable.
-func (f *Fleet) sweep(now time.Duration) {
-	if now-f.sweptAt < sweepEvery {
+// checkHealth re-evaluates the servers whose usability may have changed with time alone: those
+// whose agents are silent, those with requests in flight and those that are unusable.
+func (f *Fleet) checkHealth(now time.Duration) {
+	if now-f.healthCheckedAt < healthCheckInterval {
 		return
 	}
-	f.sweptAt = now
-	for _, id := range f.silentReporters(now) {
-		f.setUsable(f.servers[id], now)
+	f.healthCheckedAt = now
+	for _, id := range f.silentByReport(now) {
+		f.refreshUsable(f.servers[id], now)
 	}
 	for _, s := range f.busy {
-		f.setUsable(s, now)
+		f.refreshUsable(s, now)
 	}
 	for _, s := range f.unusable {
-		f.setUsable(s, now)
+		f.refreshUsable(s, now)
 	}
 }
 
-// refresh takes note of what time alone has changed.
+// refresh applies the changes that depend on time alone.
 func (f *Fleet) refresh(now time.Duration) {
-	f.sweep(now)
-	for id := range f.transient {
+	f.checkHealth(now)
+	for id := range f.recheck {
 		s, ok := f.servers[id]
 		if !ok {
-			delete(f.transient, id)
+			delete(f.recheck, id)
 			continue
 		}
-		if f.gone(s, now) {
-			f.drop(id, s)
+		if f.isRemoved(s, now) {
+			f.remove(id, s)
 			continue
 		}
-		f.place(id, now)
+		f.syncRouter(id, now)
 		if s.missingSince == 0 && f.usable(s, now) {
-			delete(f.transient, id)
+			delete(f.recheck, id)
 		}
 	}
 }
 
-// drop forgets a server that is gone.
-func (f *Fleet) drop(id string, s *server) {
+// remove removes a server and all its state.
+func (f *Fleet) remove(id string, s *server) {
 	if router := f.router(s.backend.Service); router != nil {
 		router.SetHost(f.host(s.backend), false)
 		router.SetLoaded(filbertlever.HostID(id), nil)
 	}
-	f.forget(s.backend)
-	f.forgetReport(s)
+	f.clearProcessState(s.backend)
+	f.removeFromReportOrder(s)
 	delete(f.servers, id)
-	delete(f.transient, id)
+	delete(f.recheck, id)
 	delete(f.busy, id)
 	delete(f.unusable, id)
 	if f.byAddress[s.backend.Address] == id {
--- a/internal/coordination/fleet/missing_test.go
+++ b/internal/coordination/fleet/outage_test.go
@@ -29,8 +29,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFleet()
-			f.SetState(state(), 0)
-			f.Apply([]catalog.Backend{listed("o1", plainService, "10.0.0.1:1", 0)}, nil, true, 0)
+			f.SetState(testState(), 0)
+			f.Apply([]catalog.Backend{newBackend("o1", plainService, "10.0.0.1:1", 0)}, nil, true, 0)
 			if test.outage != 0 {
 				f.SetOutageEnd(test.outage, true, test.outage)
 			}
@@ -42,11 +42,11 @@
 
 // A removed server got requests until the end of the grace, after others had reported that
 // the store was up all the while.
-func TestAnOutageThatWasNoneEndsTheGrace(t *testing.T) {
+func TestClearedOutageEndsGracePeriod(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
-	f.SetState(state(), 0)
-	f.Apply([]catalog.Backend{listed("o1", plainService, "10.0.0.1:1", 0)}, nil, true, 0)
+	f.SetState(testState(), 0)
+	f.Apply([]catalog.Backend{newBackend("o1", plainService, "10.0.0.1:1", 0)}, nil, true, 0)
 	f.SetOutageEnd(20*time.Second, true, 20*time.Second)
 	f.Apply(nil, []string{"o1"}, false, 20*time.Second)
 	c.Assert(f.Choose(Request{Service: plainService}, 20100*time.Millisecond).Found, qt.IsTrue)
@@ -55,19 +55,19 @@
 }
 
 // After an outage, a server whose row is missing is used where a listed one makes requests wait.
-func TestListedServersGoBeforeThoseThatMayHaveLapsed(t *testing.T) {
+func TestListedServersArePreferredToMissingOnes(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
-	f.SetState(state(), 0)
-	f.Apply([]catalog.Backend{listed("m1", modelService, "10.0.0.1:1", 1), listed("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
+	f.SetState(testState(), 0)
+	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
 	f.SetOutageEnd(20*time.Second, true, 20*time.Second)
 	f.Apply(nil, []string{"m1"}, false, 20*time.Second)
 	request := Request{Service: modelService, Model: model}
-	for range engine().Slots {
+	for range testEngine().Slots {
 		c.Assert(f.Choose(request, 20*time.Second).Backend.ID, qt.Equals, "m2")
 	}
 	used := map[string]int{}
-	for range engine().Slots {
+	for range testEngine().Slots {
 		used[f.Choose(request, 20*time.Second).Backend.ID]++
 	}
 	c.Assert(used["m1"] > 0, qt.IsTrue, qt.Commentf("%v", used))
@@ -76,11 +76,11 @@
 // Every request is refused for two seconds after the store's return. All
 // entries of live servers lapsed while the store was away and are missing from
 // the first list read after it.
-func TestServersThatLapsedWithTheStoreAreKeptForAWhile(t *testing.T) {
+func TestServersExpiredInOutageStayDuringGracePeriod(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
-	f.SetState(state(), 0)
-	f.Apply([]catalog.Backend{listed("o1", plainService, "10.0.0.1:1", 0)}, nil, true, 0)
+	f.SetState(testState(), 0)
+	f.Apply([]catalog.Backend{newBackend("o1", plainService, "10.0.0.1:1", 0)}, nil, true, 0)
 	back := 20 * time.Second
 	f.SetOutageEnd(back, true, back)
 	f.Apply(nil, []string{"o1"}, false, back)
@@ -89,11 +89,11 @@
 }
 
 // The same entries come back within the grace: the server goes on being used.
-func TestALapsedServerThatReturnsStays(t *testing.T) {
+func TestExpiredServerListedAgainStays(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
-	f.SetState(state(), 0)
-	one := listed("o1", plainService, "10.0.0.1:1", 0)
+	f.SetState(testState(), 0)
+	one := newBackend("o1", plainService, "10.0.0.1:1", 0)
 	f.Apply([]catalog.Backend{one}, nil, true, 0)
 	f.SetOutageEnd(20*time.Second, true, 20*time.Second)
 	f.Apply(nil, []string{"o1"}, false, 20*time.Second)
--- a/internal/coordination/fleet/size_test.go
+++ b/internal/coordination/fleet/scale_test.go
@@ -14,13 +14,13 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// sized is a fleet of so many model servers, a fifth of them in its own region.
-func sized(servers int) *Fleet {
+// newFleetOfSize is a fleet of so many model servers, a fifth of them in its own region.
+func newFleetOfSize(servers int) *Fleet {
 	f := newFleet()
-	f.SetState(state(), time.Second)
+	f.SetState(testState(), time.Second)
 	var rows []catalog.Backend
 	for i := range servers {
-		row := listed(sizedID(i), modelService, fmt.Sprintf("10.%d.%d.%d:80", i/62500, i/250%250, i%250), 1)
+		row := newBackend(sizedServerID(i), modelService, fmt.Sprintf("10.%d.%d.%d:80", i/62500, i/250%250, i%250), 1)
 		if i%5 != 0 {
 			row.Site = "b"
 		}
@@ -33,10 +33,10 @@
 	return f
 }
 
-func sizedID(i int) string { return fmt.Sprintf("i-%010x", i*7919) }
+func sizedServerID(i int) string { return fmt.Sprintf("i-%010x", i*7919) }
 
-// sizes are the servers of a small installation, of the users' largest, and of the aim.
-var sizes = []int{21, 265, 2700}
+// fleetSizes are the servers of a small installation, of the users' largest, and of the aim.
+var fleetSizes = []int{21, 265, 2700}
 
 // BenchmarkSize tells what an entry pays for what comes at a steady rate: a tick with
 // nothing new, the counts of another entry, an agent's report, one placement. None may
@@ -44,8 +44,8 @@
 // servers: a tick 9.0 and 229 us, counts 5.0 and 77 us, a placement 1.0 and 3.0 us; since then 1.6
 // and 1.8, 1.2 and 1.5, 0.7 and 0.9 us.
 func BenchmarkSize(b *testing.B) {
-	for _, n := range sizes {
-		f, now := sized(n), 1100*time.Millisecond
+	for _, n := range fleetSizes {
+		f, now := newFleetOfSize(n), 1100*time.Millisecond
 		for range 10 {
 			f.Choose(Request{Service: modelService, Model: model, PromptTokens: 900}, now)
 		}
@@ -57,7 +57,7 @@
 		})
 		counts := []map[string]int{{}, {}}
 		for i := range 15 {
-			counts[0][sizedID(i)], counts[1][sizedID(i+1)] = 1, 1
+			counts[0][sizedServerID(i)], counts[1][sizedServerID(i+1)] = 1, 1
 		}
 		turn := 0
 		b.Run(fmt.Sprintf("Counts/%d", n), func(b *testing.B) {
@@ -85,17 +85,17 @@
 // have at a server is kept by changes, and one of them was missed. Whatever entries tell
 // in any order, while servers come, go and start again, each server's sum is that of what
 // each entry told last since the server's start.
-func TestSumsFollowWhatEntriesTold(t *testing.T) {
+func TestPeerTotalsMatchCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
-		f.SetState(state(), 0)
+		f.SetState(testState(), 0)
 		ids := []string{"m1", "m2", "m3"}
 		told := map[filbertlever.HostID]map[string]int{}
 		boots := map[string]catalog.Boot{}
 		now, revision := time.Second, uint64(0)
 		list := func(id string) {
 			revision++
-			row := booted(id, modelService, boots[id], revision, 1)
+			row := newBackendWithBoot(id, modelService, boots[id], revision, 1)
 			row.Address = "10.0.0." + id[1:] + ":1"
 			f.Apply([]catalog.Backend{row}, nil, false, now)
 		}
@@ -135,8 +135,8 @@
 				for _, counts := range told {
 					want += counts[at]
 				}
-				if s.othersSum != want {
-					t.Fatalf("%s: %d requests of others, told %d", at, s.othersSum, want)
+				if s.peerTotal != want {
+					t.Fatalf("%s: %d requests of others, told %d", at, s.peerTotal, want)
 				}
 			}
 		}
@@ -146,14 +146,14 @@
 // Callers wait for a host that stands still, or one that is sound again gets nothing: only
 // some servers are looked at. Whatever is heard of them, those that are silent or stalled
 // are the ones that a look at all would find.
-func TestSilenceIsFoundWithoutALookAtAll(t *testing.T) {
+func TestIncrementalHealthCheckMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := sized(8)
+		f := newFleetOfSize(8)
 		now := time.Second
 		var sent []string
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
-			id := sizedID(rapid.IntRange(0, 7).Draw(t, "server"))
+			id := sizedServerID(rapid.IntRange(0, 7).Draw(t, "server"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
 				f.Report(Load{Address: f.servers[id].backend.Address, Models: f.servers[id].backend.Models}, now)
@@ -171,12 +171,12 @@
 			case 5:
 				f.SetSilent([]string{id}, now)
 			}
-			f.sweptAt = 0
-			f.sweep(now)
+			f.healthCheckedAt = 0
+			f.checkHealth(now)
 			var silent []string
 			for id, s := range f.servers {
-				if usable := f.usable(s, now); usable != s.placedUsable {
-					t.Fatalf("%s: placed as usable %v, is %v", id, s.placedUsable, usable)
+				if usable := f.usable(s, now); usable != s.routerUsable {
+					t.Fatalf("%s: placed as usable %v, is %v", id, s.routerUsable, usable)
 				}
 				if f.config.Regions[s.backend.Site] == f.config.Region && (f.silent(s, now) || f.stalled(s, now)) {
 					silent = append(silent, id)
@@ -191,10 +191,10 @@
 }
 
 // An entry that has heard of nothing new tells nothing, and looks at no server.
-func TestATickWithoutRequestsAllocatesLittle(t *testing.T) {
+func TestIdleTickAllocatesLittle(t *testing.T) {
 	c := qt.New(t)
-	for _, n := range sizes {
-		f := sized(n)
+	for _, n := range fleetSizes {
+		f := newFleetOfSize(n)
 		got := testing.AllocsPerRun(100, func() {
 			f.Counts()
 			f.Silent(1100 * time.Millisecond)
