--- a/internal/coordination/fleet/announcements_test.go
+++ b/internal/coordination/fleet/announcements_test.go
@@ -12,7 +12,7 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// newFleetWithTwoServers has two plain servers.
+// newFleetWithTwoServers returns a fleet with two servers of the service without models.
 func newFleetWithTwoServers() (*Fleet, []catalog.Backend) {
 	f := newFleet()
 	f.SetState(testState(), 0)
@@ -21,7 +21,7 @@
 	return f, all
 }
 
-// pickedServers returns which servers get requests at a time.
+// pickedServers returns the servers that get requests at a time.
 func pickedServers(f *Fleet, now time.Duration) map[string]bool {
 	ids := map[string]bool{}
 	for range 20 {
@@ -35,37 +35,37 @@
 	return ids
 }
 
-// A server said in an answer that it leaves, and is sent requests again: its row says that
-// it is ready, its row lapsed and came back, all others are suspected, or it was the last.
-// Only another process takes the word back.
+// A server that had announced that it was draining got requests again: its row said that it was
+// ready, its row expired and was written again, all others were suspected, or no other server was
+// left. Only another process revokes the announcement.
 func TestAnnouncedDrainingServerGetsNoRequests(t *testing.T) {
 	other := map[string]bool{"o2": true}
 	both := map[string]bool{"o1": true, "o2": true}
 	tests := []struct {
-		name string
-		then func(f *Fleet, all []catalog.Backend)
-		want map[string]bool
+		name   string
+		action func(f *Fleet, all []catalog.Backend)
+		want   map[string]bool
 	}{
 		{"nothing happens", func(*Fleet, []catalog.Backend) {}, other},
-		{"its row says ready", func(f *Fleet, all []catalog.Backend) { f.Apply(all, nil, true, time.Second) }, other},
-		{"its row lapses and comes back", func(f *Fleet, all []catalog.Backend) {
+		{"its row says that it is ready", func(f *Fleet, all []catalog.Backend) { f.Apply(all, nil, true, time.Second) }, other},
+		{"its row expires and is written again", func(f *Fleet, all []catalog.Backend) {
 			f.Apply(all[1:], nil, true, time.Second)
 			pickedServers(f, 9*time.Second)
 			f.Apply(all, nil, true, 9*time.Second)
 		}, other},
-		{"it answers soundly", func(f *Fleet, all []catalog.Backend) { f.Answered("o1", time.Second) }, other},
-		{"the other one fails", func(f *Fleet, all []catalog.Backend) { f.Failed("o2", 10*time.Second) }, other},
-		{"it is the last", func(f *Fleet, all []catalog.Backend) { f.NoteDraining(all[1], time.Second) }, map[string]bool{}},
-		{"it starts again under its ID", func(f *Fleet, all []catalog.Backend) {
+		{"it answers correctly", func(f *Fleet, all []catalog.Backend) { f.Answered("o1", time.Second) }, other},
+		{"the other server fails", func(f *Fleet, all []catalog.Backend) { f.Failed("o2", 10*time.Second) }, other},
+		{"the other server drains too", func(f *Fleet, all []catalog.Backend) { f.NoteDraining(all[1], time.Second) }, map[string]bool{}},
+		{"it restarts under its ID", func(f *Fleet, all []catalog.Backend) {
 			first, second := all[0], all[0]
 			first.Boot, second.Boot = 1764723093000, 1764723099000
 			f.Apply([]catalog.Backend{first}, nil, false, time.Second)
 			qt.Assert(t, pickedServers(f, time.Second), qt.DeepEquals, other)
 			f.Apply([]catalog.Backend{second}, nil, false, time.Second)
-			// What the process before still says is not of this one.
+			// A late announcement of the old process does not apply to the new process.
 			f.NoteDraining(first, 2*time.Second)
 		}, both},
-		{"another one has its address", func(f *Fleet, all []catalog.Backend) {
+		{"another server takes its address", func(f *Fleet, all []catalog.Backend) {
 			next := all[0]
 			next.ID, next.Revision = "o3", 1
 			f.Apply([]catalog.Backend{next}, nil, false, time.Second)
@@ -77,30 +77,30 @@
 			qt.Assert(t, f.NoteDraining(all[0], 0), qt.IsTrue)
 			qt.Assert(t, f.NoteDraining(all[0], 0), qt.IsFalse)
 			qt.Assert(t, f.Accepts(all[0], 0), qt.IsFalse)
-			test.then(f, all)
+			test.action(f, all)
 			qt.Assert(t, pickedServers(f, 10*time.Second), qt.DeepEquals, test.want)
 		})
 	}
 }
 
-// A server refuses and says for how long it wants nothing, and is asked all the same: as the
-// last that is not suspected, once its row comes again, or after a shorter word. It is used
-// again at the end of the longest time that it named, or once another process is there.
+// A server that sent a retry time got requests earlier: all others were suspected, its row was
+// written again, or it sent a shorter time. The longest time applies, unless another process takes
+// its place.
 func TestServerGetsNoRequestsUntilRetryAfter(t *testing.T) {
-	const rest = 3 * time.Second
+	const retryAfter = 3 * time.Second
 	other, both := map[string]bool{"o2": true}, map[string]bool{"o1": true, "o2": true}
 	tests := []struct {
-		name string
-		then func(f *Fleet, all []catalog.Backend)
-		want map[string]bool
+		name   string
+		action func(f *Fleet, all []catalog.Backend)
+		want   map[string]bool
 	}{
 		{"nothing happens", func(*Fleet, []catalog.Backend) {}, other},
-		{"its row comes again", func(f *Fleet, all []catalog.Backend) { f.Apply(all, nil, true, time.Second) }, other},
-		{"it names a shorter time", func(f *Fleet, all []catalog.Backend) { f.NoteRetryAfter(all[0], time.Millisecond, time.Second) }, other},
+		{"its row is written again", func(f *Fleet, all []catalog.Backend) { f.Apply(all, nil, true, time.Second) }, other},
+		{"it sends a shorter time", func(f *Fleet, all []catalog.Backend) { f.NoteRetryAfter(all[0], time.Millisecond, time.Second) }, other},
 		{"it answers a request sent before", func(f *Fleet, all []catalog.Backend) { f.Answered("o1", time.Second) }, other},
-		{"the other one fails", func(f *Fleet, all []catalog.Backend) { f.Failed("o2", rest-100*time.Millisecond) }, other},
-		{"the other one rests too", func(f *Fleet, all []catalog.Backend) { f.NoteRetryAfter(all[1], rest, time.Second) }, map[string]bool{}},
-		{"another one has its address", func(f *Fleet, all []catalog.Backend) {
+		{"the other server fails", func(f *Fleet, all []catalog.Backend) { f.Failed("o2", retryAfter-100*time.Millisecond) }, other},
+		{"the other server sends a retry time too", func(f *Fleet, all []catalog.Backend) { f.NoteRetryAfter(all[1], retryAfter, time.Second) }, map[string]bool{}},
+		{"another server takes its address", func(f *Fleet, all []catalog.Backend) {
 			next := all[0]
 			next.ID, next.Revision = "o3", 1
 			f.Apply([]catalog.Backend{next}, nil, false, time.Second)
@@ -109,56 +109,56 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f, all := newFleetWithTwoServers()
-			qt.Assert(t, f.NoteRetryAfter(all[0], rest, 0), qt.IsTrue)
-			qt.Assert(t, f.NoteRetryAfter(all[0], rest, 0), qt.IsFalse)
-			test.then(f, all)
-			qt.Assert(t, f.Accepts(all[0], rest-time.Millisecond), qt.IsFalse)
-			qt.Assert(t, pickedServers(f, rest-time.Millisecond), qt.DeepEquals, test.want)
+			qt.Assert(t, f.NoteRetryAfter(all[0], retryAfter, 0), qt.IsTrue)
+			qt.Assert(t, f.NoteRetryAfter(all[0], retryAfter, 0), qt.IsFalse)
+			test.action(f, all)
+			qt.Assert(t, f.Accepts(all[0], retryAfter-time.Millisecond), qt.IsFalse)
+			qt.Assert(t, pickedServers(f, retryAfter-time.Millisecond), qt.DeepEquals, test.want)
 			if len(test.want) == 0 {
-				qt.Assert(t, f.ReadyIn(plainService, rest-time.Millisecond), qt.Equals, time.Millisecond)
+				qt.Assert(t, f.ReadyIn(plainService, retryAfter-time.Millisecond), qt.Equals, time.Millisecond)
 			}
 			f, all = newFleetWithTwoServers()
-			f.NoteRetryAfter(all[0], rest, 0)
-			qt.Assert(t, f.Accepts(all[0], rest), qt.IsTrue)
-			qt.Assert(t, pickedServers(f, rest+healthCheckInterval), qt.DeepEquals, both)
+			f.NoteRetryAfter(all[0], retryAfter, 0)
+			qt.Assert(t, f.Accepts(all[0], retryAfter), qt.IsTrue)
+			qt.Assert(t, pickedServers(f, retryAfter+healthCheckInterval), qt.DeepEquals, both)
 		})
 	}
 }
 
-// A request that waited for a connection went to a server that had left meanwhile.
+// A request that waited for a connection was sent to a server that had left in the meantime.
 func TestAcceptsRejectsServersThatLeft(t *testing.T) {
 	tests := []struct {
-		name string
-		then func(f *Fleet, one catalog.Backend)
-		want bool
+		name   string
+		action func(f *Fleet, server catalog.Backend)
+		want   bool
 	}{
 		{"nothing happens", func(*Fleet, catalog.Backend) {}, true},
-		{"its row says that it leaves", func(f *Fleet, one catalog.Backend) {
-			one.Leaving, one.Revision = true, 9
-			f.Apply([]catalog.Backend{one}, nil, false, time.Second)
+		{"its row says that it is draining", func(f *Fleet, server catalog.Backend) {
+			server.Leaving, server.Revision = true, 9
+			f.Apply([]catalog.Backend{server}, nil, false, time.Second)
 		}, false},
-		{"its row is removed", func(f *Fleet, one catalog.Backend) { f.Apply(nil, []string{one.ID}, false, time.Second) }, false},
-		{"its row is missing after an outage", func(f *Fleet, one catalog.Backend) {
+		{"its row is removed", func(f *Fleet, server catalog.Backend) { f.Apply(nil, []string{server.ID}, false, time.Second) }, false},
+		{"its row is missing after an outage", func(f *Fleet, server catalog.Backend) {
 			f.SetOutageEnd(time.Second, true, time.Second)
-			f.Apply(nil, []string{one.ID}, false, time.Second)
+			f.Apply(nil, []string{server.ID}, false, time.Second)
 		}, true},
 		{"the list lacks it", func(f *Fleet, _ catalog.Backend) { f.Apply(nil, nil, true, time.Second) }, false},
-		{"another one has its address", func(f *Fleet, one catalog.Backend) {
-			one.ID, one.Revision = "o3", 9
-			f.Apply([]catalog.Backend{one}, nil, false, time.Second)
+		{"another server takes its address", func(f *Fleet, server catalog.Backend) {
+			server.ID, server.Revision = "o3", 9
+			f.Apply([]catalog.Backend{server}, nil, false, time.Second)
 		}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f, all := newFleetWithTwoServers()
-			test.then(f, all[0])
+			test.action(f, all[0])
 			qt.Assert(t, f.Accepts(all[0], 1500*time.Millisecond), qt.Equals, test.want)
 		})
 	}
 }
 
-// After an outage, a server whose row is missing and that closes its connections was taken for
-// one that lapsed.
+// After an outage, a server that was missing from the list and closed its connections was assumed
+// to be running with an expired row.
 func TestMissingServerThatClosesConnectionsIsRemoved(t *testing.T) {
 	c := qt.New(t)
 	f, all := newFleetWithTwoServers()
@@ -169,37 +169,38 @@
 	c.Assert(f.Choose(request, 1500*time.Millisecond).Found, qt.IsTrue)
 	c.Assert(f.NoteConnectionClose(all[0], 1500*time.Millisecond), qt.IsTrue)
 	c.Assert(f.Choose(request, 1500*time.Millisecond).Found, qt.IsFalse)
-	// Its row is back: it had only lapsed.
+	// The row is written again, so it had only expired.
 	all[0].Revision++
 	f.Apply(all[:1], nil, false, 2*time.Second)
 	c.Assert(f.Choose(request, 2*time.Second).Found, qt.IsTrue)
 }
 
-// Entries used a server that was leaving for as long as the store was away; its agent saw it.
+// A draining server got requests during an outage of the store, although its agent had detected
+// that it was draining.
 func TestServerReportedDrainingByAgentGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
-	load := Load{Address: "10.0.0.1:1", Sequence: 1, Models: []catalog.Model{{Name: model, Version: 1}}, Leaving: true}
-	f.Report(load, time.Second)
+	report := Load{Address: "10.0.0.1:1", Sequence: 1, Models: []catalog.Model{{Name: model, Version: 1}}, Leaving: true}
+	f.Report(report, time.Second)
 	for range 20 {
 		c.Assert(f.Choose(Request{Service: modelService, Model: model}, time.Second).Backend.ID, qt.Equals, "m2")
 	}
 	c.Assert(f.Choose(Request{Service: modelService, Model: model, Avoid: []filbertlever.HostID{"m2"}}, time.Second).Found, qt.IsFalse)
-	load.Leaving, load.Sequence = false, 2
-	f.Report(load, 2*time.Second)
+	report.Leaving, report.Sequence = false, 2
+	f.Report(report, 2*time.Second)
 	c.Assert(f.Choose(Request{Service: modelService, Model: model, Avoid: []filbertlever.HostID{"m2"}}, 2*time.Second).Found, qt.IsTrue)
 }
 
-// Whatever servers say, and whichever rows come in which order, no process gets a request
-// after it has said that it leaves.
+// No process may get requests after it announced that it is draining, in any order of
+// announcements, rows and failures.
 func TestAnnouncementsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f, all := newFleetWithTwoServers()
 		boots := []catalog.Boot{1764723093000, 1764723094000}
 		now := time.Second
-		left := map[string]bool{}
+		draining := map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			at := rapid.IntRange(0, 1).Draw(t, "server")
@@ -207,7 +208,7 @@
 			case 0:
 				f.NoteDraining(all[at], now)
 				if f.Known(all[at].ID) {
-					left[fmt.Sprint(all[at].ID, all[at].Boot)] = true
+					draining[fmt.Sprint(all[at].ID, all[at].Boot)] = true
 				}
 			case 1:
 				f.Apply(all, nil, true, now)
@@ -216,10 +217,10 @@
 			case 3:
 				f.Failed(all[at].ID, now)
 			case 5:
-				f.NoteRetryAfter(all[at], time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest"))*time.Millisecond, now)
+				f.NoteRetryAfter(all[at], time.Duration(rapid.IntRange(0, 5000).Draw(t, "retryAfter"))*time.Millisecond, now)
 			case 4:
 				if all[at].Boot == 0 {
-					all[at].Boot, left[fmt.Sprint(all[at].ID, boots[0])] = boots[0], left[fmt.Sprint(all[at].ID, 0)]
+					all[at].Boot, draining[fmt.Sprint(all[at].ID, boots[0])] = boots[0], draining[fmt.Sprint(all[at].ID, 0)]
 				} else {
 					all[at].Boot++
 				}
@@ -229,10 +230,10 @@
 			for id := range pickedServers(f, now) {
 				b := f.servers[id].backend
 				if !f.Accepts(b, now) {
-					t.Fatalf("%s gets requests while it wants none", b.ID)
+					t.Fatalf("server %s gets requests that it does not accept", b.ID)
 				}
-				if left[fmt.Sprint(b.ID, b.Boot)] {
-					t.Fatalf("%s of boot %d gets requests after it said that it leaves", b.ID, b.Boot)
+				if draining[fmt.Sprint(b.ID, b.Boot)] {
+					t.Fatalf("server %s with boot %d gets requests after it announced that it is draining", b.ID, b.Boot)
 				}
 			}
 		}
--- a/internal/coordination/fleet/boots_test.go
+++ b/internal/coordination/fleet/boots_test.go
@@ -11,20 +11,20 @@
 
 const address = "10.0.0.1:1"
 
-// newBackendWithBoot is a server's row at one of its starts.
+// newBackendWithBoot returns the row of a server with a boot.
 func newBackendWithBoot(id, service string, boot catalog.Boot, revision, version uint64) catalog.Backend {
 	b := newBackend(id, service, address, version)
 	b.Boot, b.Revision = boot, revision
 	return b
 }
 
-// newReport is a report of a server at one of its starts.
+// newReport returns a report of a server with a boot.
 func newReport(boot catalog.Boot, version uint64) Load {
-	load := Load{Address: address, Agent: "10.0.0.1:9", Boot: boot}
+	report := Load{Address: address, Agent: "10.0.0.1:9", Boot: boot}
 	if version > 0 {
-		load.Models = []catalog.Model{{Name: model, Version: version}}
+		report.Models = []catalog.Model{{Name: model, Version: version}}
 	}
-	return load
+	return report
 }
 
 func newFleetWithServer(service string, version uint64) *Fleet {
@@ -36,10 +36,9 @@
 
 var wanted = Request{Service: modelService, Model: model}
 
-// A request is answered "no server holds it", or waits at one that holds nothing. The
-// server started again within the period of its heartbeats, so its row never went away;
-// its report is the first to tell, and what the row says of the process before must not
-// count, also once the report is old.
+// A request was sent to a restarted server that held no model. The restart took less than a
+// heartbeat interval, so the row of the old process remained. The report reveals the restart, and
+// the old row must not count even after the report has expired.
 func TestRestartWithinHeartbeatIntervalClearsModels(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
@@ -48,15 +47,15 @@
 	f.Report(newReport(2000, 0), 1200*time.Millisecond)
 	c.Assert(f.Choose(wanted, 1200*time.Millisecond).Found, qt.IsFalse)
 	f.SetState(testState(), 20*time.Second)
-	c.Assert(f.Choose(wanted, 20*time.Second).Found, qt.IsFalse, qt.Commentf("the row of the process before was believed"))
+	c.Assert(f.Choose(wanted, 20*time.Second).Found, qt.IsFalse, qt.Commentf("the row of the old process was applied"))
 	f.Report(newReport(2000, 1), 21*time.Second)
 	placement := f.Choose(wanted, 21*time.Second)
 	c.Assert(placement.Found, qt.IsTrue)
 	c.Assert(placement.Backend.Boot, qt.Equals, catalog.Boot(2000))
 }
 
-// The same learnt from the row alone, as in another region: the fresh report of the
-// process before must not go before the row of the new one.
+// In another region the row alone reveals a restart. It must override the fresh report of the old
+// process.
 func TestRestartInRowOverridesReportOfOldProcess(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
@@ -66,31 +65,31 @@
 	c.Assert(f.Holders(model, 1, 1100*time.Millisecond), qt.HasLen, 0)
 }
 
-// Callers are sent to a server that holds nothing. Its old row or report arrived late,
-// after news of its new start.
+// Requests were sent to a server without a model, because a row or a report of the old process
+// arrived after the restart had been detected.
 func TestLateUpdatesOfOldProcessAreIgnored(t *testing.T) {
 	for name, late := range map[string]func(f *Fleet){
 		"a report": func(f *Fleet) { f.Report(newReport(1000, 1), 2*time.Second) },
 		"an older row": func(f *Fleet) {
 			f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 1000, 1, 1)}, nil, false, 2*time.Second)
 		},
-		"a row written at its end": func(f *Fleet) {
+		"a row written as it ended": func(f *Fleet) {
 			f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 1000, 9, 1)}, nil, false, 2*time.Second)
 		},
-		"a whole list with its row": func(f *Fleet) {
+		"a complete list with its row": func(f *Fleet) {
 			f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 1000, 9, 1)}, nil, true, 2*time.Second)
 		},
 	} {
-		for by, news := range map[string]func(f *Fleet){
+		for source, restart := range map[string]func(f *Fleet){
 			"its report": func(f *Fleet) { f.Report(newReport(2000, 0), time.Second) },
 			"its row": func(f *Fleet) {
 				f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 2000, 5, 0)}, nil, false, time.Second)
 			},
 		} {
-			t.Run(name+" after "+by, func(t *testing.T) {
+			t.Run(name+" after "+source, func(t *testing.T) {
 				c := qt.New(t)
 				f := newFleetWithServer(modelService, 1)
-				news(f)
+				restart(f)
 				late(f)
 				c.Assert(f.Choose(wanted, 2*time.Second).Found, qt.IsFalse)
 				f.Report(newReport(2000, 1), 3*time.Second)
@@ -100,9 +99,8 @@
 	}
 }
 
-// A server that started again gets no request for up to ten seconds. The process before
-// broke off all it had, which counted against the new one; so did its lateness, its
-// change of weights, and what other regions told of its silence.
+// A restarted server got no requests for up to ten seconds. Failures, latencies, the weight switch
+// and the reported silence of the old process counted against the new one.
 func TestRestartClearsSuspicion(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
@@ -125,8 +123,8 @@
 	c.Assert(f.Followed(placement.Backend), qt.IsFalse)
 }
 
-// A server gets fewer requests than it can take, or more. Requests that were under way
-// as it ended were counted at the new process, or ended there once it had its own.
+// A server got too few or too many requests, because requests in flight at the old process were
+// counted at the new one or subtracted from its count when they ended.
 func TestRestartClearsRequestCounts(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(plainService, 0)
@@ -147,8 +145,8 @@
 	c.Assert(f.Choose(request, 1300*time.Millisecond).Ahead, qt.Equals, 1-16)
 }
 
-// The boot of a server is not known at first, as from an agent of the version before.
-// Requests that were placed then end at the process that tells its boot later.
+// The boot of a server is unknown at first, as with an agent of the previous version. Requests
+// placed then must be released once the boot is known.
 func TestRequestsPlacedAtUnknownBootAreReleased(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -163,7 +161,8 @@
 	c.Assert(f.Choose(wanted, time.Second).Backend.Boot, qt.Equals, catalog.Boot(1000))
 }
 
-// The same where the row went away between the two starts.
+// The row of a server is removed and written again by a new process. Requests of the old process
+// must not be counted at the new one.
 func TestRelistedServerStartsWithZeroCounts(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(plainService, 0)
@@ -179,31 +178,30 @@
 	c.Assert(f.Counts(), qt.DeepEquals, map[string]int{"m1": 1})
 }
 
-// Nothing is sent to a server for as long as its process before would have drained. It
-// started again after it had said that it leaves.
+// A restarted server got no requests for as long as the old process would have drained.
 func TestRestartClearsDraining(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
-	leaving := newBackendWithBoot("m1", modelService, 1000, 2, 1)
-	leaving.Leaving = true
-	f.Apply([]catalog.Backend{leaving}, nil, false, time.Second)
+	draining := newBackendWithBoot("m1", modelService, 1000, 2, 1)
+	draining.Leaving = true
+	f.Apply([]catalog.Backend{draining}, nil, false, time.Second)
 	c.Assert(f.Choose(wanted, time.Second).Found, qt.IsFalse)
 	f.Report(newReport(2000, 1), 2*time.Second)
 	c.Assert(f.Choose(wanted, 2*time.Second).Found, qt.IsTrue)
-	// The row that said so is written once more before it is replaced.
-	leaving.Revision = 3
-	f.Apply([]catalog.Backend{leaving}, nil, false, 2100*time.Millisecond)
+	// The old row is written once more before it is replaced.
+	draining.Revision = 3
+	f.Apply([]catalog.Backend{draining}, nil, false, 2100*time.Millisecond)
 	c.Assert(f.Choose(wanted, 2100*time.Millisecond).Found, qt.IsTrue)
 }
 
-// A server gets nothing though it is up: its host's clock was set back before it started
-// again, so its boot is earlier than that of the process before.
+// A restarted server got no requests because its host's clock had been set back, which made its
+// boot earlier than that of the old process.
 func TestRestartWithEarlierBootTimeIsDetected(t *testing.T) {
 	for name, test := range map[string]struct {
-		at   time.Duration
-		news func(f *Fleet, now time.Duration)
+		at      time.Duration
+		restart func(f *Fleet, now time.Duration)
 	}{
-		"by its row, once the process before is silent": {3100 * time.Millisecond, func(f *Fleet, now time.Duration) {
+		"by its row, once the old process is silent": {3100 * time.Millisecond, func(f *Fleet, now time.Duration) {
 			f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 500, 2, 0)}, nil, false, now)
 		}},
 		"by its row, and its reports after that": {3100 * time.Millisecond, func(f *Fleet, now time.Duration) {
@@ -211,9 +209,9 @@
 			f.Report(newReport(500, 0), now)
 		}},
 		"by its agent": {1200 * time.Millisecond, func(f *Fleet, now time.Duration) {
-			load := newReport(500, 0)
-			load.Before = []catalog.Boot{1000}
-			f.Report(load, now)
+			report := newReport(500, 0)
+			report.Before = []catalog.Boot{1000}
+			f.Report(report, now)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -221,8 +219,8 @@
 			f := newFleetWithServer(modelService, 1)
 			f.Report(newReport(1000, 1), time.Second)
 			f.Report(newReport(500, 2), 1100*time.Millisecond)
-			c.Assert(f.Choose(wanted, 1100*time.Millisecond).Holds, qt.Equals, uint64(1), qt.Commentf("nothing tells that it is not a late datagram"))
-			test.news(f, test.at)
+			c.Assert(f.Choose(wanted, 1100*time.Millisecond).Holds, qt.Equals, uint64(1), qt.Commentf("it may be a late datagram"))
+			test.restart(f, test.at)
 			c.Assert(f.Choose(wanted, test.at).Found, qt.IsFalse)
 			f.Report(newReport(1000, 1), test.at+100*time.Millisecond)
 			c.Assert(f.Choose(wanted, test.at+100*time.Millisecond).Found, qt.IsFalse)
@@ -232,8 +230,8 @@
 	}
 }
 
-// Orders go to a process that is gone, at a plain server, which no agent tells of: its
-// row alone shows the new start, also with an earlier boot.
+// Requests were sent to the old process of a server without an agent. Its row alone reveals the
+// restart, also with an earlier boot.
 func TestPlainServerRestartIsDetectedByRow(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(plainService, 0)
@@ -241,8 +239,8 @@
 	c.Assert(f.Choose(Request{Service: plainService}, time.Second).Backend.Boot, qt.Equals, catalog.Boot(500))
 }
 
-// An entry that has just started hears a datagram of a process long gone, with a later
-// boot than the living one has. It must not believe it for ever.
+// An entry that has just started receives a late datagram of an old process whose boot is later
+// than that of the current one. The entry must not keep that boot.
 func TestBootFromLateDatagramIsCorrected(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -256,44 +254,44 @@
 	c.Assert(f.Choose(wanted, 3500*time.Millisecond).Holds, qt.Equals, uint64(1))
 }
 
-// On call: what was believed of a server before it started again, and what after?
+// The log must show what was assumed of a server before and after a restart.
 func TestTakeRestartsReportsModelsBeforeAndAfter(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
 	f.Choose(wanted, time.Second)
 	f.Report(newReport(2000, 2), time.Second)
-	one, two := []catalog.Model{{Name: model, Version: 1}}, []catalog.Model{{Name: model, Version: 2}}
-	c.Assert(f.Restarts(), qt.DeepEquals, []Restart{{Backend: "m1", Source: SourceReport, Before: 1000, After: 2000, Held: one, Holds: two, UnderWay: 1}})
+	version1, version2 := []catalog.Model{{Name: model, Version: 1}}, []catalog.Model{{Name: model, Version: 2}}
+	c.Assert(f.Restarts(), qt.DeepEquals, []Restart{{Backend: "m1", Source: SourceReport, Before: 1000, After: 2000, Held: version1, Holds: version2, UnderWay: 1}})
 	c.Assert(f.Restarts(), qt.HasLen, 0)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 3000, 2, 0)}, nil, true, 2*time.Second)
-	c.Assert(f.Restarts(), qt.DeepEquals, []Restart{{Backend: "m1", Source: SourceRow, Before: 2000, After: 3000, Held: two}})
+	c.Assert(f.Restarts(), qt.DeepEquals, []Restart{{Backend: "m1", Source: SourceRow, Before: 2000, After: 3000, Held: version2}})
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 3000, 4, 2)}, nil, true, 2*time.Second)
 	c.Assert(f.Restarts(), qt.HasLen, 0)
 }
 
-// A server is taken to be full, or silent, for as long as other entries have not heard
-// that it started again: what they have at the process before is told by its ID.
+// A server was considered full or silent until all entries had observed its restart, because they
+// gossiped about the old process under the same ID.
 func TestGossipAboutOldProcessIsNotCurrent(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(plainService, 0)
 	now := time.Second
 	c.Assert(f.IsCurrent("m1", 0, now), qt.IsTrue)
-	c.Assert(f.Boots([]string{"m1"}, now), qt.HasLen, 0, qt.Commentf("bytes for nothing"))
+	c.Assert(f.Boots([]string{"m1"}, now), qt.HasLen, 0, qt.Commentf("gossip without a restart must have no boots"))
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", plainService, 2000, 2, 0)}, nil, false, now)
 	c.Assert(f.IsCurrent("m1", 0, now), qt.IsFalse)
 	c.Assert(f.IsCurrent("m1", 1000, now), qt.IsFalse)
 	c.Assert(f.IsCurrent("m1", 2000, now), qt.IsTrue)
 	c.Assert(f.IsCurrent("m2", 0, now), qt.IsTrue)
 	c.Assert(f.Boots([]string{"m1", "m2"}, now), qt.DeepEquals, map[string]catalog.Boot{"m1": 2000})
-	// All have heard by then, and one that started since has no boot to name.
+	// All entries have observed the restart by then. One that started later sends no boot.
 	c.Assert(f.IsCurrent("m1", 0, now+restartPropagationDelay), qt.IsTrue)
 	c.Assert(f.IsCurrent("m1", 1000, now+restartPropagationDelay), qt.IsFalse)
 	c.Assert(f.Boots([]string{"m1"}, now+restartPropagationDelay), qt.HasLen, 1)
 	c.Assert(f.Boots([]string{"m1"}, now+2*restartPropagationDelay), qt.HasLen, 0)
 }
 
-// A server starts again twice within a heartbeat, and its row tells of the first of the
-// two when the report has told of the second.
+// A server restarts twice within a heartbeat interval. The row of the second process arrives after
+// the report of the third.
 func TestTwoRestartsWithinHeartbeatInterval(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
@@ -310,12 +308,12 @@
 	c.Assert(f.Restarts(), qt.HasLen, 1)
 }
 
-// The store is away while a server starts again. Its row has lapsed on the store's
-// return, or still tells of the process before; the agent alone told of the new one.
+// A server restarts during an outage of the store, so that only its agent reports it. Afterwards
+// its row is missing or still shows the old process.
 func TestRestartDuringStoreOutage(t *testing.T) {
-	for name, back := range map[string]func(f *Fleet, now time.Duration){
-		"its row has lapsed": func(f *Fleet, now time.Duration) { f.Apply(nil, nil, true, now) },
-		"its row is old": func(f *Fleet, now time.Duration) {
+	for name, recovery := range map[string]func(f *Fleet, now time.Duration){
+		"its row has expired": func(f *Fleet, now time.Duration) { f.Apply(nil, nil, true, now) },
+		"its row is outdated": func(f *Fleet, now time.Duration) {
 			f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 1000, 1, 1)}, nil, true, now)
 		},
 	} {
@@ -325,12 +323,12 @@
 			f.Report(newReport(1000, 1), time.Second)
 			f.Report(newReport(2000, 0), 10*time.Second)
 			c.Assert(f.Choose(wanted, 10*time.Second).Found, qt.IsFalse)
-			// The agent cannot be heard for so long that it counts as gone.
+			// Without reports for AgentTimeout, the server counts as one without an agent.
 			f.SetState(testState(), 30*time.Second)
 			c.Assert(f.Choose(wanted, 30*time.Second).Found, qt.IsFalse)
 			f.Report(newReport(2000, 2), 31*time.Second)
 			f.SetOutageEnd(31*time.Second, true, 31*time.Second)
-			back(f, 31*time.Second)
+			recovery(f, 31*time.Second)
 			c.Assert(f.Choose(wanted, 31*time.Second).Holds, qt.Equals, uint64(2))
 			f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 2000, 5, 2)}, nil, false, 31500*time.Millisecond)
 			c.Assert(f.Choose(wanted, 31500*time.Millisecond).Holds, qt.Equals, uint64(2))
@@ -338,17 +336,17 @@
 	}
 }
 
-// A server starts again in the middle of a change of its weights. What its agent told of
-// the change, by whoever heard it last, keeps nothing from the new process.
+// A server restarts during a weight switch. Late reports of the switch must not keep requests from
+// the new process.
 func TestRestartDuringWeightSwitch(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
-	changing := newReport(1000, 1)
-	changing.Switching = true
-	f.Report(changing, time.Second)
+	switching := newReport(1000, 1)
+	switching.Switching = true
+	f.Report(switching, time.Second)
 	c.Assert(f.Choose(wanted, time.Second).Found, qt.IsFalse)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 2000, 2, 2)}, nil, false, 1200*time.Millisecond)
 	c.Assert(f.Choose(wanted, 1200*time.Millisecond).Holds, qt.Equals, uint64(2))
-	f.Report(changing, 1300*time.Millisecond)
+	f.Report(switching, 1300*time.Millisecond)
 	c.Assert(f.Choose(wanted, 1300*time.Millisecond).Holds, qt.Equals, uint64(2))
 }
--- a/internal/coordination/fleet/fleet_test.go
+++ b/internal/coordination/fleet/fleet_test.go
@@ -44,9 +44,8 @@
 	return b
 }
 
-// An order is refused with "no server" though its three servers are up and
-// listed. The list arrives after the desired state; a server was judged before
-// the membership table knew it, and nothing judged it again.
+// A request was refused although three servers were listed. The list arrived after the desired
+// state, and a server was evaluated before the membership table had it and never again.
 func TestChooseUsesServersListedAfterState(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -55,7 +54,7 @@
 	c.Assert(f.Choose(Request{Service: plainService}, time.Second).Backend.ID, qt.Equals, "o1")
 }
 
-// The same the other way round: the list is read before the desired state.
+// The list arrives before the desired state.
 func TestChooseUsesServersListedBeforeState(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -68,8 +67,8 @@
 	c.Assert(used, qt.DeepEquals, map[string]bool{"o1": true, "o2": true})
 }
 
-// A caller's request reaches a server that has no weights, which refuses it.
-// An added server is listed seconds before it holds a model.
+// A request was sent to a server without weights, which refused it. A new server is listed seconds
+// before it holds a model.
 func TestServerWithoutModelGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -80,8 +79,7 @@
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, time.Second).Backend.ID, qt.Equals, "m1")
 }
 
-// A request after the bound of a new version begins on the older one. Only
-// servers that hold the version wanted may be picked.
+// A request that requires a new version was answered with the older one.
 func TestChooseReturnsOnlyRequestedVersion(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -92,8 +90,7 @@
 	}
 }
 
-// A request reaches a server seconds after it said that it leaves, and is cut
-// off when the server exits.
+// A request was sent to a draining server and interrupted when the server exited.
 func TestDrainingServerGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -105,8 +102,8 @@
 	c.Assert(f.Choose(Request{Service: plainService}, time.Second).Found, qt.IsFalse)
 }
 
-// A server that breaks off answers gets no request for a moment, and some again
-// after it.
+// A server that interrupts answers gets no requests while it is suspected, and gets some again
+// afterwards.
 func TestFailedServerIsSuspectedTemporarily(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -124,8 +121,8 @@
 	c.Assert(used["o1"], qt.IsTrue)
 }
 
-// Every request is refused while all servers fail a few of theirs. Where none is
-// above suspicion, those that failed are used.
+// All requests were refused while each server failed a few of its requests. If all servers are
+// suspected, suspected ones are used.
 func TestSuspectedServersAreUsedAsLastResort(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -137,8 +134,8 @@
 	c.Assert(f.Choose(Request{Service: plainService, Avoid: []filbertlever.HostID{"o1", "o2"}}, time.Second).Found, qt.IsFalse)
 }
 
-// All servers load their weights but two that are gone; each request is refused after it tried these,
-// where it could wait for the first that is ready.
+// While the running servers loaded their weights, requests were refused after trying two servers
+// that no longer existed. They must wait for the first server that becomes ready.
 func TestUnreachableServersAreNotUsedAsLastResort(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -156,8 +153,8 @@
 	c.Assert(f.Choose(wanted, time.Second+unreachableBackoff).Found, qt.IsTrue)
 }
 
-// Requests sent to a server just before it switches weights wait through the
-// switch. Its agent tells ahead, and entries send elsewhere.
+// Requests sent to a server shortly before a weight switch waited until the switch ended. The agent
+// reports the switch in advance.
 func TestSwitchingServerGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -170,10 +167,8 @@
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, 2*time.Second).Found, qt.IsTrue)
 }
 
-// After a loss of power each server is a new one at its old address, and the rows of the
-// old ones stay for seconds. Requests went to those first, one after the other, until they
-// were refused. The newer row of an address is the server that lives there, in whichever
-// order rows come.
+// After a power failure each server has a new ID at its old address. Requests tried the old servers
+// first, until they were refused. The newest row of an address must win in any order of arrival.
 func TestNewestRowOfAddressWins(t *testing.T) {
 	c := qt.New(t)
 	row := func(id string, revision, version uint64) catalog.Backend {
@@ -195,7 +190,7 @@
 		f.Report(Load{Address: "10.0.0.1:1", Sequence: 1, Running: 16}, 0)
 		c.Check(f.Choose(Request{Service: modelService, Model: model}, 0).Found, qt.IsFalse)
 	}
-	// One change after the other, as the list is followed.
+	// The rows arrive one by one.
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{row("old", 4, 1)}, nil, true, 0)
@@ -204,8 +199,8 @@
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, time.Second).Found, qt.IsFalse)
 }
 
-// One server has lost its weights, which the list does not show for a second. It says so
-// to one request, and gets no more; others still do.
+// A server has lost its weights, and the list shows them for another second. After one request
+// found this, no further requests may be sent there.
 func TestServerMissingModelGetsNoMoreRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -217,10 +212,9 @@
 	}
 }
 
-// After a loss of power every server has lost its weights, and the list still says what
-// they held. A request went to seven of them one after the other, and was refused though
-// one would be ready in half a second. After two, the list is doubted for all of the
-// service that no agent has told of; one answer is enough to trust it.
+// After a power failure the list shows models that no server holds. A request tried seven servers
+// and was refused, although one became ready after 0.5 s. Two misses in a row discard the listed
+// models, and a success resets the count.
 func TestListedModelsAreDiscardedAfterTwoMisses(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -243,8 +237,8 @@
 	c.Assert(f.Choose(wanted, time.Second).Backend.ID, qt.Equals, "m1")
 }
 
-// Placement is on the path of every request: it must not allocate much and
-// stay cheap with the number of servers.
+// BenchmarkChoose measures placement, which is on the path of every request. Its cost must grow
+// little with the number of servers.
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{16, 256, 2700} {
 		f := newFleet()
@@ -264,8 +258,8 @@
 	}
 }
 
-// Eight entries take the same server for the idlest and bury it. What the
-// others have there counts as soon as they tell.
+// Eight entries overloaded the server that each of them considered least loaded. Gossiped requests
+// of other entries must count.
 func TestPeerRequestsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -280,8 +274,8 @@
 	c.Assert(f.Counts(), qt.DeepEquals, map[string]int{"m1": 1, "m2": 10})
 }
 
-// An entry that cannot be heard still sends, and a server's queue is full of
-// requests that nobody counts. The server's own report shows them.
+// A server whose queue was full of requests of an entry without working gossip appeared to be idle.
+// The report of its agent includes these requests.
 func TestReportedLoadIncludesUngossipedRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -292,8 +286,8 @@
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, 0).Ahead > 1, qt.IsTrue)
 }
 
-// A server's place is taken by another life of it; requests go on to the old
-// one, which answers each that it is not meant, until the list catches up.
+// Requests were sent to a replaced server until the list was updated, and the new server at the
+// address rejected each of them.
 func TestReplacedServerGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -303,9 +297,8 @@
 	c.Assert(f.Choose(Request{Service: plainService}, 0).Found, qt.IsFalse)
 }
 
-// All power was lost. The list still says what each server held, and every
-// request is sent to one that holds nothing; callers come back at random. They
-// are told when the first load ends.
+// After a power failure no server holds the listed model, and callers retried at random times.
+// ReadyIn must return when the first load ends.
 func TestReadyInIsEarliestLoadEnd(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -321,8 +314,8 @@
 	c.Assert(none.ReadyIn, qt.Equals, time.Second)
 }
 
-// A server with a slow link has few requests and keeps its callers waiting. Its
-// late first tokens show it; after a while it is tried again.
+// A server with a slow link has few requests but responds late. Measured latencies must show this,
+// and the server must be tried again later.
 func TestSlowServerIsAvoidedTemporarily(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -337,8 +330,8 @@
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, now+10*time.Second).Backend.ID, qt.Equals, "m1")
 }
 
-// Servers of another region are used only when those near are full: their
-// entries' requests are heard late, and bytes between regions are scarce.
+// Servers of another region are used only when those of this region are full. Requests of their own
+// entries are gossiped late, and bandwidth between regions is scarce.
 func TestOtherRegionIsUsedLast(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -353,8 +346,8 @@
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, 0).Backend.ID, qt.Equals, "m2")
 }
 
-// A host stands still for seconds. It refuses nothing, and until the first of
-// its requests is given up, more and more callers wait there.
+// A host is suspended for seconds. It refuses no requests, so that more and more of them waited
+// there until the first one timed out.
 func TestStalledServerGetsNoMoreRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -371,9 +364,8 @@
 	c.Assert(f.Choose(wanted, now+800*time.Millisecond).Backend.ID, qt.Equals, "m1")
 }
 
-// Hosts stand still, several at once. A request given up at one of them was sent
-// to the next, and reached it long after its caller had left. Their agents stand
-// still with them, which is seen before anything is sent.
+// Several hosts were suspended, and a request that timed out at one was retried at another. Their
+// agents stop reporting at once, which must be detected before a request is sent.
 func TestServerWithSilentAgentGetsNoRequests(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -393,8 +385,8 @@
 	c.Assert(f.Choose(wanted, 2100*time.Millisecond).Backend.ID, qt.Equals, "m1")
 }
 
-// A request that was given up at a host that stands still is sent to another
-// region, to a host that stands still too. Entries there know, and tell.
+// A request that timed out at a suspended host was retried in another region at a host that was
+// suspended too. Entries of that region gossip their silent servers.
 func TestSilentServersOfOtherRegionAreAvoided(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -408,12 +400,12 @@
 	c.Assert(f.Choose(wanted, time.Second).Backend.ID, qt.Equals, "m3")
 	c.Assert(f.Choose(wanted, 3*time.Second).Backend.ID, qt.Equals, "m2")
 	wanted.Avoid = nil
-	c.Assert(f.Choose(wanted, time.Second).Backend.ID, qt.Equals, "m1", qt.Commentf("others' word on a server of the own region was taken"))
+	c.Assert(f.Choose(wanted, time.Second).Backend.ID, qt.Equals, "m1", qt.Commentf("gossip about a server of this region was applied"))
 }
 
-// All entries come back at once after a loss of power, and each engine gets a whole
-// batch of prompts within half a second. Callers were told that their requests may
-// have run, which were given up while the engine read them.
+// After a power failure each engine receives a whole batch of prompts within half a second.
+// Requests were given up while the engine prefilled them, and callers were told that their requests
+// may have been executed.
 func TestPrefillOfFirstBatchIsNotAStall(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -425,7 +417,7 @@
 		c.Assert(f.Choose(wanted, now).Found, qt.IsTrue)
 	}
 	f.SetCounts("entry-2", map[string]int{"m1": 12}, now)
-	// Sixteen prompts of 900 tokens take 0.46 s to read.
+	// The prefill of sixteen prompts of 900 tokens takes 0.46 s.
 	c.Assert(f.Stalled("m1", now+time.Second), qt.IsFalse)
 	c.Assert(f.Stalled("m1", now+1100*time.Millisecond), qt.IsTrue)
 	f.Progress("m1", now+time.Second)
@@ -433,7 +425,7 @@
 	c.Assert(f.Stalled("m1", now+1700*time.Millisecond), qt.IsTrue)
 }
 
-// A request may only be given up for another place if there is one.
+// A request may be moved to another server only if one can take it.
 func TestHasAlternativeLeavesCountsUnchanged(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
--- a/internal/coordination/fleet/outage_test.go
+++ b/internal/coordination/fleet/outage_test.go
@@ -9,7 +9,8 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// Which servers with missing rows may get requests, by what is known of the store.
+// A server whose row is missing gets requests only within the grace period after an outage of the
+// store.
 func TestRemovedServersGetNoRequests(t *testing.T) {
 	const removed = 20 * time.Second
 	tests := []struct {
@@ -20,11 +21,11 @@
 		used   bool
 	}{
 		{"no outage", 0, 0, false},
-		{"an outage long ago", removed - 5*time.Second, 0, false},
+		{"an earlier outage", removed - 5*time.Second, 0, false},
 		{"right after an outage", removed, time.Second, true},
 		{"some time after an outage", removed - time.Second, 500 * time.Millisecond, true},
-		{"past the grace", removed, 2 * time.Second, false},
-		{"past the grace, removed within it", removed - time.Second, time.Second, false},
+		{"after the grace period", removed, 2 * time.Second, false},
+		{"after the grace period, removed within it", removed - time.Second, time.Second, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -40,8 +41,8 @@
 	}
 }
 
-// A removed server got requests until the end of the grace, after others had reported that
-// the store was up all the while.
+// A removed server got requests until the end of the grace period, although other entries had
+// reported that there was no outage of the store.
 func TestClearedOutageEndsGracePeriod(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -54,7 +55,8 @@
 	c.Assert(f.Choose(Request{Service: plainService}, 20200*time.Millisecond).Found, qt.IsFalse)
 }
 
-// After an outage, a server whose row is missing is used where a listed one makes requests wait.
+// After an outage, a server whose row is missing is used only if requests would queue at the listed
+// ones.
 func TestListedServersArePreferredToMissingOnes(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
@@ -73,30 +75,29 @@
 	c.Assert(used["m1"] > 0, qt.IsTrue, qt.Commentf("%v", used))
 }
 
-// Every request is refused for two seconds after the store's return. All
-// entries of live servers lapsed while the store was away and are missing from
-// the first list read after it.
+// All requests were refused for two seconds after an outage of the store. The rows of running
+// servers had expired in the outage and were missing from the first list after it.
 func TestServersExpiredInOutageStayDuringGracePeriod(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("o1", plainService, "10.0.0.1:1", 0)}, nil, true, 0)
-	back := 20 * time.Second
-	f.SetOutageEnd(back, true, back)
-	f.Apply(nil, []string{"o1"}, false, back)
-	c.Assert(f.Choose(Request{Service: plainService}, back+time.Second).Found, qt.IsTrue)
-	c.Assert(f.Choose(Request{Service: plainService}, back+3*time.Second).Found, qt.IsFalse)
+	outageEnd := 20 * time.Second
+	f.SetOutageEnd(outageEnd, true, outageEnd)
+	f.Apply(nil, []string{"o1"}, false, outageEnd)
+	c.Assert(f.Choose(Request{Service: plainService}, outageEnd+time.Second).Found, qt.IsTrue)
+	c.Assert(f.Choose(Request{Service: plainService}, outageEnd+3*time.Second).Found, qt.IsFalse)
 }
 
-// The same entries come back within the grace: the server goes on being used.
+// A server whose expired row is written again within the grace period remains in use.
 func TestExpiredServerListedAgainStays(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet()
 	f.SetState(testState(), 0)
-	one := newBackend("o1", plainService, "10.0.0.1:1", 0)
-	f.Apply([]catalog.Backend{one}, nil, true, 0)
+	server := newBackend("o1", plainService, "10.0.0.1:1", 0)
+	f.Apply([]catalog.Backend{server}, nil, true, 0)
 	f.SetOutageEnd(20*time.Second, true, 20*time.Second)
 	f.Apply(nil, []string{"o1"}, false, 20*time.Second)
-	f.Apply([]catalog.Backend{one}, nil, false, 21*time.Second)
+	f.Apply([]catalog.Backend{server}, nil, false, 21*time.Second)
 	c.Assert(f.Choose(Request{Service: plainService}, 30*time.Second).Found, qt.IsTrue)
 }
--- a/internal/coordination/fleet/scale_test.go
+++ b/internal/coordination/fleet/scale_test.go
@@ -14,7 +14,7 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// newFleetOfSize is a fleet of so many model servers, a fifth of them in its own region.
+// newFleetOfSize returns a fleet of model servers, a fifth of which are in its region.
 func newFleetOfSize(servers int) *Fleet {
 	f := newFleet()
 	f.SetState(testState(), time.Second)
@@ -35,14 +35,15 @@
 
 func sizedServerID(i int) string { return fmt.Sprintf("i-%010x", i*7919) }
 
-// fleetSizes are the servers of a small installation, of the users' largest, and of the aim.
+// fleetSizes are the server counts of a small installation, of the largest one of the users and of
+// the design target.
 var fleetSizes = []int{21, 265, 2700}
 
-// BenchmarkSize tells what an entry pays for what comes at a steady rate: a tick with
-// nothing new, the counts of another entry, an agent's report, one placement. None may
-// grow with the servers. Before what changes was noted where it changes, at 265 and 2,700
-// servers: a tick 9.0 and 229 us, counts 5.0 and 77 us, a placement 1.0 and 3.0 us; since then 1.6
-// and 1.8, 1.2 and 1.5, 0.7 and 0.9 us.
+// BenchmarkSize measures the periodic work of an entry: a tick without changes, the counts of
+// another entry, a report and a placement. None of them may grow with the number of servers. With a
+// scan of all servers, a tick took 9.0 us at 265 and 229 us at 2,700 servers, counts 5.0 and 77 us,
+// and a placement 1.0 and 3.0 us. With incremental updates they take 1.6 and 1.8, 1.2 and 1.5, and
+// 0.7 and 0.9 us.
 func BenchmarkSize(b *testing.B) {
 	for _, n := range fleetSizes {
 		f, now := newFleetOfSize(n), 1100*time.Millisecond
@@ -81,45 +82,44 @@
 	}
 }
 
-// Requests gather at servers that look idle, or sound ones get none: what other entries
-// have at a server is kept by changes, and one of them was missed. Whatever entries tell
-// in any order, while servers come, go and start again, each server's sum is that of what
-// each entry told last since the server's start.
+// Requests gathered at servers that looked idle, or idle servers got none, because one incremental
+// update of the gossiped counts was missed. Each server's total must equal the sum of what each
+// entry last gossiped since the server's restart.
 func TestPeerTotalsMatchCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
 		f.SetState(testState(), 0)
 		ids := []string{"m1", "m2", "m3"}
-		told := map[filbertlever.HostID]map[string]int{}
+		gossiped := map[filbertlever.HostID]map[string]int{}
 		boots := map[string]catalog.Boot{}
 		now, revision := time.Second, uint64(0)
-		list := func(id string) {
+		writeRow := func(id string) {
 			revision++
 			row := newBackendWithBoot(id, modelService, boots[id], revision, 1)
 			row.Address = "10.0.0." + id[1:] + ":1"
 			f.Apply([]catalog.Backend{row}, nil, false, now)
 		}
-		forget := func(id string) {
-			for _, counts := range told {
+		clearCounts := func(id string) {
+			for _, counts := range gossiped {
 				delete(counts, id)
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += 10 * time.Millisecond
 			id := rapid.SampledFrom(ids).Draw(t, "server")
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "action") {
 			case 0:
 				if boots[id] == 0 {
 					boots[id] = 1000
 				}
-				list(id)
+				writeRow(id)
 			case 1:
 				boots[id] += 1000
-				forget(id)
-				list(id)
+				clearCounts(id)
+				writeRow(id)
 			case 2:
 				f.Replaced(id, now)
-				forget(id)
+				clearCounts(id)
 			case 3:
 				entry := filbertlever.HostID(rapid.SampledFrom([]string{"e1", "e2"}).Draw(t, "entry"))
 				counts := map[string]int{}
@@ -128,24 +128,23 @@
 				}
 				f.SetCounts(entry, counts, now)
 				maps.DeleteFunc(counts, func(at string, _ int) bool { return !f.Known(at) })
-				told[entry] = counts
+				gossiped[entry] = counts
 			}
 			for at, s := range f.servers {
 				want := 0
-				for _, counts := range told {
+				for _, counts := range gossiped {
 					want += counts[at]
 				}
 				if s.peerTotal != want {
-					t.Fatalf("%s: %d requests of others, told %d", at, s.peerTotal, want)
+					t.Fatalf("server %s has a peer total of %d, want %d", at, s.peerTotal, want)
 				}
 			}
 		}
 	})
 }
 
-// Callers wait for a host that stands still, or one that is sound again gets nothing: only
-// some servers are looked at. Whatever is heard of them, those that are silent or stalled
-// are the ones that a look at all would find.
+// The health check evaluates only some servers. It must find the same silent and stalled servers as
+// a scan of all, otherwise requests wait at suspended hosts or recovered servers get none.
 func TestIncrementalHealthCheckMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleetOfSize(8)
@@ -154,7 +153,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
 			id := sizedServerID(rapid.IntRange(0, 7).Draw(t, "server"))
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0, 1:
 				f.Report(Load{Address: f.servers[id].backend.Address, Models: f.servers[id].backend.Models}, now)
 			case 2:
@@ -176,7 +175,7 @@
 			var silent []string
 			for id, s := range f.servers {
 				if usable := f.usable(s, now); usable != s.routerUsable {
-					t.Fatalf("%s: placed as usable %v, is %v", id, s.routerUsable, usable)
+					t.Fatalf("server %s: the router has usable = %v, want %v", id, s.routerUsable, usable)
 				}
 				if f.config.Regions[s.backend.Site] == f.config.Region && (f.silent(s, now) || f.stalled(s, now)) {
 					silent = append(silent, id)
@@ -184,13 +183,13 @@
 			}
 			slices.Sort(silent)
 			if got := f.Silent(now); !slices.Equal(got, silent) {
-				t.Fatalf("silent %v, found %v", silent, got)
+				t.Fatalf("silent servers are %v, want %v", got, silent)
 			}
 		}
 	})
 }
 
-// An entry that has heard of nothing new tells nothing, and looks at no server.
+// A tick without changes must neither scan the servers nor allocate for each of them.
 func TestIdleTickAllocatesLittle(t *testing.T) {
 	c := qt.New(t)
 	for _, n := range fleetSizes {
