--- a/internal/coordination/fleet/boots_property_test.go
+++ b/internal/coordination/fleet/boots_property_test.go
@@ -57,10 +57,10 @@
 	version := uint64(u.boot + 1)
 	if u.row {
 		row := newBackendWithBoot("m1", modelService, sim.boots[u.boot], u.revision, version)
-		sim.fleet.Apply([]catalog.Backend{row}, nil, rapid.Bool().Draw(sim.t, "complete"), sim.now)
+		sim.fleet.Apply([]catalog.Backend{row}, nil, rapid.Bool().Draw(sim.t, "whole"), sim.now)
 	} else {
 		report := newReport(sim.boots[u.boot], version)
-		if sim.agentSawRestarts || rapid.Bool().Draw(sim.t, "agentSawRestarts") {
+		if sim.agentSawRestarts || rapid.Bool().Draw(sim.t, "seen") {
 			report.Before = slices.Clone(sim.boots[:u.boot])
 		}
 		sim.fleet.Report(report, sim.now)
--- a/internal/coordination/fleet/counts.go
+++ b/internal/coordination/fleet/counts.go
@@ -33,7 +33,7 @@
 	LeavesIn time.Duration `cbor:"10,keyasint,omitempty"`
 	// LoadedIn is the time until the server holds the model that it loads; 0 if it loads none.
 	LoadedIn time.Duration `cbor:"11,keyasint,omitempty"`
-	// Draining is true if the answers of the server indicate that it is draining.
+	// Leaving is true if the answers of the server indicate that it is draining.
 	Leaving bool `cbor:"12,keyasint,omitempty"`
 }
 
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -43,8 +43,8 @@
 	// with requests in flight gets no more requests.
 	EngineStallTimeout time.Duration
 	PlainStallTimeout  time.Duration
-	// ReportTimeout is the time without a report or an answer after which a server of this region
-	// is silent. After AgentTimeout without a report it counts as a server without an agent.
+	// ReportTimeout is the time with neither a report nor an answer after which a server of this
+	// region is silent. After AgentTimeout without a report it counts as a server without an agent.
 	ReportTimeout time.Duration
 	AgentTimeout  time.Duration
 	// SilentTTL is how long gossip that a server is silent stays valid.
--- a/internal/coordination/fleet/scale_test.go
+++ b/internal/coordination/fleet/scale_test.go
@@ -107,7 +107,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += 10 * time.Millisecond
 			id := rapid.SampledFrom(ids).Draw(t, "server")
-			switch rapid.IntRange(0, 3).Draw(t, "action") {
+			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				if boots[id] == 0 {
 					boots[id] = 1000
@@ -153,7 +153,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
 			id := sizedServerID(rapid.IntRange(0, 7).Draw(t, "server"))
-			switch rapid.IntRange(0, 5).Draw(t, "action") {
+			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
 				f.Report(Load{Address: f.servers[id].backend.Address, Models: f.servers[id].backend.Models}, now)
 			case 2:
@@ -183,7 +183,7 @@
 			}
 			slices.Sort(silent)
 			if got := f.Silent(now); !slices.Equal(got, silent) {
-				t.Fatalf("silent servers are %v, want %v", got, silent)
+				t.Fatalf("want silent servers %v, got %v", silent, got)
 			}
 		}
 	})
