--- a/internal/transport/gateway/badrows.go
+++ b/internal/transport/gateway/badrows.go
@@ -11,41 +11,41 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// badKept bounds the bad rows that are remembered: 22,000 servers have a row each, and
+// maxTrackedBadRows bounds the bad rows that are remembered: 22,000 servers have a row each, and
 // a program that spoils more of them than this is told of again.
-const badKept = 4096
+const maxTrackedBadRows = 4096
 
 // badRows are the rows that name nothing. The zero value knows none; the gateway's lock
 // guards it.
 type badRows struct {
-	// seen are the revisions that were told of.
-	seen map[badKey]uint64
+	// reported are the revisions that were told of.
+	reported map[badRowKey]uint64
 	// withheld are servers that are not used for now, by ID.
 	withheld map[string]catalog.Backend
-	// booted is true once a server has told when it started.
-	booted bool
+	// bootsReported is true once a server has told when it started.
+	bootsReported bool
 }
 
-type badKey struct {
+type badRowKey struct {
 	table Table
 	key   string
 	cause Cause
 }
 
-// news reports whether a bad row, as it is now, was not known.
+// isNew reports whether a bad row, as it is now, was not known.
 //
 // Guard: a bad row stays in the store, and comes again with each read of its table and
 // from each entry that tells of it. Told each time it would hide all other lines, and
 // the count would grow by reads.
-func (b *badRows) news(bad BadRow) bool {
-	key := badKey{bad.Table, bad.Key, bad.Cause}
-	if revision, ok := b.seen[key]; ok && bad.Revision <= revision {
+func (b *badRows) isNew(bad BadRow) bool {
+	key := badRowKey{bad.Table, bad.Key, bad.Cause}
+	if revision, ok := b.reported[key]; ok && bad.Revision <= revision {
 		return false
 	}
-	if b.seen == nil || len(b.seen) >= badKept {
-		b.seen = map[badKey]uint64{}
+	if b.reported == nil || len(b.reported) >= maxTrackedBadRows {
+		b.reported = map[badRowKey]uint64{}
 	}
-	b.seen[key] = bad.Revision
+	b.reported[key] = bad.Revision
 	return true
 }
 
@@ -53,7 +53,7 @@
 // caller holds the lock.
 func (g *Gateway) noteBad(rows []BadRow) {
 	for _, bad := range rows {
-		if !g.bad.news(bad) {
+		if !g.bad.isNew(bad) {
 			continue
 		}
 		g.metrics.badRows.WithLabelValues(string(bad.Table), string(bad.Cause)).Inc()
@@ -64,8 +64,8 @@
 
 // Why a server is not used.
 var (
-	errService = errors.New("service: expected one of the desired state")
-	errBoot    = errors.New("boot: expected one, as other servers tell theirs")
+	errUnknownService = errors.New("service: expected one of the desired state")
+	errMissingBoot    = errors.New("boot: expected one, as other servers tell theirs")
 )
 
 // withhold keeps back the servers whose service the desired state does not name, and
@@ -83,7 +83,7 @@
 	}
 	state := g.state.Load()
 	for _, backend := range b.Present {
-		g.bad.booted = g.bad.booted || backend.Boot != 0
+		g.bad.bootsReported = g.bad.bootsReported || backend.Boot != 0
 	}
 	for _, id := range b.Gone {
 		delete(g.bad.withheld, id)
@@ -92,7 +92,7 @@
 		}
 	}
 	for _, backend := range b.Present {
-		if serves(state, backend) && g.bad.identified(backend) {
+		if serves(state, backend) && g.bad.hasKnownBoot(backend) {
 			delete(g.bad.withheld, backend.ID)
 			present = append(present, backend)
 			continue
@@ -102,7 +102,7 @@
 			gone = append(gone, backend.ID)
 		}
 	}
-	g.noteWithheld(state)
+	g.reportWithheld(state)
 	return present, gone
 }
 
@@ -115,23 +115,25 @@
 	return ok
 }
 
-// identified reports whether it can be told which start of a server a row is of.
+// hasKnownBoot reports whether it can be told which start of a server a row is of.
 //
 // Guard: a row of another program, or of a process before, that does not say when its
 // server started would be taken for the one that is known: what that one held would be
 // asked of the next.
-func (b *badRows) identified(backend catalog.Backend) bool { return backend.Boot != 0 || !b.booted }
+func (b *badRows) hasKnownBoot(backend catalog.Backend) bool {
+	return backend.Boot != 0 || !b.bootsReported
+}
 
-// noteWithheld tells of the servers that a state does not name; none is told of before
+// reportWithheld tells of the servers that a state does not name; none is told of before
 // the first state is known.
-func (g *Gateway) noteWithheld(state *catalog.State) {
+func (g *Gateway) reportWithheld(state *catalog.State) {
 	if state == nil {
 		return
 	}
 	for id, backend := range g.bad.withheld {
-		bad := BadRow{Table: TableBackends, Key: id, Revision: backend.Revision, Cause: CauseService, Err: errService}
+		bad := BadRow{Table: TableBackends, Key: id, Revision: backend.Revision, Cause: CauseService, Err: errUnknownService}
 		if serves(state, backend) {
-			bad.Cause, bad.Err = CauseMissing, errBoot
+			bad.Cause, bad.Err = CauseMissing, errMissingBoot
 		}
 		g.noteBad([]BadRow{bad})
 	}
@@ -142,12 +144,12 @@
 func (g *Gateway) release(state *catalog.State, now time.Duration) {
 	var present []catalog.Backend
 	for id, backend := range g.bad.withheld {
-		if serves(state, backend) && g.bad.identified(backend) {
+		if serves(state, backend) && g.bad.hasKnownBoot(backend) {
 			present = append(present, backend)
 			delete(g.bad.withheld, id)
 		}
 	}
-	g.noteWithheld(state)
+	g.reportWithheld(state)
 	if len(present) == 0 {
 		return
 	}
--- a/internal/transport/gateway/badrows_test.go
+++ b/internal/transport/gateway/badrows_test.go
@@ -19,16 +19,16 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/fleet"
 )
 
-// believer is a gateway with beliefs only, what it logs and what it counts.
-func believer() (*Gateway, *observer.ObservedLogs, *prometheus.Registry) {
+// newBadRowGateway is a gateway with beliefs only, what it logs and what it counts.
+func newBadRowGateway() (*Gateway, *observer.ObservedLogs, *prometheus.Registry) {
 	core, logs := observer.New(zap.InfoLevel)
 	registry := prometheus.NewRegistry()
 	return &Gateway{crashes: newCrashes(), log: zap.New(core), metrics: newMetrics(registry),
 		fleet: fleet.New(fleet.DefaultConfig(), rand.New(rand.NewPCG(1, 2)))}, logs, registry
 }
 
-// counted returns the count of bad rows of a cause.
-func counted(t testing.TB, registry *prometheus.Registry, cause Cause) float64 {
+// badRowCount returns the count of bad rows of a cause.
+func badRowCount(t testing.TB, registry *prometheus.Registry, cause Cause) float64 {
 	families, err := registry.Gather()
 	qt.Assert(t, err, qt.IsNil)
 	for _, family := range families {
@@ -42,7 +42,7 @@
 	return 0
 }
 
-func stateOf(services ...string) *catalog.State {
+func stateWithServices(services ...string) *catalog.State {
 	var list []catalog.Service
 	for _, name := range services {
 		list = append(list, catalog.Service{Name: name})
@@ -52,33 +52,33 @@
 
 // The log of an entry is one line, repeated: a bad row lies in the store, and comes
 // again with each read and from each entry that tells of it.
-func TestABadRowIsToldOnceAChange(t *testing.T) {
+func TestBadRowIsReportedOncePerChange(t *testing.T) {
 	c := qt.New(t)
-	g, logs, registry := believer()
+	g, logs, registry := newBadRowGateway()
 	bad := BadRow{Table: TableBackends, Key: "x", Revision: 7, Cause: CauseRange, Err: errName}
 	for range 5 {
 		g.noteBad([]BadRow{bad, {Table: TableBackends, Cause: CauseEnvelope, Err: errName}})
 	}
 	c.Assert(logs.FilterMessage("row names nothing").Len(), qt.Equals, 2)
-	c.Assert(counted(t, registry, CauseRange), qt.Equals, 1.0)
+	c.Assert(badRowCount(t, registry, CauseRange), qt.Equals, 1.0)
 	bad.Revision = 9
 	g.noteBad([]BadRow{bad})
 	bad.Revision = 7
 	g.noteBad([]BadRow{bad})
 	c.Assert(logs.FilterMessage("row names nothing").Len(), qt.Equals, 3)
-	c.Assert(counted(t, registry, CauseRange), qt.Equals, 2.0)
-	for n := range 3 * badKept {
+	c.Assert(badRowCount(t, registry, CauseRange), qt.Equals, 2.0)
+	for n := range 3 * maxTrackedBadRows {
 		g.noteBad([]BadRow{{Table: TableBackends, Key: fmt.Sprint(n), Revision: 10, Cause: CauseRange, Err: errName}})
 	}
-	c.Assert(len(g.bad.seen) <= badKept, qt.IsTrue)
+	c.Assert(len(g.bad.reported) <= maxTrackedBadRows, qt.IsTrue)
 }
 
 // A server that lives gets no more requests, for minutes: another program wrote a row
 // of a service that there is not, at that server's address, and it was taken for the
 // server's next start.
-func TestAServerOfNoServicePutsNoneOutOfUse(t *testing.T) {
+func TestRowOfUnknownServiceDoesNotReplaceLiveServer(t *testing.T) {
 	c := qt.New(t)
-	g, logs, _ := believer()
+	g, logs, _ := newBadRowGateway()
 	live := catalog.Backend{ID: "i-1", Revision: 5, Service: "orders", Address: "10.0.0.1:1"}
 	other := catalog.Backend{ID: "x", Revision: 9, Service: "odd", Address: live.Address}
 	apply := func(b Backends, whole bool) {
@@ -88,7 +88,7 @@
 	// The list may be read before any desired state is known.
 	apply(Backends{Present: []catalog.Backend{live, other}}, true)
 	c.Assert(logs.Len(), qt.Equals, 0)
-	state := stateOf("orders")
+	state := stateWithServices("orders")
 	g.fleet.SetState(state, time.Second)
 	g.state.Store(state)
 	g.release(state, time.Second)
@@ -101,7 +101,7 @@
 	added := catalog.Backend{ID: "i-2", Revision: 10, Service: "added", Address: "10.0.0.2:1"}
 	apply(Backends{Present: []catalog.Backend{added}}, false)
 	c.Assert(g.fleet.Known("i-2"), qt.IsFalse)
-	state = stateOf("orders", "added")
+	state = stateWithServices("orders", "added")
 	g.fleet.SetState(state, time.Second)
 	g.state.Store(state)
 	g.release(state, time.Second)
@@ -112,17 +112,17 @@
 	c.Assert(g.fleet.Backends("orders"), qt.HasLen, 0)
 	// One that was withheld and removed does not come back.
 	apply(Backends{Gone: []string{"x"}}, false)
-	g.release(stateOf("odd"), time.Second)
+	g.release(stateWithServices("odd"), time.Second)
 	c.Assert(g.fleet.Known("x"), qt.IsFalse)
 }
 
 // Every request was refused with "no server": on an installation whose servers do not say
 // when they started each row was taken for one of another program. There they are used;
 // where servers do say so, a row that does not names none, and the others hold.
-func TestARowWithoutABootIsUsedWhereNoneHasOne(t *testing.T) {
+func TestRowWithoutBootIsUsedIfNoServerReportsBoots(t *testing.T) {
 	c := qt.New(t)
-	g, logs, _ := believer()
-	state := stateOf("orders")
+	g, logs, _ := newBadRowGateway()
+	state := stateWithServices("orders")
 	g.state.Store(state)
 	g.fleet.SetState(state, time.Second)
 	apply := func(present ...catalog.Backend) {
@@ -147,7 +147,7 @@
 
 // An entry that reads rows from its region's reader ends: the list was no list. Or it
 // reads none, as an empty list between two left a comma alone.
-func TestListsOfRowsAreJoinedWhateverTheyAre(t *testing.T) {
+func TestJoinRowsSkipsInvalidAndEmptyLists(t *testing.T) {
 	c := qt.New(t)
 	for want, lists := range map[string][]string{
 		"":              {},
@@ -163,20 +163,20 @@
 	}
 }
 
-const soundEntry = `"Entry":{"Host":"e","Site":"a","Region":"ra","Callers":"10.0.0.1:1","Peers":"10.0.0.1:2","Datagrams":"10.0.0.1:3","Incarnation":"x"}`
+const validEntryJSON = `"Entry":{"Host":"e","Site":"a","Region":"ra","Callers":"10.0.0.1:1","Peers":"10.0.0.1:2","Datagrams":"10.0.0.1:3","Incarnation":"x"}`
 
 // A server is out of use for good, or callers are sent to nowhere: something that was
 // no entry and no agent sent figures that cannot be to an entry's socket.
-func TestDatagramsThatCannotBeAreLeftOut(t *testing.T) {
+func TestDatagramsWithInvalidFieldsAreRejected(t *testing.T) {
 	c := qt.New(t)
-	for _, sound := range []string{`{}`, `{"Changed":true}`, `{"Beat":{` + soundEntry + `,"Named":[{"Model":"d","Version":2,"Age":5,"Known":true}]}}`,
+	for _, sound := range []string{`{}`, `{"Changed":true}`, `{"Beat":{` + validEntryJSON + `,"Named":[{"Model":"d","Version":2,"Age":5,"Known":true}]}}`,
 		`{"Counts":{"From":"e","Sequence":-4,"Requests":{"i-1":3}}}`, `{"Load":{"Load":{"Address":"10.0.0.1:1","Running":3,"Models":[{"Name":"d","Version":2}],"LeavesIn":-5},"Named":[{"Model":"d","Version":2,"Age":5}]}}`} {
 		_, err := DecodeDatagram(message(sound))
 		c.Check(err, qt.IsNil, qt.Commentf(sound))
 	}
-	for _, bad := range []string{``, `7`, `{"Beat":{}}`, `{"Beat":7}`, `{"Beat":{` + strings.Replace(soundEntry, "10.0.0.1:3", "", 1) + `}}`,
-		`{"Beat":{` + strings.Replace(soundEntry, `"Host":"e"`, `"Host":""`, 1) + `}}`,
-		`{"Beat":{` + soundEntry + `,"Named":[{"Age":-5}]}}`, `{"Beat":{` + soundEntry + `,"Named":[{"Version":18446744073709551615}]}}`,
+	for _, bad := range []string{``, `7`, `{"Beat":{}}`, `{"Beat":7}`, `{"Beat":{` + strings.Replace(validEntryJSON, "10.0.0.1:3", "", 1) + `}}`,
+		`{"Beat":{` + strings.Replace(validEntryJSON, `"Host":"e"`, `"Host":""`, 1) + `}}`,
+		`{"Beat":{` + validEntryJSON + `,"Named":[{"Age":-5}]}}`, `{"Beat":{` + validEntryJSON + `,"Named":[{"Version":18446744073709551615}]}}`,
 		`{"Counts":{}}`, `{"Counts":{"From":"e","Requests":{"i-1":-3}}}`, `{"Counts":{"From":"e","Requests":{"i-1":1e400}}}`,
 		`{"Load":{"Load":{"Running":-1}}}`, `{"Load":{"Load":{"Queued":9000000000}}}`, `{"Load":{"Load":{"LoadedIn":9000000000000000000}}}`,
 		`{"Load":{"Load":{"Models":[{"Version":2}]}}}`, `{"Load":{"Named":[{"Age":-5}]}}`, `{"Load":{"Load":{"Pace":-1.5}}}`} {
@@ -187,9 +187,9 @@
 
 // An entry hears of no change ever again, as it was told a revision that the store will
 // not reach; or it ends, as the answer has no end.
-func TestAnswersOfEntriesAreBounded(t *testing.T) {
+func TestInvalidPeerResponsesAreRejected(t *testing.T) {
 	c := qt.New(t)
-	feed := func(revision, age string, body []byte) (FeedAnswer, error) {
+	feed := func(revision, age string, body []byte) (FeedResponse, error) {
 		return decodeFeed(http.Header{headerRevision: {revision}, headerAge: {age}}, bytes.NewReader(body))
 	}
 	answer, err := feed("7", "5", pack([]byte("[]")))
@@ -201,12 +201,12 @@
 	}{
 		{"", "5", nil}, {"x", "5", nil}, {"18446744073709551615", "5", nil}, {"7", "-5", nil}, {"7", "", nil},
 		{"7", "5", []byte("7")}, {"7", "5", pack([]byte("7"))}, {"7", "5", pack([]byte("[}"))},
-		{"7", "5", pack([]byte("[" + strings.Repeat(" ", unpackedMost) + "]"))},
+		{"7", "5", pack([]byte("[" + strings.Repeat(" ", maxDecompressedBytes) + "]"))},
 	} {
 		_, err := feed(bad.revision, bad.age, bad.body)
 		c.Check(err, qt.ErrorMatches, "decode feed: .*")
 	}
-	entries, err := decodeEntries(strings.NewReader(`[7,{"Host":"x"},` + strings.TrimPrefix(soundEntry, `"Entry":`) + `]`))
+	entries, err := decodeEntries(strings.NewReader(`[7,{"Host":"x"},` + strings.TrimPrefix(validEntryJSON, `"Entry":`) + `]`))
 	c.Assert(err, qt.IsNil)
 	c.Assert(entries, qt.HasLen, 1)
 }
--- a/internal/transport/gateway/boots_test.go
+++ b/internal/transport/gateway/boots_test.go
@@ -19,8 +19,8 @@
 	"github.com/filbertlever/filbertlever/internal/transport/datagrams"
 )
 
-// newBooted is an entry that knows one plain server, at its first boot.
-func newBooted(t *testing.T) (*Gateway, *observer.ObservedLogs) {
+// newEntryWithBoot is an entry that knows one plain server, at its first boot.
+func newEntryWithBoot(t *testing.T) (*Gateway, *observer.ObservedLogs) {
 	core, logs := observer.New(zap.InfoLevel)
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -30,22 +30,22 @@
 	state := catalog.New(1, nil, []catalog.Service{{Name: "orders"}}, nil, catalog.Limits{})
 	g.state.Store(state)
 	g.fleet.SetState(state, boottime.Now())
-	g.takeBackends(Backends{Present: []catalog.Backend{row(1000, 1)}}, true, boottime.Now())
+	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(1000, 1)}}, true, boottime.Now())
 	return g, logs
 }
 
-func row(boot catalog.Boot, revision uint64) catalog.Backend {
+func bootRow(boot catalog.Boot, revision uint64) catalog.Backend {
 	return catalog.Backend{ID: "i-1", Service: "orders", Address: "10.0.0.1:1", Slots: 4, Boot: boot, Revision: revision,
 		Models: []catalog.Model{{Name: "drafter", Version: revision}}}
 }
 
 // On call: a server started again. One line says what was believed before and after, by
 // which news, and how many requests of this entry were under way.
-func TestARestartIsLogged(t *testing.T) {
+func TestServerRestartIsLogged(t *testing.T) {
 	c := qt.New(t)
-	g, logs := newBooted(t)
+	g, logs := newEntryWithBoot(t)
 	c.Assert(g.fleet.Choose(fleet.Request{Service: "orders"}, boottime.Now()).Found, qt.IsTrue)
-	g.takeBackends(Backends{Present: []catalog.Backend{row(2000, 2)}}, false, boottime.Now())
+	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, boottime.Now())
 	c.Assert(logs.FilterMessage("backend server started again").Len(), qt.Equals, 1)
 	g.take(&Datagram{Load: &LoadReport{Load: fleet.Load{Address: "10.0.0.1:1", Boot: 3000}}}, g.socket.Address())
 	lines := logs.FilterMessage("backend server started again").All()
@@ -58,14 +58,14 @@
 
 // An order finds all servers full that are idle: other entries told of requests at the
 // process before, which the new one never had.
-func TestCountsOfTheProcessBeforeAreLeftOut(t *testing.T) {
+func TestCountsOfPreviousBootAreIgnored(t *testing.T) {
 	c := qt.New(t)
-	g, _ := newBooted(t)
+	g, _ := newEntryWithBoot(t)
 	now := boottime.Now()
 	for _, entry := range []Entry{{Host: "e2"}, {Host: "e3"}} {
 		g.peers.hear(entry, true, false, now)
 	}
-	g.takeBackends(Backends{Present: []catalog.Backend{row(2000, 2)}}, false, now)
+	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, now)
 	ahead := func() int {
 		placement := g.fleet.Choose(fleet.Request{Service: "orders"}, now)
 		g.fleet.EndedAt(placement.Backend)
@@ -85,13 +85,13 @@
 // An order has no server to go to. A request that was placed at a process that is gone
 // is told, late, that another server answers at its address, or that it holds nothing;
 // that is no news of the process that followed at another address.
-func TestLateWordOfTheProcessBeforeChangesNothing(t *testing.T) {
+func TestLateReplyOfPreviousBootIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	g, _ := newBooted(t)
+	g, _ := newEntryWithBoot(t)
 	now := boottime.Now()
 	a := &attempts{exchange: &exchange{gateway: g, call: &Call{ID: "o1"}}}
 	a.last = g.fleet.Choose(fleet.Request{Service: "orders"}, now)
-	moved := row(2000, 2)
+	moved := bootRow(2000, 2)
 	moved.Address = "10.0.0.2:1"
 	g.takeBackends(Backends{Present: []catalog.Backend{moved}}, false, now)
 	a.moved("i-1", &Reply{Life: "i-9"})
@@ -103,16 +103,16 @@
 
 // A server stands still, and its late answers come from the connections of the process
 // before, which a stalled link still delivers. It would not be seen to be silent.
-func TestLateAnswersOfTheProcessBeforeAreNoProgress(t *testing.T) {
+func TestLateAnswerOfPreviousBootIsNotProgress(t *testing.T) {
 	c := qt.New(t)
-	g, _ := newBooted(t)
+	g, _ := newEntryWithBoot(t)
 	a := &attempts{exchange: &exchange{gateway: g, call: &Call{ID: "o1"}}}
 	for range 2 {
 		// Sent to an idle server, the first request begins its silence.
 		a.last = g.fleet.Choose(fleet.Request{Service: "orders"}, boottime.Now()-time.Second)
 	}
 	before := a.last
-	g.takeBackends(Backends{Present: []catalog.Backend{row(2000, 2)}}, false, boottime.Now()-time.Second)
+	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, boottime.Now()-time.Second)
 	after := g.fleet.Choose(fleet.Request{Service: "orders"}, boottime.Now()-time.Second)
 	c.Assert(after.Found, qt.IsTrue)
 	c.Assert(g.fleet.Stalled("i-1", boottime.Now()), qt.IsTrue)
@@ -127,17 +127,17 @@
 
 // A lookup waits to its end at a process that is gone, whose end a cut hides, though
 // another server is free.
-func TestARequestIsNotLeftAtAProcessThatIsGone(t *testing.T) {
+func TestRequestLeavesServerWhoseProcessEnded(t *testing.T) {
 	c := qt.New(t)
-	g, _ := newBooted(t)
+	g, _ := newEntryWithBoot(t)
 	now := boottime.Now()
 	wanted := fleet.Request{Service: "orders"}
 	w := &headWatch{gateway: g, goal: time.Second, backend: g.fleet.Choose(wanted, now).Backend, wanted: wanted}
 	w.wanted.Avoid = []filbertlever.HostID{"i-1"}
-	other := row(1000, 2)
+	other := bootRow(1000, 2)
 	other.ID, other.Address = "i-2", "10.0.0.2:1"
 	g.takeBackends(Backends{Present: []catalog.Backend{other}}, false, now)
 	c.Assert(w.late(500*time.Millisecond), qt.IsFalse)
-	g.takeBackends(Backends{Present: []catalog.Backend{row(2000, 3)}}, false, now)
+	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(2000, 3)}}, false, now)
 	c.Assert(w.late(500*time.Millisecond), qt.IsTrue)
 }
--- a/internal/transport/gateway/bound_test.go
+++ b/internal/transport/gateway/bound_test.go
@@ -23,37 +23,37 @@
 	"github.com/filbertlever/filbertlever/internal/transport/relay"
 )
 
-// noOrigin is an origin that has no version any more.
-type noOrigin struct{}
+// emptyOrigin is an origin that has no version any more.
+type emptyOrigin struct{}
 
-func (noOrigin) Manifest(context.Context, string, catalog.NamedVersion) (relay.Manifest, error) {
+func (emptyOrigin) Manifest(context.Context, string, catalog.NamedVersion) (relay.Manifest, error) {
 	return relay.Manifest{}, relay.ErrGone
 }
 
-func (noOrigin) Piece(context.Context, string, catalog.NamedVersion, int) ([]byte, error) {
+func (emptyOrigin) Piece(context.Context, string, catalog.NamedVersion, int) ([]byte, error) {
 	return nil, relay.ErrGone
 }
 
-// boundEntry is an entry that has heard of no version, whose only server holds one.
-func boundEntry(t *testing.T, holds uint64) *Gateway {
-	g := olderEntry(olderEngine(), 1)
+// newEntryWithServer is an entry that has heard of no version, whose only server holds one.
+func newEntryWithServer(t *testing.T, holds uint64) *Gateway {
+	g := newSwitchoverEntry(newTypicalEngine(), 1)
 	now := boottime.Now()
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { _ = socket.Close() })
 	g.log, g.socket, g.peers, g.named = zap.NewNop(), datagrams.New(socket), newPeers(Entry{Host: "self"}, now), map[string][]named{}
 	g.stop, g.metrics = drain.New(drain.Config{}), newMetrics(prometheus.NewRegistry())
-	g.relay = relay.New(relays.Entry{Host: "self"}, relayView{g}, noOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	g.fleet.Apply([]catalog.Backend{{ID: olderBackend, Boot: 1, Revision: 2, Service: olderService, Address: "10.0.0.1:1", Site: "a",
-		Slots: 12, Models: []catalog.Model{{Name: olderModel, Version: holds}}}}, nil, true, now)
+	g.relay = relay.New(relays.Entry{Host: "self"}, relayView{g}, emptyOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	g.fleet.Apply([]catalog.Backend{{ID: switchoverBackend, Boot: 1, Revision: 2, Service: switchoverService, Address: "10.0.0.1:1", Site: "a",
+		Slots: 12, Models: []catalog.Model{{Name: switchoverModel, Version: holds}}}}, nil, true, now)
 	return g
 }
 
 // place places a fresh request of a usual size.
-func (g *Gateway) placeUsual(now time.Duration) (found bool, beginBy time.Duration) {
+func (g *Gateway) placeTypicalRequest(now time.Duration) (found bool, beginBy time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a := olderAttempt(g, 900, false)
+	a := newSwitchoverAttempt(g, 900, false)
 	placement := a.choose(now)
 	return placement.Found, a.beginBy
 }
@@ -62,56 +62,56 @@
 // named 2 s apart while the origin was away; an entry started after that, and the store
 // tells of the newest only. Its peers' heartbeats told of both, with their ages, but what
 // it does not know from the store it does not take.
-func TestAnEntryThatHasStartedTakesTheOlderBoundFromItsPeers(t *testing.T) {
+func TestRestartedEntryLearnsOlderVersionFromPeers(t *testing.T) {
 	c := qt.New(t)
-	g := boundEntry(t, 1)
+	g := newEntryWithServer(t, 1)
 	now := boottime.Now()
 	g.mu.Lock()
-	g.setNamed([]catalog.NamedVersion{{Model: olderModel, Version: 3}}, true, now-6*time.Second)
+	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 3}}, true, now-6*time.Second)
 	g.mu.Unlock()
-	late := olderBound + 100*time.Millisecond
+	late := switchoverBound + 100*time.Millisecond
 	g.take(&Datagram{Beat: &Beat{Entry: Entry{Host: "peer", Datagrams: g.socket.Address().String()}, Named: []NamedAge{
-		{Model: olderModel, Version: 2, Age: late, Known: true},
-		{Model: olderModel, Version: 3, Age: late - 2*time.Second, Known: true},
+		{Model: switchoverModel, Version: 2, Age: late, Known: true},
+		{Model: switchoverModel, Version: 3, Age: late - 2*time.Second, Known: true},
 	}}}, g.socket.Address())
-	found, beginBy := g.placeUsual(boottime.Now())
+	found, beginBy := g.placeTypicalRequest(boottime.Now())
 	c.Assert(found, qt.IsFalse, qt.Commentf("sent to version 1, %v after the bound of version 2, to begin within %v",
-		late-olderBound, beginBy-boottime.Now()))
+		late-switchoverBound, beginBy-boottime.Now()))
 }
 
 // A server that had not taken version 2 within its bound got nothing, as it must. When
 // version 3 was named 25 s later it got requests again, on version 1: a version named
 // more than two bounds ago is forgotten, and with it that its bound has passed.
-func TestABoundThatHasPassedIsNotForgotten(t *testing.T) {
+func TestPassedDeadlineIsKeptWhenNextVersionIsNamed(t *testing.T) {
 	c := qt.New(t)
-	g := boundEntry(t, 1)
+	g := newEntryWithServer(t, 1)
 	now := boottime.Now()
 	g.mu.Lock()
-	g.setNamed([]catalog.NamedVersion{{Model: olderModel, Version: 2}}, false, now-25*time.Second)
+	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 2}}, false, now-25*time.Second)
 	g.mu.Unlock()
-	found, _ := g.placeUsual(now)
+	found, _ := g.placeTypicalRequest(now)
 	c.Assert(found, qt.IsFalse)
 	g.mu.Lock()
-	g.setNamed([]catalog.NamedVersion{{Model: olderModel, Version: 3}}, false, now)
+	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 3}}, false, now)
 	g.mu.Unlock()
-	found, _ = g.placeUsual(now)
+	found, _ = g.placeTypicalRequest(now)
 	c.Assert(found, qt.IsFalse, qt.Commentf("sent to version 1, 14.7 s after the bound of version 2"))
 }
 
 // A lookup at a plain service was refused for good, as its caller named a model: a plain
 // server holds no version, and so seemed to have one that may not answer any more.
-func TestAPlainServiceHasNoBoundOfVersions(t *testing.T) {
+func TestPlainServiceIgnoresVersionDeadlines(t *testing.T) {
 	c := qt.New(t)
-	g := boundEntry(t, 2)
+	g := newEntryWithServer(t, 2)
 	now := boottime.Now()
-	state := catalog.New(2, nil, []catalog.Service{{Name: olderService, Engine: olderEngine()}, {Name: "orders"}}, nil, catalog.Limits{})
+	state := catalog.New(2, nil, []catalog.Service{{Name: switchoverService, Engine: newTypicalEngine()}, {Name: "orders"}}, nil, catalog.Limits{})
 	g.state.Store(state)
 	g.fleet.SetState(state, now)
 	g.fleet.Apply([]catalog.Backend{{ID: "order-1", Boot: 1, Revision: 3, Service: "orders", Address: "10.0.0.2:1", Site: "a", Slots: 6}}, nil, false, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.setNamed([]catalog.NamedVersion{{Model: olderModel, Version: 2}}, false, now-25*time.Second)
-	a := olderAttempt(g, 0, false)
+	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 2}}, false, now-25*time.Second)
+	a := newSwitchoverAttempt(g, 0, false)
 	a.service = "orders"
 	c.Assert(a.choose(now).Found, qt.IsTrue)
 }
@@ -133,19 +133,19 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *burstStore) at() (uint64, <-chan struct{}) {
+func (s *burstStore) current() (uint64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.head, s.changed
 }
 
 func (s *burstStore) Read(context.Context, Table) (Rows, error) {
-	head, _ := s.at()
+	head, _ := s.current()
 	return rows(head, `[{}]`), nil
 }
 
 func (s *burstStore) Follow(ctx context.Context, _ Table, after uint64, wait time.Duration) (Rows, error) {
-	head, changed := s.at()
+	head, changed := s.current()
 	if head <= after {
 		select {
 		case <-changed:
@@ -153,7 +153,7 @@
 		case <-ctx.Done():
 			return Rows{}, ctx.Err()
 		}
-		head, _ = s.at()
+		head, _ = s.current()
 	}
 	if head <= after {
 		return Rows{Revision: head}, nil
@@ -164,8 +164,8 @@
 // A version was named 20 ms after a desired state. Entries leave changes to gather for
 // 0.13 to 0.38 s after each, and heard of the version so much later; its bound counts from
 // when they hear, and 0.15 s are kept for that.
-func TestAVersionIsHeardInTimeAfterAnotherChange(t *testing.T) {
-	hearing := olderBound - switchover.DefaultConfig(olderBound).BeginBy(0)
+func TestVersionIsObservedInTimeAfterAnotherChange(t *testing.T) {
+	hearing := switchoverBound - switchover.DefaultConfig(switchoverBound).BeginBy(0)
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		for seed := range uint64(10) {
--- a/internal/transport/gateway/feeds.go
+++ b/internal/transport/gateway/feeds.go
@@ -14,134 +14,137 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// One entry of each region follows the store, the others follow it: the store's
-// calls then grow with the regions and not with the entries.
+// One entry of each region, the reader, follows the store, and the other entries follow
+// the reader. The number of calls to the store then grows with the number of regions
+// instead of the number of entries.
 const (
-	// readerWait is how long an entry lets the reader wait for a change.
+	// feedPollWait is how long the reader may hold a follower's request while it waits for a change.
 	readerWait = 700 * time.Millisecond
-	// readerAge is the age of a reader's view up to which it is used. A reader's own is
-	// below two of its calls; one that has lost the store passes this soon after.
+	// maxFeedAge is the maximum age of a reader's view that a follower accepts. The age of
+	// a reader's view stays below the duration of two calls to the store, so a reader that is
+	// disconnected from the store soon exceeds the limit.
 	readerAge = 2300 * time.Millisecond
-	// entriesAge is the same for the list of entries, whose calls wait longer.
-	entriesAge = 2 * entriesWait
-	// readerTimeout bounds a call to the reader beyond its waiting.
-	readerTimeout = 400 * time.Millisecond
-	// feedKept is how many answers of the store an entry keeps for the others, and
-	// feedBytes how much of them before they are packed, as followers unpack and read all.
-	feedKept  = 256
-	feedBytes = 2 << 20
-	// wholeTimeout is how long the second entry of a region waits for a whole table from the first,
-	// which may itself be reading it; the third waits twice as long, and so on up to wholeTurns
-	// times. A table that is arriving is awaited for wholeMost. wholePause is left between calls to
-	// one that has not started yet.
-	wholeTimeout = 600 * time.Millisecond
-	wholeTurns   = 8
-	wholeMost    = 10 * time.Second
-	wholePause   = 50 * time.Millisecond
-	// hearWait is how long a new process waits for the heartbeats with which others
-	// answer its first one.
-	hearWait = 20 * time.Millisecond
-	// listedWait is how long the list of entries is waited for at the start.
-	listedWait = 400 * time.Millisecond
+	// maxEntriesFeedAge is the same limit for the list of entries, whose calls wait longer.
+	maxEntriesFeedAge = 2 * entriesWait
+	// feedTransferTimeout bounds a call to the reader beyond its waiting time.
+	feedTransferTimeout = 400 * time.Millisecond
+	// maxFeedBatches limits the store's answers that an entry keeps for its followers, and
+	// maxFeedBytes their uncompressed size, because followers decompress and decode all of them.
+	maxFeedBatches = 256
+	maxFeedBytes   = 2 << 20
+	// snapshotTimeout is how long the second entry of a region waits for a snapshot of a table from
+	// the first entry, which may itself still be reading the table. The third entry waits twice as
+	// long, and so on up to maxSnapshotTurns times.
+	wholeTimeout     = 600 * time.Millisecond
+	maxSnapshotTurns = 8
+	// maxSnapshotDuration bounds the whole fetch of a snapshot. A transfer that has begun may
+	// take longer than the timeouts above.
+	maxSnapshotDuration = 10 * time.Second
+	// snapshotRetryPause is the pause between calls to an entry that has not started yet.
+	snapshotRetryPause = 50 * time.Millisecond
+	// heartbeatReplyWait is how long a new process waits for the heartbeats with which other
+	// entries reply to its first one.
+	heartbeatReplyWait = 20 * time.Millisecond
+	// entryListWait is how long a new process waits for the list of entries.
+	entryListWait = 400 * time.Millisecond
 )
 
-// feedLog is what a reader knows of one table's changes.
+// feedLog holds the recent changes of one table for followers.
 type feedLog struct {
-	// base is the whole table as of from, without which it can be told no more; its
-	// revision is 0 then.
-	base   chunk
-	chunks []chunk
-	// bytes is the size of all chunks, which are told together.
-	bytes int
-	// from and head are the revisions between which all changes are here.
-	from, head uint64
-	// confirmed is when the read was sent that last confirmed head.
-	confirmed time.Duration
-	// changed is closed when a chunk is added, or the reader has lost the store.
+	// snapshot is the whole table as of startRevision. Its revision is 0 if the log no
+	// longer has it; the log then serves changes only.
+	snapshot rowBatch
+	batches  []rowBatch
+	// batchBytes is the uncompressed size of all batches, which are sent together.
+	batchBytes int
+	// The log contains all changes between startRevision and headRevision.
+	startRevision, headRevision uint64
+	// confirmedAt is when the read was sent that last confirmed headRevision.
+	confirmedAt time.Duration
+	// changed is closed when a batch is added or the store becomes unreachable.
 	changed chan struct{}
-	// lost is true while the store does not answer the reader.
-	lost bool
+	// unreachable is true while the store does not answer the reader.
+	unreachable bool
 }
 
-// feeds keeps the logs of all tables.
+// feeds holds the logs of all tables.
 type feeds struct {
 	mu     sync.Mutex
 	tables map[Table]*feedLog
-	// restarted is closed when a log begins.
-	restarted chan struct{}
+	// resetSignal is closed when a log is reset.
+	resetSignal chan struct{}
 }
 
-func newFeeds() *feeds { return &feeds{tables: map[Table]*feedLog{}, restarted: make(chan struct{})} }
+func newFeeds() *feeds { return &feeds{tables: map[Table]*feedLog{}, resetSignal: make(chan struct{})} }
 
-// restart begins a table's log anew after a whole read.
-func (f *feeds) restart(table Table, rows Rows, sent time.Duration) {
-	base := newChunk(rows)
+// reset replaces a table's log after the whole table was read.
+func (f *feeds) restart(table Table, rows Rows, sentAt time.Duration) {
+	snapshot := newRowBatch(rows)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if old, ok := f.tables[table]; ok {
 		close(old.changed)
 	}
-	f.tables[table] = &feedLog{base: base, from: rows.Revision, head: rows.Revision, confirmed: sent, changed: make(chan struct{})}
-	close(f.restarted)
-	f.restarted = make(chan struct{})
+	f.tables[table] = &feedLog{snapshot: snapshot, startRevision: rows.Revision, headRevision: rows.Revision, confirmedAt: sentAt, changed: make(chan struct{})}
+	close(f.resetSignal)
+	f.resetSignal = make(chan struct{})
 }
 
-// publish adds what the store, or a reader, answered to a call for changes after a
-// revision; sent is when the view was surely current.
-func (f *feeds) publish(table Table, after uint64, rows Rows, sent time.Duration) {
-	added := newChunk(rows)
+// publish adds the answer of the store, or of a reader, to a call for changes after a
+// revision. sentAt is a time at which the view was certainly current.
+func (f *feeds) publish(table Table, after uint64, rows Rows, sentAt time.Duration) {
+	added := newRowBatch(rows)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	log, ok := f.tables[table]
 	if !ok {
 		return
 	}
-	if after > log.head {
-		// Guard: some changes came through another entry and are not here; without them
-		// the whole table is not to be sent.
-		log.chunks, log.bytes, log.from, log.base = nil, 0, after, chunk{}
+	if after > log.headRevision {
+		// Some changes arrived through another entry and are missing from this log. A
+		// snapshot without them would be incomplete, so it is dropped.
+		log.batches, log.batchBytes, log.startRevision, log.snapshot = nil, 0, after, rowBatch{}
 	}
-	log.head = max(log.head, rows.Revision)
-	log.confirmed, log.lost = max(log.confirmed, sent), false
-	if added.size == 0 {
+	log.headRevision = max(log.headRevision, rows.Revision)
+	log.confirmedAt, log.unreachable = max(log.confirmedAt, sentAt), false
+	if added.uncompressedSize == 0 {
 		return
 	}
-	log.chunks = append(log.chunks, added)
-	log.bytes += added.size
-	for len(log.chunks) > feedKept || log.bytes > feedBytes {
-		log.from = log.chunks[0].revision
-		log.bytes -= log.chunks[0].size
-		log.chunks = log.chunks[1:]
-		log.base = chunk{}
+	log.batches = append(log.batches, added)
+	log.batchBytes += added.uncompressedSize
+	for len(log.batches) > maxFeedBatches || log.batchBytes > maxFeedBytes {
+		log.startRevision = log.batches[0].revision
+		log.batchBytes -= log.batches[0].uncompressedSize
+		log.batches = log.batches[1:]
+		log.snapshot = rowBatch{}
 	}
 	close(log.changed)
 	log.changed = make(chan struct{})
 }
 
-// lose notes that the store does not answer, and wakes those who wait.
-//
-// Guard: followers that wait for a reader which lost the store hear of changes after their bounds.
+// markUnreachable records that the store does not answer, and wakes waiting followers.
+// Followers that went on waiting for a disconnected reader would observe changes too late.
 func (f *feeds) lose(table Table) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	log, ok := f.tables[table]
-	if !ok || log.lost {
+	if !ok || log.unreachable {
 		return
 	}
-	log.lost = true
+	log.unreachable = true
 	close(log.changed)
 	log.changed = make(chan struct{})
 }
 
-// lost reports whether the store does not answer for a table.
+// isUnreachable reports whether the store does not answer calls for a table.
 func (f *feeds) lost(table Table) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	log, ok := f.tables[table]
-	return ok && log.lost
+	return ok && log.unreachable
 }
 
-// age returns how old the view of a table is.
+// age returns the age of the view of a table.
 func (f *feeds) age(table Table, now time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,58 +152,61 @@
 	if !ok {
 		return 0
 	}
-	return now - log.confirmed
+	return now - log.confirmedAt
 }
 
-// since returns the changes after a revision, or waits for some; after 0 means
-// the whole table. It returns false if the log does not reach back so far.
-func (f *feeds) since(ctx context.Context, table Table, after uint64) (FeedAnswer, bool) {
+// changesSince returns the changes after a revision, and waits if there are none yet.
+// With revision 0 it returns the whole table. It returns false if the log does not
+// reach back to the revision.
+func (f *feeds) since(ctx context.Context, table Table, after uint64) (FeedResponse, bool) {
 	timer := time.NewTimer(readerWait)
 	defer timer.Stop()
-	for waited := false; ; {
-		answer, changed, ok := f.look(table, after)
-		// A whole table may be empty, as while an installation starts.
-		whole := after == 0 && answer.Revision > 0
-		if !ok || len(answer.Packed) > 0 || whole || waited {
-			return answer, ok
+	for timedOut := false; ; {
+		response, changed, ok := f.available(table, after)
+		// A table may be empty, for example while an installation starts.
+		isSnapshot := after == 0 && response.Revision > 0
+		if !ok || len(response.Compressed) > 0 || isSnapshot || timedOut {
+			return response, ok
 		}
 		select {
 		case <-ctx.Done():
-			waited = true
+			timedOut = true
 		case <-timer.C:
-			waited = true
+			timedOut = true
 		case <-changed:
 		}
 	}
 }
 
-func (f *feeds) look(table Table, after uint64) (FeedAnswer, <-chan struct{}, bool) {
+// available returns what the log has after a revision, and a channel that is closed when
+// there may be more.
+func (f *feeds) available(table Table, after uint64) (FeedResponse, <-chan struct{}, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	log, ok := f.tables[table]
-	whole := after == 0
+	wantsSnapshot := after == 0
 	switch {
-	case whole && !ok:
-		return FeedAnswer{}, f.restarted, true
-	case !ok, log.lost && !whole, whole && log.base.revision == 0, !whole && after < log.from:
-		// Guard: a reader that has lost the store reports no changes, but still its whole view
-		// and how old it is, which a new process needs.
-		return FeedAnswer{}, nil, false
+	case wantsSnapshot && !ok:
+		return FeedResponse{}, f.resetSignal, true
+	case !ok, log.unreachable && !wantsSnapshot, wantsSnapshot && log.snapshot.revision == 0, !wantsSnapshot && after < log.startRevision:
+		// A reader that is disconnected from the store serves no changes, but it still serves
+		// its snapshot and the age of its view, which a new process needs.
+		return FeedResponse{}, nil, false
 	}
-	answer := FeedAnswer{Revision: log.head, Age: boottime.Now() - log.confirmed}
-	if whole {
-		answer.Packed = append(answer.Packed, log.base.packed...)
+	response := FeedResponse{Revision: log.headRevision, Age: boottime.Now() - log.confirmedAt}
+	if wantsSnapshot {
+		response.Compressed = append(response.Compressed, log.snapshot.compressed...)
 	}
-	for _, c := range log.chunks {
-		if c.revision > after {
-			answer.Packed = append(answer.Packed, c.packed...)
+	for _, batch := range log.batches {
+		if batch.revision > after {
+			response.Compressed = append(response.Compressed, batch.compressed...)
 		}
 	}
-	return answer, log.changed, true
+	return response, log.changed, true
 }
 
-// reader returns the peer address of the entry that reads the store for this
-// region; false if it is this one.
+// selectReader returns the host and the peer address of the entry that reads the store
+// for this region. It returns false if that is this entry.
 func (g *Gateway) reader(now time.Duration) (filbertlever.HostID, string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -222,167 +228,172 @@
 	return host, addresses[host], host != g.config.Self.Host
 }
 
-// reads reports whether this entry reads the store for its region.
-func (g *Gateway) reads(now time.Duration) bool {
-	_, _, other := g.reader(now)
-	return !other
+// isReader reports whether this entry reads the store for its region.
+func (g *Gateway) isReader(now time.Duration) bool {
+	_, _, remote := g.reader(now)
+	return !remote
 }
 
-// lost reports whether the store has lately not answered this entry, so that another
-// one should read for the region; the caller holds the lock.
+// storeUnreachable reports whether the store recently refused to serve this entry, so that
+// another entry should read for the region. The caller holds the lock.
 func (g *Gateway) lost(now time.Duration) bool { return now < time.Duration(g.lostUntil.Load()) }
 
-// lostFor is how long an entry that the store turned away leaves the reading to others before it
-// tries again.
+// readerBackoff is how long an entry that the store refused to serve leaves reading to other
+// entries before it tries again.
 const lostFor = 3 * time.Second
 
-// loseStore notes that the store does not answer this entry, and tells the others.
+// markStoreUnreachable records that the store refuses to serve this entry, and sends a
+// heartbeat with that to the other entries unless they have been notified already.
 func (g *Gateway) loseStore(table Table) {
 	now := boottime.Now()
-	told := now < time.Duration(g.lostUntil.Swap(int64(now+lostFor)))
+	notified := now < time.Duration(g.lostUntil.Swap(int64(now+lostFor)))
 	g.feeds.lose(table)
-	if !told {
+	if !notified {
 		g.beat(now, false)
 	}
 }
 
-// followReader asks the region's reader for changes after a revision. It returns
-// the time at which the view was surely current. It returns false if the store
-// must be asked instead: this entry is the reader, or the reader is gone, does
-// not reach back so far, or has not heard from the store for too long. It fails if
-// several readers have lost the store.
+// followReader asks the region's reader for changes after a revision. It also returns a time
+// at which the view was certainly current. It returns false if this entry must ask the store
+// itself, because it is the reader, or because the reader does not answer, does not reach back
+// to the revision, or has an outdated view. It fails if several readers are disconnected from
+// the store.
 //
-// Guard: if all followers of a reader that lost the store asked the store, each would fetch the
-// same large desired state over one thin link. They ask the next reader, and only that one asks the
-// store.
+// If the reader is disconnected, the followers ask the next reader, and only that one asks the
+// store. If all followers asked the store, each would fetch the same large desired state over
+// one slow link.
 //
-// Guard: while the store is away for all, one entry goes on trying; the others ask the readers
-// again a little later.
+// If the store answers no entry, one entry keeps trying and the others ask the readers again
+// a little later.
 //
-// Guard: readers that the store leaves unanswered notice it one after the other, too late for the
-// bound on servers that leave. Rows of servers are small: a follower asks the store for them itself.
+// Readers whose calls the store leaves unanswered notice it one after the other, which takes
+// too long to remove servers that leave within their time limit. The rows of servers are small,
+// so a follower asks the store for them itself.
 func (g *Gateway) followReader(ctx context.Context, table Table, after uint64) (Rows, time.Duration, bool, error) {
-	var asked filbertlever.HostID
-	for range readersAsked {
-		sent := boottime.Now()
-		host, address, other := g.reader(sent)
-		if !other {
+	var previous filbertlever.HostID
+	for range maxReaderAttempts {
+		sentAt := boottime.Now()
+		host, address, remote := g.reader(sentAt)
+		if !remote {
 			return Rows{}, 0, false, nil
 		}
-		if host == asked {
-			// None is left but the one that goes on trying for all.
+		if host == previous {
+			// Only the entry that keeps trying for all others is left.
 			break
 		}
-		asked = host
-		answer, err := g.fetchFeed(ctx, address, table, after, feedTimeout)
+		previous = host
+		response, err := g.fetchFeed(ctx, address, table, after, feedTimeout)
 		if !errors.Is(err, errReaderLost) {
-			rows, at, ok := g.followed(table, host, after, sent, answer, err)
+			rows, at, ok := g.acceptFeed(table, host, after, sentAt, response, err)
 			return rows, at, ok, nil
 		}
-		g.log.Info("reader lost the store", zap.String("Table", string(table)), zap.String("Reader", string(host)))
+		g.log.Info("reader disconnected from the store", zap.String("Table", string(table)), zap.String("Reader", string(host)))
 		g.mu.Lock()
 		g.peers.noteLost(host)
-		asksItself := table == TableBackends && !g.lost(sent) && g.storeIsUp(sent)
+		readsItself := table == TableBackends && !g.lost(sentAt) && g.storeIsUp(sentAt)
 		g.mu.Unlock()
-		if asksItself {
+		if readsItself {
 			return Rows{}, 0, false, nil
 		}
 	}
 	return Rows{}, 0, false, errReaderLost
 }
 
-// readersAsked bounds the readers that are asked one after the other.
-const readersAsked = 3
+// maxReaderAttempts limits how many readers are asked one after the other.
+const maxReaderAttempts = 3
 
-// errReaderLost means that the store does not answer the reader.
-var errReaderLost = errors.New("the reader has lost the store")
+// errReaderDisconnected means that the store does not answer the reader.
+var errReaderLost = errors.New("the reader is disconnected from the store")
 
-// followed judges a reader's answer.
-func (g *Gateway) followed(table Table, host filbertlever.HostID, after uint64, sent time.Duration, answer FeedAnswer, err error) (Rows, time.Duration, bool) {
-	if err == nil && answer.Age > ageMost(table) {
-		err = fmt.Errorf("its view is %v old", answer.Age)
+// acceptFeed returns the rows of a reader's response. It returns false if the call failed or
+// the reader's view is too old.
+func (g *Gateway) acceptFeed(table Table, host filbertlever.HostID, after uint64, sentAt time.Duration, response FeedResponse, err error) (Rows, time.Duration, bool) {
+	if err == nil && response.Age > maxAgeOf(table) {
+		err = fmt.Errorf("view of the reader is %v old, the limit is %v", response.Age, maxAgeOf(table))
 	}
 	if err != nil {
-		g.log.Info("store asked directly", zap.String("Table", string(table)), zap.String("Reader", string(host)), zap.Error(err))
+		g.log.Info("asking the store instead of the reader", zap.String("Table", string(table)), zap.String("Reader", string(host)), zap.Error(err))
 		return Rows{}, 0, false
 	}
-	rows := Rows{Revision: max(answer.Revision, after), Raw: joinRows(answer.Raw), packed: answer.Packed}
-	return rows, sent - answer.Age, true
+	rows := Rows{Revision: max(response.Revision, after), Raw: joinRows(response.Raw), packed: response.Compressed}
+	return rows, sentAt - response.Age, true
 }
 
-// ageMost is the age of a reader's view of a table up to which it is used.
-func ageMost(table Table) time.Duration {
+// maxAgeOf returns the maximum age of a reader's view of a table that a follower accepts.
+func maxAgeOf(table Table) time.Duration {
 	if table == TableEntries {
-		return entriesAge
+		return maxEntriesFeedAge
 	}
 	return readerAge
 }
 
-// wholeFromReader asks the entry that reads the store for this region for a whole
-// table, newer than a revision from where the store cannot go on, or 0. It returns false
-// if the store must be asked instead.
+// fetchSnapshot asks the entry that reads the store for this region for a whole table. If
+// goneRevision is not 0, the store has dropped its history from that revision, and the snapshot
+// must be newer. It returns false if this entry must read the table from the store itself.
 //
-// Guard: after a loss of power all entries of a region would read the same tables over one thin
-// link, and time out. One of each region reads, and the others have them from that one.
+// After a power failure all entries of a region would read the same tables over one slow link
+// and time out. Therefore one entry of each region reads them and the others fetch them from it.
 //
-// Guard: where that takes long, as with many servers, all others would give up at the same time and
-// fill the link for good. While the one that reads answers that it has nothing yet, they take turns.
+// If that takes long, as with many servers, the other entries would all give up at the same time
+// and overload the link permanently. While the reading entry answers that it has no rows yet, they
+// time out one after the other instead.
 //
-// Guard: after the store dropped its history a reader that asks its own followers hears nothing
-// new. The reader reads the store, and the others wait for that, none long, as their views age.
-func (g *Gateway) wholeFromReader(ctx context.Context, table Table, gone uint64) (Rows, time.Duration, bool) {
-	if table == TableEntries || gone > 0 && g.reads(boottime.Now()) {
+// After the store dropped its history, a reader that asked its own followers would get no newer
+// table. The reader therefore reads the store. The others wait for that, all of them only for
+// a short time, because their views become outdated.
+func (g *Gateway) wholeFromReader(ctx context.Context, table Table, goneRevision uint64) (Rows, time.Duration, bool) {
+	if table == TableEntries || goneRevision > 0 && g.isReader(boottime.Now()) {
 		return Rows{}, 0, false
 	}
-	g.awaitListed(ctx)
-	g.sleep(ctx, hearWait)
-	ctx, cancel := context.WithTimeout(ctx, wholeMost)
+	g.awaitEntryList(ctx)
+	g.sleep(ctx, heartbeatReplyWait)
+	ctx, cancel := context.WithTimeout(ctx, maxSnapshotDuration)
 	defer cancel()
-	began := boottime.Now()
-	for heard := began; ctx.Err() == nil; {
-		sent := boottime.Now()
-		host, address, other := g.starter(sent)
-		if !other {
+	startedAt := boottime.Now()
+	for lastEmptyAt := startedAt; ctx.Err() == nil; {
+		sentAt := boottime.Now()
+		host, address, remote := g.starter(sentAt)
+		if !remote {
 			return Rows{}, 0, false
 		}
-		left := wholeTimeout - (sent - began)
-		if gone == 0 && sent-heard < wholeTimeout {
-			left = began + g.patience(sent) - sent
+		timeout := wholeTimeout - (sentAt - startedAt)
+		if goneRevision == 0 && sentAt-lastEmptyAt < wholeTimeout {
+			timeout = startedAt + g.snapshotWait(sentAt) - sentAt
 		}
-		if left <= 0 {
+		if timeout <= 0 {
 			break
 		}
-		answer, err := g.fetchFeed(ctx, address, table, 0, min(left, feedTimeout))
-		if err == nil && answer.Age <= readerAge && answer.Revision > gone {
-			return Rows{Revision: answer.Revision, Raw: joinRows(answer.Raw), packed: answer.Packed}, sent - answer.Age, true
+		response, err := g.fetchFeed(ctx, address, table, 0, min(timeout, feedTimeout))
+		if err == nil && response.Age <= readerAge && response.Revision > goneRevision {
+			return Rows{Revision: response.Revision, Raw: joinRows(response.Raw), packed: response.Compressed}, sentAt - response.Age, true
 		}
-		g.log.Debug("table not had from the reader", zap.String("Table", string(table)), zap.String("Reader", string(host)), zap.Error(err))
+		g.log.Debug("no snapshot from the reader", zap.String("Table", string(table)), zap.String("Reader", string(host)), zap.Error(err))
 		if errors.Is(err, ErrHistoryGone) {
 			break
 		}
-		if err == nil && answer.Revision == 0 {
-			heard = boottime.Now()
+		if err == nil && response.Revision == 0 {
+			lastEmptyAt = boottime.Now()
 		}
-		g.sleep(ctx, wholePause)
+		g.sleep(ctx, snapshotRetryPause)
 	}
-	g.log.Info("store asked for a whole table", zap.String("Table", string(table)))
+	g.log.Info("reading a whole table from the store", zap.String("Table", string(table)))
 	return Rows{}, 0, false
 }
 
-// awaitListed waits a moment until the entries are known.
-func (g *Gateway) awaitListed(ctx context.Context) {
-	for end := boottime.Now() + listedWait; boottime.Now() < end && !g.listed.Load() && ctx.Err() == nil; {
-		g.sleep(ctx, wholePause/2)
+// awaitEntryList waits until the list of entries has been read, up to entryListWait.
+func (g *Gateway) awaitEntryList(ctx context.Context) {
+	for end := boottime.Now() + entryListWait; boottime.Now() < end && !g.listed.Load() && ctx.Err() == nil; {
+		g.sleep(ctx, snapshotRetryPause/2)
 	}
 }
 
-// starter returns the peer address of the entry to ask for whole tables: one of
-// this region that is ready; if none is, as all have just started, the one that
-// all of them take for their reader. It returns false if that is this one.
+// snapshotSource returns the host and the peer address of the entry to ask for snapshots: a ready
+// entry of this region, or, if none is ready because all have just started, the entry that all of
+// them select as their reader. It returns false if that is this entry.
 func (g *Gateway) starter(now time.Duration) (filbertlever.HostID, string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ready, all, addresses := g.startedEntries(now)
+	ready, all, addresses := g.observedEntries(now)
 	if len(ready) > 0 {
 		all = ready
 	}
@@ -390,25 +401,26 @@
 	return host, addresses[host], host != g.config.Self.Host
 }
 
-// patience is how long this entry waits for a whole table from another one that is reading it, by its
-// place among the entries of its region.
-func (g *Gateway) patience(now time.Duration) time.Duration {
+// snapshotWait returns how long this entry waits for a snapshot from the entry that is reading the
+// table. It grows with the position of this entry in the order of its region.
+func (g *Gateway) snapshotWait(now time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, all, _ := g.startedEntries(now)
+	_, all, _ := g.observedEntries(now)
 	turn := relays.Turn(g.config.Self.Host, all, g.config.Self.Region, readerPiece)
-	return wholeTimeout * time.Duration(max(min(turn, wholeTurns), 1))
+	return wholeTimeout * time.Duration(max(min(turn, maxSnapshotTurns), 1))
 }
 
-// readerPiece orders the entries of a region by who reads the store when all have just started.
+// readerHashKey is the key that determines the order of a region's entries as readers of the
+// store when all have just started.
 const readerPiece = "reader"
 
-// startedEntries returns the entries of this region that have been heard, and those of them that are
-// ready, with their peer addresses; the caller holds the lock.
+// observedEntries returns the entries of this region whose heartbeats have been received, those of
+// them that are ready, and their peer addresses. The caller holds the lock.
 //
-// Guard: after a loss of power the list names entries that have not started again yet; only those
-// that have been heard are asked.
-func (g *Gateway) startedEntries(now time.Duration) (ready, all []relays.Entry, addresses map[filbertlever.HostID]string) {
+// After a power failure the list still contains entries that have not started again, so only
+// entries whose heartbeats have been received are asked.
+func (g *Gateway) observedEntries(now time.Duration) (ready, all []relays.Entry, addresses map[filbertlever.HostID]string) {
 	addresses = map[filbertlever.HostID]string{}
 	for _, e := range g.peers.alive(now) {
 		if e.Region != g.config.Self.Region || e.Host != g.config.Self.Host && !g.peers.isHeard(e.Host) {
--- a/internal/transport/gateway/feeds_test.go
+++ b/internal/transport/gateway/feeds_test.go
@@ -19,23 +19,23 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
+// rows returns rows as the store sends them.
 func rows(revision uint64, raw string) Rows { return Rows{Revision: revision, Raw: []byte(raw)} }
 
-// An entry starts while desired states follow each other. What it is told must be
-// the whole table and all changes since, or nothing: with a gap it would serve by a
-// state that never was.
-func TestAWholeTableIsToldWithAllItsChanges(t *testing.T) {
+// A snapshot must contain the whole table and all changes since, or not be served at all.
+// With a gap in it, an entry that starts would serve from a desired state that never existed.
+func TestSnapshotIncludesAllLaterChanges(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
 	f.restart(TableDesired, rows(5, `[{"a":1}]`), time.Second)
 	f.publish(TableDesired, 5, rows(7, `[{"b":2}]`), 2*time.Second)
-	answer, ok := f.since(context.Background(), TableDesired, 0)
+	response, ok := f.since(context.Background(), TableDesired, 0)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(answer.Revision, qt.Equals, uint64(7))
-	lists, err := unpack(answer.Packed)
+	c.Assert(response.Revision, qt.Equals, uint64(7))
+	lists, err := decompressRows(response.Compressed)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(joinRows(lists)), qt.Equals, `[{"a":1},{"b":2}]`)
-	for n := range uint64(feedKept) {
+	for n := range uint64(maxFeedBatches) {
 		f.publish(TableDesired, 7+n, rows(8+n, `[{"c":3}]`), 3*time.Second)
 	}
 	_, ok = f.since(context.Background(), TableDesired, 0)
@@ -44,9 +44,9 @@
 	c.Assert(ok, qt.IsTrue)
 }
 
-// Desired states of hundreds of routes come in a storm; kept whole for the others,
-// they would fill the memory of a small host.
-func TestWhatIsKeptForOthersIsBounded(t *testing.T) {
+// Many large desired states in a row, all kept for followers, would exhaust the memory of a
+// small host.
+func TestFeedLogSizeIsBounded(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
 	f.restart(TableDesired, rows(1, `[]`), time.Second)
@@ -54,34 +54,33 @@
 	for n := range uint64(50) {
 		f.publish(TableDesired, 1+n, rows(2+n, large), time.Second)
 	}
-	kept := 0
-	for _, chunk := range f.tables[TableDesired].chunks {
-		lists, err := unpack(chunk.packed)
+	total := 0
+	for _, batch := range f.tables[TableDesired].batches {
+		lists, err := decompressRows(batch.compressed)
 		c.Assert(err, qt.IsNil)
-		kept += len(joinRows(lists))
+		total += len(joinRows(lists))
 	}
-	c.Assert(kept <= feedBytes, qt.IsTrue)
-	c.Assert(kept, qt.Equals, f.tables[TableDesired].bytes)
+	c.Assert(total <= maxFeedBytes, qt.IsTrue)
+	c.Assert(total, qt.Equals, f.tables[TableDesired].batchBytes)
 }
 
-// An entry asks before the reader has read anything: it waits for that, and not
-// for a change.
-func TestAWholeTableIsWaitedFor(t *testing.T) {
+// An entry may ask for a snapshot before the reader has read the table. The request must
+// wait for that read, and not for the next change.
+func TestSnapshotRequestWaitsForFirstRead(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
 	go func() {
 		time.Sleep(20 * time.Millisecond)
 		f.restart(TableBackends, rows(3, `[{"a":1}]`), time.Second)
 	}()
-	answer, ok := f.since(context.Background(), TableBackends, 0)
+	response, ok := f.since(context.Background(), TableBackends, 0)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(answer.Revision, qt.Equals, uint64(3))
+	c.Assert(response.Revision, qt.Equals, uint64(3))
 }
 
-// A route was added, and an entry that restarted 20 s later still answered 404: it
-// was told the tables by one that had read them before, had let another one read
-// for a while, and now read again. With a gap there is no whole table to tell.
-func TestATableWithAGapIsNotTold(t *testing.T) {
+// After another entry had read the store for a while, the log of this one has a gap. A snapshot
+// served from it lacked a route, and an entry restarted 20 s later still answered 404.
+func TestNoSnapshotFromLogWithGap(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
 	f.restart(TableDesired, rows(5, `[{"a":1}]`), time.Second)
@@ -90,14 +89,14 @@
 	c.Assert(ok, qt.IsFalse)
 	_, ok = f.since(context.Background(), TableDesired, 7)
 	c.Assert(ok, qt.IsFalse)
-	answer, ok := f.since(context.Background(), TableDesired, 9)
+	response, ok := f.since(context.Background(), TableDesired, 9)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(answer.Revision, qt.Equals, uint64(12))
+	c.Assert(response.Revision, qt.Equals, uint64(12))
 }
 
-// An entry waits for a change at its region's reader, which the store turns away. It is
-// told so at once, until the reader hears from the store again.
-func TestThoseWhoFollowAreToldThatTheStoreIsLost(t *testing.T) {
+// A follower that waits for a change must be notified at once that the store refuses to serve
+// the reader. It gets changes again once the store answers the reader.
+func TestFollowersAreNotifiedThatStoreIsUnreachable(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
 	f.restart(TableBackends, rows(3, `[{"a":1}]`), time.Second)
@@ -107,13 +106,13 @@
 	c.Assert(ok, qt.IsFalse)
 	c.Assert(time.Since(began) < readerWait/2, qt.IsTrue)
 	f.publish(TableBackends, 3, rows(4, `[{"b":1}]`), 2*time.Second)
-	answer, ok := f.since(context.Background(), TableBackends, 3)
+	response, ok := f.since(context.Background(), TableBackends, 3)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(answer.Revision, qt.Equals, uint64(4))
+	c.Assert(response.Revision, qt.Equals, uint64(4))
 }
 
-// stateRows are rows as the store sends them: one desired state of many routes.
-func stateRows(routes int) []byte {
+// largeStateRows returns rows as the store sends them: one desired state with many routes.
+func largeStateRows(routes int) []byte {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var list []map[string]any
 	for range routes {
@@ -128,45 +127,45 @@
 	return raw
 }
 
-// A desired state of 1,400 routes was written. The reader of a region told it to 14
-// others over its link of 40 Mbit/s, which took 1.3 s; they gave up and drew it each over
-// the border: they knew the new routes 2.2 s after the reader did, and callers got 404.
-func TestALargeStateIsToldToARegionInTime(t *testing.T) {
+// Sending a desired state of 1,400 routes to 14 followers over the reader's link of 40 Mbit/s took
+// 1.3 s. They timed out and each fetched it across regions, so they knew the new routes
+// 2.2 s after the reader did and answered 404.
+func TestLargeStateReachesRegionInTime(t *testing.T) {
 	c := qt.New(t)
-	const link, others = 40e6, 14
-	large := stateRows(1400)
+	const linkRate, followers = 40e6, 14
+	large := largeStateRows(1400)
 	reader := &Gateway{crashes: newCrashes(), feeds: newFeeds()}
 	reader.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), boottime.Now())
 	reader.feeds.publish(TableDesired, 5, Rows{Revision: 6, Raw: large}, boottime.Now())
 	var sent atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		reader.serveFeed(counter{w, &sent}, r)
+		reader.serveFeed(countingWriter{w, &sent}, r)
 	}))
 	t.Cleanup(server.Close)
 	g := &Gateway{crashes: newCrashes(), client: server.Client()}
-	answer, err := g.fetchFeed(context.Background(), server.Listener.Addr().String(), TableDesired, 5, feedTimeout)
+	response, err := g.fetchFeed(context.Background(), server.Listener.Addr().String(), TableDesired, 5, feedTimeout)
 	c.Assert(err, qt.IsNil)
-	c.Assert(answer.Revision, qt.Equals, uint64(6))
-	c.Assert(string(joinRows(answer.Raw)), qt.Equals, string(large))
-	took := time.Duration(float64(sent.Load()) * 8 * others / link * float64(time.Second))
-	c.Assert(took < readerTimeout, qt.IsTrue, qt.Commentf("%d bytes to each of %d others take %v", sent.Load(), others, took))
+	c.Assert(response.Revision, qt.Equals, uint64(6))
+	c.Assert(string(joinRows(response.Raw)), qt.Equals, string(large))
+	took := time.Duration(float64(sent.Load()) * 8 * followers / linkRate * float64(time.Second))
+	c.Assert(took < feedTransferTimeout, qt.IsTrue, qt.Commentf("%d bytes to each of %d followers take %v", sent.Load(), followers, took))
 }
 
-// counter counts the bytes of an answer.
-type counter struct {
+// countingWriter counts the bytes of a response body.
+type countingWriter struct {
 	http.ResponseWriter
 	sent *atomic.Int64
 }
 
-func (c counter) Write(data []byte) (int, error) {
+func (c countingWriter) Write(data []byte) (int, error) {
 	c.sent.Add(int64(len(data)))
 	return c.ResponseWriter.Write(data)
 }
 
-// Entries disagree for a while on which one reads the store. Some ask one that follows
-// another itself, and which knew of nothing since it last read: its view was 41 s old, and
-// each of them drew the whole desired state from the store.
-func TestAnEntryThatFollowsTellsWhatItHears(t *testing.T) {
+// While entries disagree on which of them is the reader, some ask a follower. Its log must include
+// the changes that it received: otherwise its view was 41 s old, and each entry that asked it
+// fetched the whole desired state from the store.
+func TestFollowerPublishesReceivedChanges(t *testing.T) {
 	c := qt.New(t)
 	now := boottime.Now()
 	reader := &Gateway{crashes: newCrashes(), feeds: newFeeds()}
@@ -186,46 +185,45 @@
 	changed, err := w.turn(context.Background())
 	c.Assert(err, qt.IsNil)
 	c.Assert(changed, qt.IsTrue)
-	answer, ok := g.feeds.since(context.Background(), TableDesired, 5)
+	response, ok := g.feeds.since(context.Background(), TableDesired, 5)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(answer.Revision, qt.Equals, uint64(6))
-	c.Assert(answer.Age < readerAge, qt.IsTrue, qt.Commentf("age %v", answer.Age))
+	c.Assert(response.Revision, qt.Equals, uint64(6))
+	c.Assert(response.Age < readerAge, qt.IsTrue, qt.Commentf("age %v", response.Age))
 	whole, ok := g.feeds.since(context.Background(), TableDesired, 0)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(whole.Revision, qt.Equals, uint64(6))
 }
 
-// A process that is damaged, or another one at an address that is used again, answers in
-// place of the reader. What it sends unpacks to more than the memory of a small host,
-// which ended; all requests on it were lost.
-func TestAnAnswerThatUnpacksToTooMuchIsRefused(t *testing.T) {
+// A faulty process, or another one at a reused address, may answer instead of the reader. A response
+// that decompressed to more than the memory of a small host ended the process and all its requests.
+func TestDecompressedFeedSizeIsBounded(t *testing.T) {
 	c := qt.New(t)
-	large := pack([]byte("[" + strings.Repeat(" ", 4*unpackedMost) + "]"))
-	c.Assert(len(large) < unpackedMost/10, qt.IsTrue)
-	_, err := unpack(large)
+	large := pack([]byte("[" + strings.Repeat(" ", 4*maxDecompressedBytes) + "]"))
+	c.Assert(len(large) < maxDecompressedBytes/10, qt.IsTrue)
+	_, err := decompressRows(large)
 	c.Assert(err, qt.ErrorIs, errTooLarge)
-	half := pack([]byte("[" + strings.Repeat(" ", unpackedMost/2) + "]"))
-	_, err = unpack(half)
+	half := pack([]byte("[" + strings.Repeat(" ", maxDecompressedBytes/2) + "]"))
+	_, err = decompressRows(half)
 	c.Assert(err, qt.IsNil)
-	_, err = unpack(append(bytes.Clone(half), half...))
+	_, err = decompressRows(append(bytes.Clone(half), half...))
 	c.Assert(err, qt.ErrorIs, errTooLarge)
 }
 
-// An answer that was cut or changed on its way is never taken for what the store said.
-func TestADamagedAnswerIsNotTaken(t *testing.T) {
+// A truncated or altered response must not be accepted as an answer of the store.
+func TestDamagedFeedIsRejected(t *testing.T) {
 	c := qt.New(t)
-	packed := pack([]byte(`[{"a":1},{"b":2}]`))
-	for n := range len(packed) - 1 {
-		_, err := unpack(packed[:n+1])
-		c.Check(err, qt.IsNotNil, qt.Commentf("cut after %d", n+1))
+	compressed := pack([]byte(`[{"a":1},{"b":2}]`))
+	for n := range len(compressed) - 1 {
+		_, err := decompressRows(compressed[:n+1])
+		c.Check(err, qt.IsNotNil, qt.Commentf("truncated after %d bytes", n+1))
 	}
-	_, err := unpack(pack([]byte(`{"a":1}`)))
+	_, err := decompressRows(pack([]byte(`{"a":1}`)))
 	c.Assert(err, qt.IsNotNil)
 }
 
-// What a reader does once for a desired state of 1,400 routes.
-func BenchmarkPackALargeState(b *testing.B) {
-	large := stateRows(1400)
+// Measures the work of a reader, once for each desired state of 1,400 routes.
+func BenchmarkCompressLargeState(b *testing.B) {
+	large := largeStateRows(1400)
 	b.SetBytes(int64(len(large)))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -233,46 +231,45 @@
 	}
 }
 
-// What each entry that follows does with it.
-func BenchmarkUnpackALargeState(b *testing.B) {
-	packed := pack(stateRows(1400))
+// Measures the work of each follower for such a desired state.
+func BenchmarkDecompressLargeState(b *testing.B) {
+	compressed := pack(largeStateRows(1400))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := unpack(packed); err != nil {
+		if _, err := decompressRows(compressed); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// An entry that started while the store did not answer its region's reader knew of no
-// desired state, though the reader did. It is told what that one knows, with its age; of
-// changes a reader that has lost the store tells nothing.
-func TestAReaderThatLostTheStoreTellsWhatItKnows(t *testing.T) {
+// An entry that started while the store did not answer its region's reader had no desired state,
+// although the reader had one. A disconnected reader must serve its snapshot with its age,
+// but no changes.
+func TestDisconnectedReaderServesSnapshotOnly(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
 	f.restart(TableDesired, rows(5, `[{"a":1}]`), boottime.Now()-time.Second)
 	f.lose(TableDesired)
-	answer, ok := f.since(context.Background(), TableDesired, 0)
+	response, ok := f.since(context.Background(), TableDesired, 0)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(answer.Revision, qt.Equals, uint64(5))
-	c.Assert(answer.Age >= time.Second, qt.IsTrue)
+	c.Assert(response.Revision, qt.Equals, uint64(5))
+	c.Assert(response.Age >= time.Second, qt.IsTrue)
 	_, ok = f.since(context.Background(), TableDesired, 5)
 	c.Assert(ok, qt.IsFalse)
 }
 
-// Each entry of an installation that starts waits 0.6 s for the list of servers, and then
-// asks the store for it: no server is listed yet, the reader knows so, and waited for the
-// first before it said anything.
-func TestAnEmptyTableIsToldAtOnce(t *testing.T) {
+// While an installation starts, no server is registered. A reader that waited for the first one
+// delayed each starting entry by 0.6 s, after which the entry asked the store.
+func TestEmptySnapshotIsServedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
 	f.restart(TableBackends, rows(5, ""), boottime.Now())
 	began := time.Now()
-	answer, ok := f.since(context.Background(), TableBackends, 0)
+	response, ok := f.since(context.Background(), TableBackends, 0)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(answer.Revision, qt.Equals, uint64(5))
-	c.Assert(time.Since(began) < readerWait/2, qt.IsTrue, qt.Commentf("told after %v", time.Since(began)))
-	// Changes are still waited for.
+	c.Assert(response.Revision, qt.Equals, uint64(5))
+	c.Assert(time.Since(began) < readerWait/2, qt.IsTrue, qt.Commentf("served after %v", time.Since(began)))
+	// A call for changes still waits.
 	began = time.Now()
 	_, ok = f.since(context.Background(), TableBackends, 5)
 	c.Assert(ok, qt.IsTrue)
--- a/internal/transport/gateway/feedwire.go
+++ b/internal/transport/gateway/feedwire.go
@@ -17,103 +17,104 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// chunk is an answer of the store, or of the reader that it was told by.
-type chunk struct {
+// rowBatch is one answer of the store, or of the reader that passed it on.
+type rowBatch struct {
 	revision uint64
-	// packed are the rows as pack made them, and size is what they were before.
-	packed []byte
-	size   int
+	// compressed holds the rows as compressRows returned them.
+	compressed       []byte
+	uncompressedSize int
 }
 
-func newChunk(rows Rows) chunk {
-	packed := rows.packed
-	if packed == nil && len(rows.Raw) > 0 {
-		packed = pack(rows.Raw)
+func newRowBatch(rows Rows) rowBatch {
+	compressed := rows.packed
+	if compressed == nil && len(rows.Raw) > 0 {
+		compressed = pack(rows.Raw)
 	}
-	return chunk{revision: rows.Revision, packed: packed, size: len(rows.Raw)}
+	return rowBatch{revision: rows.Revision, compressed: compressed, uncompressedSize: len(rows.Raw)}
 }
 
-// FeedAnswer is what a reader tells of a table.
-type FeedAnswer struct {
-	// Revision is up to where the reader's view is current.
+// FeedResponse is a reader's response to a call for the rows of a table.
+type FeedResponse struct {
+	// Revision is the revision up to which the reader's view is current.
 	Revision uint64
-	// Age is how long ago the read was sent that confirmed it.
+	// Age is how long ago the read was sent that confirmed the revision.
 	Age time.Duration
-	// Packed are the rows in order of the store's answers, each as pack made it, one
-	// after the other.
-	Packed []byte
-	// Raw are the rows as the store sent them; only where the answer was fetched.
+	// Compressed holds the compressed batches of rows, one after the other, in the order in
+	// which the store sent them.
+	Compressed []byte
+	// Raw holds the rows as the store sent them. It is set only in a fetched response.
 	Raw []json.RawMessage
-	// Store is the reader's knowledge of the store's uptime; nil if it has none.
+	// Store is the store's uptime as far as the reader knows it, or nil.
 	Store *StoreUptime
 }
 
-// PathFeed is where entries follow their region's reader.
+// PathFeed is the path at which entries follow their region's reader.
 const PathFeed = "/feed"
 
-// Headers of an answer; the body is what is packed.
+// Headers of a feed response. Its body is FeedResponse.Compressed.
 const (
 	headerRevision = "Feed-Revision"
 	// headerAge is in nanoseconds.
 	headerAge = "Feed-Age"
-	// headerFirst and headerLast are the store's uptime, in milliseconds before the answer.
+	// headerStoreFirst and headerStoreLast are the bounds of the store's uptime, in milliseconds
+	// before the response.
 	headerFirst = "Store-First"
 	headerLast  = "Store-Last"
 )
 
-// unpackedMost bounds what an answer may hold: a whole table of the store, and twice what is kept
-// of its changes.
-const unpackedMost = 8 << 20
+// maxDecompressedBytes bounds the size of a response: a whole table of the store, and twice the
+// changes that an entry keeps.
+const maxDecompressedBytes = 8 << 20
 
-// packers keep their tables, which cost as much to allocate as a list to compress.
-var packers = sync.Pool{New: func() any {
-	// The level is a constant that is allowed.
+// gzipWriters reuses the writers' tables. Allocating them costs as much as compressing a list.
+var gzipWriters = sync.Pool{New: func() any {
+	// NewWriterLevel fails for invalid levels only.
 	w, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	return w
 }}
 
-// pack compresses a list of rows.
+// compressRows compresses a list of rows.
 //
-// Guard: sent as the store sends it, a large desired state fills the reader's link; followers time
-// out and fetch it themselves. It is compressed once, and sent to all as it is.
+// An uncompressed large desired state would saturate the reader's link. The followers would time
+// out and fetch it from the store. It is compressed once, and the result is sent to all followers.
 func pack(raw []byte) []byte {
-	var packed bytes.Buffer
-	w := packers.Get().(*gzip.Writer)
-	defer packers.Put(w)
-	w.Reset(&packed)
-	// A buffer takes all that is written.
+	var compressed bytes.Buffer
+	w := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(w)
+	w.Reset(&compressed)
+	// Writing to a buffer does not fail.
 	_, _ = w.Write(raw)
 	_ = w.Close()
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
-// unpack returns the lists that were packed one after the other.
-func unpack(packed []byte) ([]json.RawMessage, error) {
-	if len(packed) == 0 {
+// decompressRows returns the lists of rows that were compressed one after the other.
+func decompressRows(compressed []byte) ([]json.RawMessage, error) {
+	if len(compressed) == 0 {
 		return nil, nil
 	}
-	from := bytes.NewReader(packed)
-	r, err := gzip.NewReader(from)
+	source := bytes.NewReader(compressed)
+	r, err := gzip.NewReader(source)
 	if err != nil {
 		return nil, err
 	}
 	var lists []json.RawMessage
-	for left := int64(unpackedMost); ; {
+	for remaining := int64(maxDecompressedBytes); ; {
 		r.Multistream(false)
-		// Guard: a few bytes may unpack to more than the memory of a small host.
-		list, err := io.ReadAll(io.LimitReader(r, left+1))
+		// A few bytes may decompress to more than the memory of a small host.
+		list, err := io.ReadAll(io.LimitReader(r, remaining+1))
 		if err != nil {
 			return nil, err
 		}
-		left -= int64(len(list))
+		remaining -= int64(len(list))
 		switch {
-		case left < 0:
+		case remaining < 0:
 			return nil, errTooLarge
 		case len(list) < 2 || list[0] != '[' || !json.Valid(list):
 			return nil, fmt.Errorf("expected a list of rows, got %q", list[:min(len(list), 20)])
 		}
 		lists = append(lists, list)
-		switch err := r.Reset(from); {
+		switch err := r.Reset(source); {
 		case errors.Is(err, io.EOF):
 			return lists, nil
 		case err != nil:
@@ -128,7 +129,7 @@
 		http.Error(w, "After: expected a number", http.StatusBadRequest)
 		return
 	}
-	answer, ok := g.feeds.since(r.Context(), Table(r.URL.Query().Get("Table")), after)
+	response, ok := g.feeds.since(r.Context(), Table(r.URL.Query().Get("Table")), after)
 	if !ok && g.feeds.lost(Table(r.URL.Query().Get("Table"))) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -138,9 +139,9 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer.Packed)))
-	w.Header().Set(headerRevision, strconv.FormatUint(answer.Revision, 10))
-	w.Header().Set(headerAge, strconv.FormatInt(int64(answer.Age), 10))
+	w.Header().Set("Content-Length", strconv.Itoa(len(response.Compressed)))
+	w.Header().Set(headerRevision, strconv.FormatUint(response.Revision, 10))
+	w.Header().Set(headerAge, strconv.FormatInt(int64(response.Age), 10))
 	g.mu.Lock()
 	store := g.storeUptime(boottime.Now())
 	g.mu.Unlock()
@@ -148,97 +149,98 @@
 		w.Header().Set(headerFirst, strconv.Itoa(int(store.First)))
 		w.Header().Set(headerLast, strconv.Itoa(int(store.Last)))
 	}
-	_, _ = w.Write(answer.Packed)
+	_, _ = w.Write(response.Compressed)
 }
 
 // feedTimeout bounds a call for changes.
-const feedTimeout = readerWait + readerTimeout
+const feedTimeout = readerWait + feedTransferTimeout
 
-// fetchFeed asks another entry for changes after a revision, 0 for the whole table. Changes are there
-// within a time; a whole table begins to arrive within it.
-func (g *Gateway) fetchFeed(ctx context.Context, address string, table Table, after uint64, within time.Duration) (FeedAnswer, error) {
+// fetchFeed asks another entry for the changes of a table after a revision, or for the whole table
+// if the revision is 0. Changes must arrive completely within the timeout. A whole table must
+// begin to arrive within it.
+func (g *Gateway) fetchFeed(ctx context.Context, address string, table Table, after uint64, timeout time.Duration) (FeedResponse, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	timer := time.AfterFunc(within, cancel)
+	timer := time.AfterFunc(timeout, cancel)
 	defer timer.Stop()
 	values := url.Values{"Table": {string(table)}, "After": {strconv.FormatUint(after, 10)}}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathFeed+"?"+values.Encode(), nil)
 	if err != nil {
-		return FeedAnswer{}, err
+		return FeedResponse{}, err
 	}
 	response, err := g.client.Do(request)
 	if err != nil {
-		return FeedAnswer{}, err
+		return FeedResponse{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusOK:
 		body := io.Reader(response.Body)
 		if after == 0 {
-			body = &progress{body, timer}
+			body = &idleTimeoutReader{body, timer}
 		}
-		answer, err := decodeFeed(response.Header, body)
+		feed, err := decodeFeed(response.Header, body)
 		if err == nil {
-			g.noteReported(answer.Store)
+			g.noteReported(feed.Store)
 		}
-		return answer, err
+		return feed, err
 	case http.StatusGone:
-		return FeedAnswer{}, ErrHistoryGone
+		return FeedResponse{}, ErrHistoryGone
 	case http.StatusServiceUnavailable:
-		return FeedAnswer{}, errReaderLost
+		return FeedResponse{}, errReaderLost
 	}
-	return FeedAnswer{}, fmt.Errorf("answered %d", response.StatusCode)
+	return FeedResponse{}, fmt.Errorf("feed of table %s from %s: answered %d", table, address, response.StatusCode)
 }
 
-// progress puts a timeout off while a body is arriving.
+// idleTimeoutReader extends a timeout while a body is arriving.
 //
-// Guard: a whole table that many entries fetch at once takes longer than a call may last; given up
-// and begun again, none would ever arrive.
-type progress struct {
+// A whole table that many entries fetch at once takes longer than a call may last. If the entries
+// gave up and started again, none of the transfers would ever finish.
+type idleTimeoutReader struct {
 	body  io.Reader
 	timer *time.Timer
 }
 
-func (p *progress) Read(data []byte) (int, error) {
-	n, err := p.body.Read(data)
+func (r *idleTimeoutReader) Read(data []byte) (int, error) {
+	n, err := r.body.Read(data)
 	if n > 0 {
-		p.timer.Reset(readerTimeout)
+		r.timer.Reset(feedTransferTimeout)
 	}
 	return n, err
 }
 
-// decodeFeed decodes a reader's answer.
+// decodeFeed decodes a reader's response.
 //
-// Guard: a view goes on from the revision that an answer names. One that no store
-// reaches would leave out all that is ever written afterwards.
-func decodeFeed(header http.Header, body io.Reader) (FeedAnswer, error) {
+// A view continues from the revision of the response. A revision that the store never reaches
+// would make the view miss all later changes.
+func decodeFeed(header http.Header, body io.Reader) (FeedResponse, error) {
 	revision, err := strconv.ParseUint(header.Get(headerRevision), 10, 64)
 	if err != nil {
-		return FeedAnswer{}, fmt.Errorf("decode feed: %s: %w", headerRevision, err)
+		return FeedResponse{}, fmt.Errorf("decode feed: %s: %w", headerRevision, err)
 	}
 	age, err := strconv.ParseInt(header.Get(headerAge), 10, 64)
 	switch {
 	case err != nil:
-		return FeedAnswer{}, fmt.Errorf("decode feed: %s: %w", headerAge, err)
+		return FeedResponse{}, fmt.Errorf("decode feed: %s: %w", headerAge, err)
 	case revision > revisionMost:
-		return FeedAnswer{}, fmt.Errorf("decode feed: Revision: %w", errRevision)
+		return FeedResponse{}, fmt.Errorf("decode feed: Revision: %w", errRevision)
 	case age < 0:
-		return FeedAnswer{}, fmt.Errorf("decode feed: Age: %w", errAge)
+		return FeedResponse{}, fmt.Errorf("decode feed: Age: %w", errAge)
 	}
-	answer := FeedAnswer{Revision: revision, Age: time.Duration(age)}
+	feed := FeedResponse{Revision: revision, Age: time.Duration(age)}
 	if header.Get(headerFirst) != "" {
 		first, firstErr := strconv.ParseUint(header.Get(headerFirst), 10, 16)
 		last, lastErr := strconv.ParseUint(header.Get(headerLast), 10, 16)
 		if err := errors.Join(firstErr, lastErr); err != nil {
-			return FeedAnswer{}, fmt.Errorf("decode feed: %s: %w", headerFirst, err)
+			return FeedResponse{}, fmt.Errorf("decode feed: %s: %w", headerFirst, err)
 		}
-		answer.Store = &StoreUptime{First: uint16(first), Last: uint16(last)}
+		feed.Store = &StoreUptime{First: uint16(first), Last: uint16(last)}
 	}
-	if answer.Packed, err = io.ReadAll(io.LimitReader(body, unpackedMost)); err != nil {
-		return FeedAnswer{}, fmt.Errorf("decode feed: %w", err)
+	if feed.Compressed, err = io.ReadAll(io.LimitReader(body, maxDecompressedBytes)); err != nil {
+		return FeedResponse{}, fmt.Errorf("decode feed: %w", err)
 	}
-	if answer.Raw, err = unpack(answer.Packed); err != nil {
-		return FeedAnswer{}, fmt.Errorf("decode feed: %w", err)
+	if feed.Raw, err = decompressRows(feed.Compressed); err != nil {
+		return FeedResponse{}, fmt.Errorf("decode feed: %w", err)
 	}
-	return answer, nil
+	return feed, nil
 }
--- a/internal/transport/gateway/named.go
+++ b/internal/transport/gateway/named.go
@@ -16,10 +16,10 @@
 // named is the version of a model that operators want.
 type named struct {
 	version uint64
-	// since is when it was named, as far as known.
-	since time.Duration
-	// guessed is true while since is not known from a process that saw it named.
-	guessed bool
+	// namedAt is when it was named, as far as known.
+	namedAt time.Duration
+	// estimated is true while since is not known from a process that saw it named.
+	estimated bool
 }
 
 // least returns the oldest version of a model that may answer now; 0 means any.
@@ -27,18 +27,18 @@
 	if g.config.Bound <= 0 {
 		return 0
 	}
-	strict := g.switchover(model).Strict()
+	strict := g.switchoverConfig(model).Strict()
 	least := uint64(0)
 	for _, n := range g.named[model] {
-		if now-n.since >= strict {
+		if now-n.namedAt >= strict {
 			least = max(least, n.version)
 		}
 	}
 	return least
 }
 
-// switchover returns the times of a model's changes of version.
-func (g *Gateway) switchover(model string) switchover.Config {
+// switchoverConfig returns the times of a model's changes of version.
+func (g *Gateway) switchoverConfig(model string) switchover.Config {
 	config := switchover.DefaultConfig(g.config.Bound)
 	if state := g.state.Load(); state != nil {
 		config = config.WithPass(state.LongestPass(model))
@@ -56,17 +56,17 @@
 	if g.config.Bound <= 0 || g.plain(p.Backend.Service) {
 		return 0, true
 	}
-	config := g.switchover(model)
+	config := g.switchoverConfig(model)
 	config.Pass = time.Duration(float64(config.Pass) * max(p.Pace, 1))
 	at := time.Duration(0)
 	for _, n := range g.named[model] {
 		if n.version <= p.Holds {
 			continue
 		}
-		if !config.MayBegin(n.since, now, p.Predicted) {
+		if !config.MayBegin(n.namedAt, now, p.Predicted) {
 			return 0, false
 		}
-		if by := config.TakeBackAt(n.since); at == 0 || by < at {
+		if by := config.TakeBackAt(n.namedAt); at == 0 || by < at {
 			at = by
 		}
 	}
@@ -76,14 +76,14 @@
 // setNamed takes versions that operators have named.
 func (g *Gateway) setNamed(versions []catalog.NamedVersion, first bool, now time.Duration) {
 	for _, v := range versions {
-		if v.Version <= g.newest(v.Model) {
+		if v.Version <= g.newestVersion(v.Model) {
 			continue
 		}
-		n := named{version: v.Version, since: now}
+		n := named{version: v.Version, namedAt: now}
 		if first {
 			// Named before this process started, it is not known when: the bound
 			// may have passed already.
-			n.since, n.guessed = now-g.config.Bound, true
+			n.namedAt, n.estimated = now-g.config.Bound, true
 		}
 		g.addNamed(v.Model, n, now)
 		if !first {
@@ -100,20 +100,20 @@
 func (g *Gateway) addNamed(model string, n named, now time.Duration) {
 	list := append(slices.Clone(g.named[model]), n)
 	slices.SortFunc(list, func(a, b named) int { return cmp.Compare(a.version, b.version) })
-	g.named[model] = current(list, g.config.Bound, now)
-	g.fleet.SetNamed(model, g.versions(model), now)
-	g.log.Info("version named", zap.String("Model", model), zap.Uint64("Version", n.version), zap.Duration("Age", now-n.since), zap.Bool("BeforeStart", n.guessed))
+	g.named[model] = pruneSuperseded(list, g.config.Bound, now)
+	g.fleet.SetNamed(model, g.namedVersions(model), now)
+	g.log.Info("version named", zap.String("Model", model), zap.Uint64("Version", n.version), zap.Duration("Age", now-n.namedAt), zap.Bool("BeforeStart", n.estimated))
 	for _, newer := range g.named[model] {
-		g.supersede(catalog.NamedVersion{Model: model, Version: newer.version}, newer.since)
+		g.supersedeOlder(catalog.NamedVersion{Model: model, Version: newer.version}, newer.namedAt)
 	}
-	g.planWeights(model)
+	g.updateRelayPlan(model)
 }
 
-// planWeights tells the relay which versions of a model are wanted; the caller holds the lock.
-func (g *Gateway) planWeights(model string) {
-	plan := relay.Plan{Bounds: g.switchover(model), OriginRate: g.originRate()}
+// updateRelayPlan tells the relay which versions of a model are wanted; the caller holds the lock.
+func (g *Gateway) updateRelayPlan(model string) {
+	plan := relay.Plan{Bounds: g.switchoverConfig(model), OriginRate: g.originRate()}
 	for _, n := range g.named[model] {
-		plan.Named = append(plan.Named, switchover.Named{Version: n.version, Since: n.since})
+		plan.Named = append(plan.Named, switchover.Named{Version: n.version, Since: n.namedAt})
 	}
 	g.relay.SetPlan(model, plan)
 }
@@ -128,33 +128,33 @@
 	return origin.OriginRate
 }
 
-// supersede tells the relay when the versions before one are of no more use.
-func (g *Gateway) supersede(v catalog.NamedVersion, since time.Duration) {
+// supersedeOlder tells the relay when the versions before one are of no more use.
+func (g *Gateway) supersedeOlder(v catalog.NamedVersion, since time.Duration) {
 	if g.config.Bound <= 0 {
 		return
 	}
 	for _, older := range g.named[v.Model] {
 		if older.version < v.Version {
-			g.relay.Supersede(catalog.NamedVersion{Model: v.Model, Version: older.version}, g.switchover(v.Model).AnswersUntil(since))
+			g.relay.Supersede(catalog.NamedVersion{Model: v.Model, Version: older.version}, g.switchoverConfig(v.Model).AnswersUntil(since))
 		}
 	}
 }
 
-// current returns the named versions that still matter: all but those that a newer one,
+// pruneSuperseded returns the named versions that still matter: all but those that a newer one,
 // which is the only one to answer by now, stands for.
 //
 // Guard: a version was forgotten two bounds after its naming when the next one was named,
 // and with it that its bound had passed; servers that had never taken it got requests again.
-func current(list []named, bound, now time.Duration) []named {
+func pruneSuperseded(list []named, bound, now time.Duration) []named {
 	for i := len(list) - 1; i > 0; i-- {
-		if bound > 0 && !list[i].guessed && now-list[i].since >= bound {
+		if bound > 0 && !list[i].estimated && now-list[i].namedAt >= bound {
 			return list[i:]
 		}
 	}
 	return list
 }
 
-func (g *Gateway) newest(model string) uint64 {
+func (g *Gateway) newestVersion(model string) uint64 {
 	list := g.named[model]
 	if len(list) == 0 {
 		return 0
@@ -162,7 +162,7 @@
 	return list[len(list)-1].version
 }
 
-func (g *Gateway) versions(model string) []uint64 {
+func (g *Gateway) namedVersions(model string) []uint64 {
 	var versions []uint64
 	for _, n := range g.named[model] {
 		versions = append(versions, n.version)
@@ -181,25 +181,25 @@
 	list := g.named[model]
 	i := slices.IndexFunc(list, func(n named) bool { return n.version == version })
 	switch {
-	case i < 0 && g.standsFor(list, version, now):
+	case i < 0 && g.isSuperseded(list, version, now):
 	case i < 0:
-		g.addNamed(model, named{version: version, since: now - age}, now)
-	case list[i].guessed || now-age < list[i].since-heardSlack:
-		list[i] = named{version: version, since: now - age}
-		g.planWeights(model)
+		g.addNamed(model, named{version: version, namedAt: now - age}, now)
+	case list[i].estimated || now-age < list[i].namedAt-ageTolerance:
+		list[i] = named{version: version, namedAt: now - age}
+		g.updateRelayPlan(model)
 	}
 }
 
-// standsFor reports whether a newer version than one is the only one to answer by now.
-func (g *Gateway) standsFor(list []named, version uint64, now time.Duration) bool {
+// isSuperseded reports whether a newer version than one is the only one to answer by now.
+func (g *Gateway) isSuperseded(list []named, version uint64, now time.Duration) bool {
 	for _, n := range list {
-		if n.version > version && !n.guessed && g.config.Bound > 0 && now-n.since >= g.config.Bound {
+		if n.version > version && !n.estimated && g.config.Bound > 0 && now-n.namedAt >= g.config.Bound {
 			return true
 		}
 	}
 	return false
 }
 
-// heardSlack is the difference between two processes' words that is only the time
+// ageTolerance is the difference between two processes' words that is only the time
 // on their way, and not worth telling anybody of.
-const heardSlack = 50 * time.Millisecond
+const ageTolerance = 50 * time.Millisecond
--- a/internal/transport/gateway/versions.go
+++ b/internal/transport/gateway/versions.go
@@ -12,11 +12,11 @@
 
 // Times of what the platform's store keeps on named versions.
 const (
-	// versionsWait is how long an entry that starts waits for a heartbeat that says when a version
+	// restoreDelay is how long an entry that starts waits for a heartbeat that says when a version
 	// was named, before it asks the store.
-	versionsWait = 100 * time.Millisecond
-	// versionsTries bounds the calls that fail, with pauses from retryFirst on.
-	versionsTries = 20
+	restoreDelay = 100 * time.Millisecond
+	// maxVersionsAttempts bounds the calls that fail, with pauses from retryFirst on.
+	maxVersionsAttempts = 20
 )
 
 // runVersions writes to the store when versions were named, and reads it for those that were named
@@ -32,17 +32,17 @@
 		case <-g.namedNews:
 		}
 		if g.hasUnknownAges() {
-			g.sleep(ctx, versionsWait)
+			g.sleep(ctx, restoreDelay)
 			g.retry(ctx, g.restoreVersions)
 		}
-		g.retry(ctx, g.keepVersions)
+		g.retry(ctx, g.saveVersions)
 	}
 }
 
 // retry makes a call until it succeeds, or for versionsTries.
 func (g *Gateway) retry(ctx context.Context, call func(context.Context) error) {
 	pause := retryFirst
-	for range versionsTries {
+	for range maxVersionsAttempts {
 		err := call(ctx)
 		if err == nil || ctx.Err() != nil {
 			return
@@ -58,17 +58,17 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, list := range g.named {
-		if slices.ContainsFunc(list, func(n named) bool { return n.guessed }) {
+		if slices.ContainsFunc(list, func(n named) bool { return n.estimated }) {
 			return true
 		}
 	}
 	return false
 }
 
-// keepVersions writes when versions were named, if this entry reads the store for its region.
-func (g *Gateway) keepVersions(ctx context.Context) error {
+// saveVersions writes when versions were named, if this entry reads the store for its region.
+func (g *Gateway) saveVersions(ctx context.Context) error {
 	now := boottime.Now()
-	if !g.reads(now) {
+	if !g.isReader(now) {
 		return nil
 	}
 	g.mu.Lock()
@@ -95,7 +95,7 @@
 	g.noteBad(bad)
 	for _, n := range ages {
 		// A row of another program may name a version that operators have not.
-		if n.Version <= g.newest(n.Model) {
+		if n.Version <= g.newestVersion(n.Model) {
 			g.heardNamed(n.Model, n.Version, n.Age, sent)
 		}
 	}
--- a/internal/transport/gateway/views.go
+++ b/internal/transport/gateway/views.go
@@ -28,15 +28,15 @@
 func (g *Gateway) namedAges(now time.Duration) []NamedAge {
 	var ages []NamedAge
 	for model := range g.named {
-		ages = append(ages, g.agesOf(model, now)...)
+		ages = append(ages, g.namedAgesOf(model, now)...)
 	}
 	return ages
 }
 
-func (g *Gateway) agesOf(model string, now time.Duration) []NamedAge {
+func (g *Gateway) namedAgesOf(model string, now time.Duration) []NamedAge {
 	var ages []NamedAge
 	for _, n := range g.named[model] {
-		ages = append(ages, NamedAge{Model: model, Version: n.version, Age: now - n.since, Known: !n.guessed})
+		ages = append(ages, NamedAge{Model: model, Version: n.version, Age: now - n.namedAt, Known: !n.estimated})
 	}
 	return ages
 }
@@ -63,8 +63,8 @@
 	_ = json.NewEncoder(w).Encode(view)
 }
 
-// firstVersion is the version of a model that nobody has named another of.
-const firstVersion = 1
+// initialVersion is the version of a model that nobody has named another of.
+const initialVersion = 1
 
 func (g *Gateway) view(service, address string) (View, bool) {
 	state := g.state.Load()
@@ -85,10 +85,10 @@
 	view.Pass = engine.LongestPass()
 	for _, model := range engine.Models {
 		if len(g.named[model]) == 0 {
-			view.Named = append(view.Named, NamedAge{Model: model, Version: firstVersion})
+			view.Named = append(view.Named, NamedAge{Model: model, Version: initialVersion})
 			continue
 		}
-		view.Named = append(view.Named, g.agesOf(model, now)...)
+		view.Named = append(view.Named, g.namedAgesOf(model, now)...)
 	}
 	return view, true
 }
@@ -106,7 +106,7 @@
 	}
 	for _, model := range g.modelsAt(report.Load.Address) {
 		for _, n := range g.named[model] {
-			if g.isNews(model, n, report.Named, now) {
+			if g.isMissingFrom(model, n, report.Named, now) {
 				return true
 			}
 		}
@@ -124,8 +124,8 @@
 	return state.Services[service].Engine.Models
 }
 
-// isNews reports whether a version, or how long ago it was named, is not among what is told.
-func (g *Gateway) isNews(model string, n named, told []NamedAge, now time.Duration) bool {
+// isMissingFrom reports whether a version, or how long ago it was named, is not among what is told.
+func (g *Gateway) isMissingFrom(model string, n named, told []NamedAge, now time.Duration) bool {
 	newest := uint64(0)
 	for _, t := range told {
 		if t.Model != model {
@@ -133,10 +133,10 @@
 		}
 		newest = max(newest, t.Version)
 		if t.Version == n.version {
-			return !n.guessed && (!t.Known || now-n.since > t.Age+heardSlack)
+			return !n.estimated && (!t.Known || now-n.namedAt > t.Age+ageTolerance)
 		}
 	}
 	// One that a newer one has taken the place of by now is forgotten, at some entries
 	// sooner than at others.
-	return n.version > newest || now-n.since < g.config.Bound
+	return n.version > newest || now-n.namedAt < g.config.Bound
 }
