--- a/internal/transport/gateway/badrows.go
+++ b/internal/transport/gateway/badrows.go
@@ -11,18 +11,18 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// maxTrackedBadRows bounds the bad rows that are remembered: 22,000 servers have a row each, and
-// a program that spoils more of them than this is told of again.
+// maxTrackedBadRows limits the bad rows whose reports are tracked. There may be 22,000 servers with a
+// row each. If a program damages more rows than the limit, some of them are reported again.
 const maxTrackedBadRows = 4096
 
-// badRows are the rows that name nothing. The zero value knows none; the gateway's lock
+// badRowTracker tracks invalid rows of the store. The zero value is empty. The gateway's lock
 // guards it.
 type badRows struct {
-	// reported are the revisions that were told of.
+	// reported holds the revisions of the rows that were reported.
 	reported map[badRowKey]uint64
-	// withheld are servers that are not used for now, by ID.
+	// withheld holds the servers that are currently not used, by ID.
 	withheld map[string]catalog.Backend
-	// bootsReported is true once a server has told when it started.
+	// bootsReported is true once the row of any server has contained a boot.
 	bootsReported bool
 }
 
@@ -32,11 +32,11 @@
 	cause Cause
 }
 
-// isNew reports whether a bad row, as it is now, was not known.
+// isNew reports whether a bad row, at its current revision, has not been reported yet.
 //
-// Guard: a bad row stays in the store, and comes again with each read of its table and
-// from each entry that tells of it. Told each time it would hide all other lines, and
-// the count would grow by reads.
+// A bad row stays in the store, and is received again with each read of its table and from
+// each entry that passes it on. If it were reported each time, it would hide all other log
+// lines, and the metric would count reads.
 func (b *badRows) isNew(bad BadRow) bool {
 	key := badRowKey{bad.Table, bad.Key, bad.Cause}
 	if revision, ok := b.reported[key]; ok && bad.Revision <= revision {
@@ -49,34 +49,34 @@
 	return true
 }
 
-// noteBad counts and logs rows that name nothing, once for each change of a row; the
-// caller holds the lock.
+// reportBadRows counts and logs invalid rows, once for each change of a row. The caller
+// holds the lock.
 func (g *Gateway) noteBad(rows []BadRow) {
 	for _, bad := range rows {
 		if !g.bad.isNew(bad) {
 			continue
 		}
 		g.metrics.badRows.WithLabelValues(string(bad.Table), string(bad.Cause)).Inc()
-		g.log.Warn("row names nothing", zap.String("Table", string(bad.Table)), zap.String("Key", bad.Key),
+		g.log.Warn("invalid row ignored", zap.String("Table", string(bad.Table)), zap.String("Key", bad.Key),
 			zap.Uint64("Revision", bad.Revision), zap.String("Cause", string(bad.Cause)), zap.Error(bad.Err))
 	}
 }
 
-// Why a server is not used.
+// Reasons why a server is not used.
 var (
-	errUnknownService = errors.New("service: expected one of the desired state")
-	errMissingBoot    = errors.New("boot: expected one, as other servers tell theirs")
+	errUnknownService = errors.New("service: expected one that the desired state contains")
+	errMissingBoot    = errors.New("boot: expected one, because other servers report theirs")
 )
 
-// withhold keeps back the servers whose service the desired state does not name, and
-// those that do not say when they started while others do. It returns the others, and
-// which of those that are known are there no longer; the caller holds the lock.
+// withhold withholds the servers whose service is not in the desired state, and those without
+// a boot if other servers report one. It returns the other servers, and the IDs of known servers
+// that are no longer present. The caller holds the lock.
 //
-// Where no server tells its start, each start of one has an ID of its own.
+// Where no server reports a boot, each start of a server has an ID of its own.
 //
-// Guard: a row of another program named a service that there is not, at the address of a
-// live server. Taken for the server's next start it put the live one out of use, until
-// that one's row changed; it waits here until a desired state names its service.
+// A row of another program contained an unknown service and the address of a live server. It was
+// mistaken for the server's next start and put the live server out of use until that server's row
+// changed. Such a row is withheld until a desired state contains its service.
 func (g *Gateway) withhold(b Backends, whole bool) (present []catalog.Backend, gone []string) {
 	if whole || g.bad.withheld == nil {
 		g.bad.withheld = map[string]catalog.Backend{}
@@ -106,7 +106,7 @@
 	return present, gone
 }
 
-// serves reports whether a desired state names a server's service.
+// serves reports whether a desired state contains a server's service.
 func serves(state *catalog.State, backend catalog.Backend) bool {
 	if state == nil {
 		return false
@@ -115,17 +115,16 @@
 	return ok
 }
 
-// hasKnownBoot reports whether it can be told which start of a server a row is of.
+// hasKnownBoot reports whether a row can be attributed to one boot of its server.
 //
-// Guard: a row of another program, or of a process before, that does not say when its
-// server started would be taken for the one that is known: what that one held would be
-// asked of the next.
+// A row without a boot, from another program or an earlier process, would be attributed to the
+// known boot: requests for the versions that one boot held would be sent to the next.
 func (b *badRows) hasKnownBoot(backend catalog.Backend) bool {
 	return backend.Boot != 0 || !b.bootsReported
 }
 
-// reportWithheld tells of the servers that a state does not name; none is told of before
-// the first state is known.
+// reportWithheld reports the withheld servers. Nothing is reported before the first desired state
+// is known.
 func (g *Gateway) reportWithheld(state *catalog.State) {
 	if state == nil {
 		return
@@ -139,8 +138,8 @@
 	}
 }
 
-// release hands the fleet the servers whose service a new state names; the caller holds
-// the lock.
+// releaseWithheld adds to the fleet the withheld servers whose service a new desired state
+// contains. The caller holds the lock.
 func (g *Gateway) release(state *catalog.State, now time.Duration) {
 	var present []catalog.Backend
 	for id, backend := range g.bad.withheld {
--- a/internal/transport/gateway/badrows_test.go
+++ b/internal/transport/gateway/badrows_test.go
@@ -19,7 +19,7 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/fleet"
 )
 
-// newBadRowGateway is a gateway with beliefs only, what it logs and what it counts.
+// newBadRowGateway returns a gateway that only tracks rows and servers, with its logs and metrics.
 func newBadRowGateway() (*Gateway, *observer.ObservedLogs, *prometheus.Registry) {
 	core, logs := observer.New(zap.InfoLevel)
 	registry := prometheus.NewRegistry()
@@ -27,7 +27,7 @@
 		fleet: fleet.New(fleet.DefaultConfig(), rand.New(rand.NewPCG(1, 2)))}, logs, registry
 }
 
-// badRowCount returns the count of bad rows of a cause.
+// badRowCount returns the value of the metric for bad rows with a cause.
 func badRowCount(t testing.TB, registry *prometheus.Registry, cause Cause) float64 {
 	families, err := registry.Gather()
 	qt.Assert(t, err, qt.IsNil)
@@ -50,8 +50,8 @@
 	return catalog.New(1, nil, list, nil, catalog.Limits{})
 }
 
-// The log of an entry is one line, repeated: a bad row lies in the store, and comes
-// again with each read and from each entry that tells of it.
+// A bad row in the store is received again with each read and from each entry that passes it
+// on. Reported each time, it would flood the log.
 func TestBadRowIsReportedOncePerChange(t *testing.T) {
 	c := qt.New(t)
 	g, logs, registry := newBadRowGateway()
@@ -59,13 +59,13 @@
 	for range 5 {
 		g.noteBad([]BadRow{bad, {Table: TableBackends, Cause: CauseEnvelope, Err: errName}})
 	}
-	c.Assert(logs.FilterMessage("row names nothing").Len(), qt.Equals, 2)
+	c.Assert(logs.FilterMessage("invalid row ignored").Len(), qt.Equals, 2)
 	c.Assert(badRowCount(t, registry, CauseRange), qt.Equals, 1.0)
 	bad.Revision = 9
 	g.noteBad([]BadRow{bad})
 	bad.Revision = 7
 	g.noteBad([]BadRow{bad})
-	c.Assert(logs.FilterMessage("row names nothing").Len(), qt.Equals, 3)
+	c.Assert(logs.FilterMessage("invalid row ignored").Len(), qt.Equals, 3)
 	c.Assert(badRowCount(t, registry, CauseRange), qt.Equals, 2.0)
 	for n := range 3 * maxTrackedBadRows {
 		g.noteBad([]BadRow{{Table: TableBackends, Key: fmt.Sprint(n), Revision: 10, Cause: CauseRange, Err: errName}})
@@ -73,9 +73,8 @@
 	c.Assert(len(g.bad.reported) <= maxTrackedBadRows, qt.IsTrue)
 }
 
-// A server that lives gets no more requests, for minutes: another program wrote a row
-// of a service that there is not, at that server's address, and it was taken for the
-// server's next start.
+// A live server got no requests for minutes, because another program had written a row with an
+// unknown service and that server's address, which was mistaken for the server's next start.
 func TestRowOfUnknownServiceDoesNotReplaceLiveServer(t *testing.T) {
 	c := qt.New(t)
 	g, logs, _ := newBadRowGateway()
@@ -94,10 +93,10 @@
 	g.release(state, time.Second)
 	for range 2 {
 		c.Assert(g.fleet.Backends("orders"), qt.DeepEquals, []catalog.Backend{live})
-		c.Assert(logs.FilterMessage("row names nothing").Len(), qt.Equals, 1)
+		c.Assert(logs.FilterMessage("invalid row ignored").Len(), qt.Equals, 1)
 		apply(Backends{Present: []catalog.Backend{other}}, false)
 	}
-	// A desired state names the service: its server is there without a word of its own.
+	// Once a desired state contains the service, its server is used without a new row.
 	added := catalog.Backend{ID: "i-2", Revision: 10, Service: "added", Address: "10.0.0.2:1"}
 	apply(Backends{Present: []catalog.Backend{added}}, false)
 	c.Assert(g.fleet.Known("i-2"), qt.IsFalse)
@@ -106,19 +105,19 @@
 	g.state.Store(state)
 	g.release(state, time.Second)
 	c.Assert(g.fleet.Backends("added"), qt.DeepEquals, []catalog.Backend{added})
-	// One that was used and now names another service is not used.
+	// A server in use whose row changes to an unknown service is no longer used.
 	live.Service = "odd"
 	apply(Backends{Present: []catalog.Backend{live}}, false)
 	c.Assert(g.fleet.Backends("orders"), qt.HasLen, 0)
-	// One that was withheld and removed does not come back.
+	// A withheld server that was removed is not released.
 	apply(Backends{Gone: []string{"x"}}, false)
 	g.release(stateWithServices("odd"), time.Second)
 	c.Assert(g.fleet.Known("x"), qt.IsFalse)
 }
 
-// Every request was refused with "no server": on an installation whose servers do not say
-// when they started each row was taken for one of another program. There they are used;
-// where servers do say so, a row that does not names none, and the others hold.
+// On an installation whose servers report no boots, every request was refused with "no server",
+// because each row was mistaken for one of another program. Rows without a boot are withheld
+// only if other servers report boots.
 func TestRowWithoutBootIsUsedIfNoServerReportsBoots(t *testing.T) {
 	c := qt.New(t)
 	g, logs, _ := newBadRowGateway()
@@ -140,13 +139,13 @@
 	c.Assert(g.fleet.Known("i-3"), qt.IsFalse)
 	apply(row(1, 5, 0))
 	c.Assert(g.fleet.Backends("orders"), qt.DeepEquals, []catalog.Backend{row(2, 2, 0)})
-	c.Assert(logs.FilterMessage("row names nothing").Len(), qt.Equals, 2)
+	c.Assert(logs.FilterMessage("invalid row ignored").Len(), qt.Equals, 2)
 	apply(row(1, 6, 2000))
 	c.Assert(g.fleet.Backends("orders"), qt.HasLen, 2)
 }
 
-// An entry that reads rows from its region's reader ends: the list was no list. Or it
-// reads none, as an empty list between two left a comma alone.
+// A list of rows from the region's reader that was not a list crashed the entry. An empty
+// list between two others left a misplaced comma, and no row could be read.
 func TestJoinRowsSkipsInvalidAndEmptyLists(t *testing.T) {
 	c := qt.New(t)
 	for want, lists := range map[string][]string{
@@ -165,37 +164,37 @@
 
 const validEntryJSON = `"Entry":{"Host":"e","Site":"a","Region":"ra","Callers":"10.0.0.1:1","Peers":"10.0.0.1:2","Datagrams":"10.0.0.1:3","Incarnation":"x"}`
 
-// A server is out of use for good, or callers are sent to nowhere: something that was
-// no entry and no agent sent figures that cannot be to an entry's socket.
+// Another program may send impossible values to an entry's socket. Accepted, they would put a
+// server out of use permanently or direct callers to an invalid address.
 func TestDatagramsWithInvalidFieldsAreRejected(t *testing.T) {
 	c := qt.New(t)
-	for _, sound := range []string{`{}`, `{"Changed":true}`, `{"Beat":{` + validEntryJSON + `,"Named":[{"Model":"d","Version":2,"Age":5,"Known":true}]}}`,
+	for _, valid := range []string{`{}`, `{"Changed":true}`, `{"Beat":{` + validEntryJSON + `,"Named":[{"Model":"d","Version":2,"Age":5,"Known":true}]}}`,
 		`{"Counts":{"From":"e","Sequence":-4,"Requests":{"i-1":3}}}`, `{"Load":{"Load":{"Address":"10.0.0.1:1","Running":3,"Models":[{"Name":"d","Version":2}],"LeavesIn":-5},"Named":[{"Model":"d","Version":2,"Age":5}]}}`} {
-		_, err := DecodeDatagram(message(sound))
-		c.Check(err, qt.IsNil, qt.Commentf(sound))
+		_, err := DecodeDatagram(message(valid))
+		c.Check(err, qt.IsNil, qt.Commentf(valid))
 	}
-	for _, bad := range []string{``, `7`, `{"Beat":{}}`, `{"Beat":7}`, `{"Beat":{` + strings.Replace(validEntryJSON, "10.0.0.1:3", "", 1) + `}}`,
+	for _, invalid := range []string{``, `7`, `{"Beat":{}}`, `{"Beat":7}`, `{"Beat":{` + strings.Replace(validEntryJSON, "10.0.0.1:3", "", 1) + `}}`,
 		`{"Beat":{` + strings.Replace(validEntryJSON, `"Host":"e"`, `"Host":""`, 1) + `}}`,
 		`{"Beat":{` + validEntryJSON + `,"Named":[{"Age":-5}]}}`, `{"Beat":{` + validEntryJSON + `,"Named":[{"Version":18446744073709551615}]}}`,
 		`{"Counts":{}}`, `{"Counts":{"From":"e","Requests":{"i-1":-3}}}`, `{"Counts":{"From":"e","Requests":{"i-1":1e400}}}`,
 		`{"Load":{"Load":{"Running":-1}}}`, `{"Load":{"Load":{"Queued":9000000000}}}`, `{"Load":{"Load":{"LoadedIn":9000000000000000000}}}`,
 		`{"Load":{"Load":{"Models":[{"Version":2}]}}}`, `{"Load":{"Named":[{"Age":-5}]}}`, `{"Load":{"Load":{"Pace":-1.5}}}`} {
-		_, err := DecodeDatagram(message(bad))
-		c.Check(err, qt.ErrorMatches, "(?s)decode datagram: .*", qt.Commentf(bad))
+		_, err := DecodeDatagram(message(invalid))
+		c.Check(err, qt.ErrorMatches, "(?s)decode datagram: .*", qt.Commentf(invalid))
 	}
 }
 
-// An entry hears of no change ever again, as it was told a revision that the store will
-// not reach; or it ends, as the answer has no end.
+// A revision that the store never reaches would make an entry miss all later changes. A response
+// without an end would exhaust its memory.
 func TestInvalidPeerResponsesAreRejected(t *testing.T) {
 	c := qt.New(t)
 	feed := func(revision, age string, body []byte) (FeedResponse, error) {
 		return decodeFeed(http.Header{headerRevision: {revision}, headerAge: {age}}, bytes.NewReader(body))
 	}
-	answer, err := feed("7", "5", pack([]byte("[]")))
+	response, err := feed("7", "5", pack([]byte("[]")))
 	c.Assert(err, qt.IsNil)
-	c.Assert(answer.Revision, qt.Equals, uint64(7))
-	for _, bad := range []struct {
+	c.Assert(response.Revision, qt.Equals, uint64(7))
+	for _, invalid := range []struct {
 		revision, age string
 		body          []byte
 	}{
@@ -203,7 +202,7 @@
 		{"7", "5", []byte("7")}, {"7", "5", pack([]byte("7"))}, {"7", "5", pack([]byte("[}"))},
 		{"7", "5", pack([]byte("[" + strings.Repeat(" ", maxDecompressedBytes) + "]"))},
 	} {
-		_, err := feed(bad.revision, bad.age, bad.body)
+		_, err := feed(invalid.revision, invalid.age, invalid.body)
 		c.Check(err, qt.ErrorMatches, "decode feed: .*")
 	}
 	entries, err := decodeEntries(strings.NewReader(`[7,{"Host":"x"},` + strings.TrimPrefix(validEntryJSON, `"Entry":`) + `]`))
--- a/internal/transport/gateway/boots_test.go
+++ b/internal/transport/gateway/boots_test.go
@@ -19,7 +19,7 @@
 	"github.com/filbertlever/filbertlever/internal/transport/datagrams"
 )
 
-// newEntryWithBoot is an entry that knows one plain server, at its first boot.
+// newEntryWithBoot returns an entry that knows one plain server, at its first boot.
 func newEntryWithBoot(t *testing.T) (*Gateway, *observer.ObservedLogs) {
 	core, logs := observer.New(zap.InfoLevel)
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -39,8 +39,8 @@
 		Models: []catalog.Model{{Name: "drafter", Version: revision}}}
 }
 
-// On call: a server started again. One line says what was believed before and after, by
-// which news, and how many requests of this entry were under way.
+// For operators, one log line per restart of a server must give the state before and after, the
+// source of the information, and how many requests of this entry were in flight.
 func TestServerRestartIsLogged(t *testing.T) {
 	c := qt.New(t)
 	g, logs := newEntryWithBoot(t)
@@ -56,8 +56,8 @@
 		"Held": []any{"drafter@2"}, "Holds": []any{}, "UnderWay": int64(0)})
 }
 
-// An order finds all servers full that are idle: other entries told of requests at the
-// process before, which the new one never had.
+// Counts that other entries gossiped for a server's previous boot were applied to its new one, so
+// idle servers looked full.
 func TestCountsOfPreviousBootAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	g, _ := newEntryWithBoot(t)
@@ -73,18 +73,17 @@
 	}
 	g.takeCounts(&Counts{From: "e2", Sequence: 1, Requests: map[string]int{"i-1": 20}, Silent: []string{"i-1"}}, now)
 	c.Assert(ahead(), qt.Equals, 1-4)
-	told := g.counts(now)
-	c.Assert(told.Boots, qt.HasLen, 0)
+	counts := g.counts(now)
+	c.Assert(counts.Boots, qt.HasLen, 0)
 	g.fleet.Choose(fleet.Request{Service: "orders"}, now)
-	told = g.counts(now)
-	c.Assert(told.Boots, qt.DeepEquals, map[string]catalog.Boot{"i-1": 2000})
-	g.takeCounts(&Counts{From: "e3", Sequence: 1, Requests: map[string]int{"i-1": 3}, Boots: told.Boots}, now+time.Millisecond)
+	counts = g.counts(now)
+	c.Assert(counts.Boots, qt.DeepEquals, map[string]catalog.Boot{"i-1": 2000})
+	g.takeCounts(&Counts{From: "e3", Sequence: 1, Requests: map[string]int{"i-1": 3}, Boots: counts.Boots}, now+time.Millisecond)
 	c.Assert(ahead(), qt.Equals, 5-4)
 }
 
-// An order has no server to go to. A request that was placed at a process that is gone
-// is told, late, that another server answers at its address, or that it holds nothing;
-// that is no news of the process that followed at another address.
+// A late reply to a request of a server's previous boot, which reports another server at its address
+// or no version, must not affect the next boot at another address. Requests had no server left.
 func TestLateReplyOfPreviousBootIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	g, _ := newEntryWithBoot(t)
@@ -101,14 +100,14 @@
 	c.Assert(g.fleet.Known("i-1"), qt.IsFalse)
 }
 
-// A server stands still, and its late answers come from the connections of the process
-// before, which a stalled link still delivers. It would not be seen to be silent.
+// A stalled link may deliver late answers of a server's previous boot. Counted as progress of the
+// current boot, they would hide that the server has stalled.
 func TestLateAnswerOfPreviousBootIsNotProgress(t *testing.T) {
 	c := qt.New(t)
 	g, _ := newEntryWithBoot(t)
 	a := &attempts{exchange: &exchange{gateway: g, call: &Call{ID: "o1"}}}
 	for range 2 {
-		// Sent to an idle server, the first request begins its silence.
+		// The first request to an idle server starts the time without progress.
 		a.last = g.fleet.Choose(fleet.Request{Service: "orders"}, boottime.Now()-time.Second)
 	}
 	before := a.last
@@ -125,8 +124,8 @@
 	c.Assert(g.fleet.Stalled("i-1", boottime.Now()), qt.IsFalse)
 }
 
-// A lookup waits to its end at a process that is gone, whose end a cut hides, though
-// another server is free.
+// A network partition may hide that a server's process ended. Its requests must not wait until
+// they time out if another server is free.
 func TestRequestLeavesServerWhoseProcessEnded(t *testing.T) {
 	c := qt.New(t)
 	g, _ := newEntryWithBoot(t)
--- a/internal/transport/gateway/bound_test.go
+++ b/internal/transport/gateway/deadline_test.go
@@ -23,7 +23,7 @@
 	"github.com/filbertlever/filbertlever/internal/transport/relay"
 )
 
-// emptyOrigin is an origin that has no version any more.
+// emptyOrigin is an origin that no longer has any version.
 type emptyOrigin struct{}
 
 func (emptyOrigin) Manifest(context.Context, string, catalog.NamedVersion) (relay.Manifest, error) {
@@ -34,7 +34,7 @@
 	return nil, relay.ErrGone
 }
 
-// newEntryWithServer is an entry that has heard of no version, whose only server holds one.
+// newEntryWithServer returns an entry without named versions, whose only server holds a version.
 func newEntryWithServer(t *testing.T, holds uint64) *Gateway {
 	g := newSwitchoverEntry(newTypicalEngine(), 1)
 	now := boottime.Now()
@@ -49,7 +49,7 @@
 	return g
 }
 
-// place places a fresh request of a usual size.
+// placeTypicalRequest places a new request of a typical size.
 func (g *Gateway) placeTypicalRequest(now time.Duration) (found bool, beginBy time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -58,10 +58,9 @@
 	return placement.Found, a.beginBy
 }
 
-// Requests began on version 1 up to 1.1 s after the bound of version 2. Two versions were
-// named 2 s apart while the origin was away; an entry started after that, and the store
-// tells of the newest only. Its peers' heartbeats told of both, with their ages, but what
-// it does not know from the store it does not take.
+// Two versions were named 2 s apart, and an entry that started afterwards read only the newest from
+// the store. It ignored the older one in its peers' heartbeats, so requests started on version 1 up
+// to 1.1 s after the deadline of version 2.
 func TestRestartedEntryLearnsOlderVersionFromPeers(t *testing.T) {
 	c := qt.New(t)
 	g := newEntryWithServer(t, 1)
@@ -69,19 +68,19 @@
 	g.mu.Lock()
 	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 3}}, true, now-6*time.Second)
 	g.mu.Unlock()
-	late := switchoverBound + 100*time.Millisecond
+	age := switchoverBound + 100*time.Millisecond
 	g.take(&Datagram{Beat: &Beat{Entry: Entry{Host: "peer", Datagrams: g.socket.Address().String()}, Named: []NamedAge{
-		{Model: switchoverModel, Version: 2, Age: late, Known: true},
-		{Model: switchoverModel, Version: 3, Age: late - 2*time.Second, Known: true},
+		{Model: switchoverModel, Version: 2, Age: age, Known: true},
+		{Model: switchoverModel, Version: 3, Age: age - 2*time.Second, Known: true},
 	}}}, g.socket.Address())
 	found, beginBy := g.placeTypicalRequest(boottime.Now())
-	c.Assert(found, qt.IsFalse, qt.Commentf("sent to version 1, %v after the bound of version 2, to begin within %v",
-		late-switchoverBound, beginBy-boottime.Now()))
+	c.Assert(found, qt.IsFalse, qt.Commentf("sent to version 1, %v after the deadline of version 2, to start within %v",
+		age-switchoverBound, beginBy-boottime.Now()))
 }
 
-// A server that had not taken version 2 within its bound got nothing, as it must. When
-// version 3 was named 25 s later it got requests again, on version 1: a version named
-// more than two bounds ago is forgotten, and with it that its bound has passed.
+// A server that had not loaded version 2 by its deadline correctly got no requests. When version 3
+// was named 25 s later it got requests on version 1 again, because version 2 was pruned after
+// twice the bound and its passed deadline was no longer known.
 func TestPassedDeadlineIsKeptWhenNextVersionIsNamed(t *testing.T) {
 	c := qt.New(t)
 	g := newEntryWithServer(t, 1)
@@ -95,11 +94,11 @@
 	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 3}}, false, now)
 	g.mu.Unlock()
 	found, _ = g.placeTypicalRequest(now)
-	c.Assert(found, qt.IsFalse, qt.Commentf("sent to version 1, 14.7 s after the bound of version 2"))
+	c.Assert(found, qt.IsFalse, qt.Commentf("sent to version 1, 14.7 s after the deadline of version 2"))
 }
 
-// A lookup at a plain service was refused for good, as its caller named a model: a plain
-// server holds no version, and so seemed to have one that may not answer any more.
+// A request to a plain service that named a model was refused permanently. A plain server holds
+// no version, which looked like an outdated one.
 func TestPlainServiceIgnoresVersionDeadlines(t *testing.T) {
 	c := qt.New(t)
 	g := newEntryWithServer(t, 2)
@@ -116,8 +115,8 @@
 	c.Assert(a.choose(now).Found, qt.IsTrue)
 }
 
-// burstStore answers calls for changes as a store does that gets two of them, a desired
-// state and, a moment later, a version.
+// burstStore answers calls for changes like a store that gets two changes in quick succession,
+// a desired state and then a version.
 type burstStore struct {
 	Store
 	mu      sync.Mutex
@@ -161,23 +160,23 @@
 	return rows(head, `[{}]`), nil
 }
 
-// A version was named 20 ms after a desired state. Entries leave changes to gather for
-// 0.13 to 0.38 s after each, and heard of the version so much later; its bound counts from
-// when they hear, and 0.15 s are kept for that.
+// Entries waited 0.13 to 0.38 s after each change to batch further ones. A version named 20 ms after
+// a desired state was observed that much later. Its deadline counts from the observation, and
+// only 0.15 s are reserved for that delay.
 func TestVersionIsObservedInTimeAfterAnotherChange(t *testing.T) {
-	hearing := switchoverBound - switchover.DefaultConfig(switchoverBound).BeginBy(0)
+	maxDelay := switchoverBound - switchover.DefaultConfig(switchoverBound).BeginBy(0)
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		for seed := range uint64(10) {
 			store := &burstStore{head: 1, changed: make(chan struct{})}
 			g := &Gateway{crashes: newCrashes(), store: store, log: zap.NewNop(), feeds: newFeeds(), rng: rand.New(rand.NewPCG(seed, 1)), peers: newPeers(Entry{Host: "self"}, 0)}
 			g.listed.Store(true)
-			heard := make(chan time.Time, 1)
+			observed := make(chan time.Time, 1)
 			ctx, cancel := context.WithCancel(context.Background())
 			w := &watch{gateway: g, table: TableDesired, wait: followWait, apply: func(rows Rows, _ uint64, _, _ bool) error {
 				if rows.Revision == 3 {
 					select {
-					case heard <- time.Now():
+					case observed <- time.Now():
 					default:
 					}
 				}
@@ -187,12 +186,12 @@
 			time.Sleep(5 * time.Second)
 			store.change()
 			time.Sleep(20 * time.Millisecond)
-			named := time.Now()
+			namedAt := time.Now()
 			store.change()
-			late := (<-heard).Sub(named)
+			delay := (<-observed).Sub(namedAt)
 			cancel()
 			synctest.Wait()
-			c.Check(late <= hearing, qt.IsTrue, qt.Commentf("seed %d: heard %v after it was named", seed, late))
+			c.Check(delay <= maxDelay, qt.IsTrue, qt.Commentf("seed %d: observed %v after it was named", seed, delay))
 		}
 	})
 }
--- a/internal/transport/gateway/named.go
+++ b/internal/transport/gateway/named.go
@@ -13,16 +13,17 @@
 	"github.com/filbertlever/filbertlever/internal/transport/relay"
 )
 
-// named is the version of a model that operators want.
+// namedVersion is a version of a model that operators have named, which requests that it be served.
+// Its deadline is Config.Bound after the naming. From then on older versions may not answer.
 type named struct {
 	version uint64
-	// namedAt is when it was named, as far as known.
+	// namedAt is when the version was named, as far as that is known.
 	namedAt time.Duration
-	// estimated is true while since is not known from a process that saw it named.
+	// estimated is true until namedAt is known from a process that observed the naming.
 	estimated bool
 }
 
-// least returns the oldest version of a model that may answer now; 0 means any.
+// minVersion returns the oldest version of a model that may answer now, or 0 if any may.
 func (g *Gateway) least(model string, now time.Duration) uint64 {
 	if g.config.Bound <= 0 {
 		return 0
@@ -37,7 +38,7 @@
 	return least
 }
 
-// switchoverConfig returns the times of a model's changes of version.
+// switchoverConfig returns the time limits for changes of a model's version.
 func (g *Gateway) switchoverConfig(model string) switchover.Config {
 	config := switchover.DefaultConfig(g.config.Bound)
 	if state := g.state.Load(); state != nil {
@@ -46,19 +47,20 @@
 	return config
 }
 
-// takeBackAt reports whether a request that is placed so begins in time at a server
-// whose version may soon be too old, and when it is taken back if it has not; 0 if its
-// version has no such bound.
+// cancelDeadline returns when a request with this placement is cancelled if it has not started by
+// then, or 0 if no newer version limits it. It returns false if the request is not expected to
+// start in time.
 //
-// Guard: whatever goes to older weights has such a time, also what is sent long before the bound and
-// what resumes an answer; it may wait in the server's queue past the bound.
+// Every request to older weights has such a time, including those that are sent long before the
+// deadline of the newer version and those that resume an answer, because they may wait in the
+// server's queue past that deadline.
 func (g *Gateway) takeBackAt(model string, now time.Duration, p fleet.Placement) (time.Duration, bool) {
 	if g.config.Bound <= 0 || g.plain(p.Backend.Service) {
 		return 0, true
 	}
 	config := g.switchoverConfig(model)
 	config.Pass = time.Duration(float64(config.Pass) * max(p.Pace, 1))
-	at := time.Duration(0)
+	cancelAt := time.Duration(0)
 	for _, n := range g.named[model] {
 		if n.version <= p.Holds {
 			continue
@@ -66,14 +68,15 @@
 		if !config.MayBegin(n.namedAt, now, p.Predicted) {
 			return 0, false
 		}
-		if by := config.TakeBackAt(n.namedAt); at == 0 || by < at {
-			at = by
+		if limit := config.TakeBackAt(n.namedAt); cancelAt == 0 || limit < cancelAt {
+			cancelAt = limit
 		}
 	}
-	return at, true
+	return cancelAt, true
 }
 
-// setNamed takes versions that operators have named.
+// setNamed adds versions that operators have named. first is true if they come from the first read
+// of the store. The caller holds the lock.
 func (g *Gateway) setNamed(versions []catalog.NamedVersion, first bool, now time.Duration) {
 	for _, v := range versions {
 		if v.Version <= g.newestVersion(v.Model) {
@@ -81,8 +84,8 @@
 		}
 		n := named{version: v.Version, namedAt: now}
 		if first {
-			// Named before this process started, it is not known when: the bound
-			// may have passed already.
+			// The version was named at an unknown time before this process started,
+			// so its deadline may have passed already.
 			n.namedAt, n.estimated = now-g.config.Bound, true
 		}
 		g.addNamed(v.Model, n, now)
@@ -96,7 +99,7 @@
 	}
 }
 
-// addNamed takes a version that is not known yet, in the order of versions.
+// addNamed adds a version that is not known yet, and keeps the list in the order of versions.
 func (g *Gateway) addNamed(model string, n named, now time.Duration) {
 	list := append(slices.Clone(g.named[model]), n)
 	slices.SortFunc(list, func(a, b named) int { return cmp.Compare(a.version, b.version) })
@@ -109,7 +112,7 @@
 	g.updateRelayPlan(model)
 }
 
-// updateRelayPlan tells the relay which versions of a model are wanted; the caller holds the lock.
+// updateRelayPlan passes the named versions of a model to the relay. The caller holds the lock.
 func (g *Gateway) updateRelayPlan(model string) {
 	plan := relay.Plan{Bounds: g.switchoverConfig(model), OriginRate: g.originRate()}
 	for _, n := range g.named[model] {
@@ -118,7 +121,7 @@
 	g.relay.SetPlan(model, plan)
 }
 
-// originRate is the rate of the origin's link in bytes a second; 0 if unknown.
+// originRate returns the rate of the origin's link in bytes per second, or 0 if it is unknown.
 func (g *Gateway) originRate() float64 {
 	state := g.state.Load()
 	if state == nil {
@@ -128,23 +131,23 @@
 	return origin.OriginRate
 }
 
-// supersedeOlder tells the relay when the versions before one are of no more use.
-func (g *Gateway) supersedeOlder(v catalog.NamedVersion, since time.Duration) {
+// supersedeOlder passes to the relay when the versions before a named version become useless.
+func (g *Gateway) supersedeOlder(v catalog.NamedVersion, namedAt time.Duration) {
 	if g.config.Bound <= 0 {
 		return
 	}
 	for _, older := range g.named[v.Model] {
 		if older.version < v.Version {
-			g.relay.Supersede(catalog.NamedVersion{Model: v.Model, Version: older.version}, g.switchoverConfig(v.Model).AnswersUntil(since))
+			g.relay.Supersede(catalog.NamedVersion{Model: v.Model, Version: older.version}, g.switchoverConfig(v.Model).AnswersUntil(namedAt))
 		}
 	}
 }
 
-// pruneSuperseded returns the named versions that still matter: all but those that a newer one,
-// which is the only one to answer by now, stands for.
+// pruneSuperseded removes the versions that are older than one whose deadline has passed.
 //
-// Guard: a version was forgotten two bounds after its naming when the next one was named,
-// and with it that its bound had passed; servers that had never taken it got requests again.
+// Versions must not be pruned by their age alone. When a version was pruned, twice Config.Bound
+// after its naming, as the next one was named, the entry no longer knew that its deadline had passed, and
+// servers that had never loaded it got requests again.
 func pruneSuperseded(list []named, bound, now time.Duration) []named {
 	for i := len(list) - 1; i > 0; i-- {
 		if bound > 0 && !list[i].estimated && now-list[i].namedAt >= bound {
@@ -154,6 +157,7 @@
 	return list
 }
 
+// newestVersion returns the newest named version of a model, or 0.
 func (g *Gateway) newestVersion(model string) uint64 {
 	list := g.named[model]
 	if len(list) == 0 {
@@ -162,6 +166,7 @@
 	return list[len(list)-1].version
 }
 
+// namedVersions returns the named versions of a model from the oldest to the newest.
 func (g *Gateway) namedVersions(model string) []uint64 {
 	var versions []uint64
 	for _, n := range g.named[model] {
@@ -170,13 +175,13 @@
 	return versions
 }
 
-// heardNamed takes a peer's report on when a version was named.
+// mergeNamedAge merges a peer's report of when a version was named. The caller holds the lock.
 //
-// Guard: a host that was cut off hears of a version late; counted from then, the bound would be kept
-// late. The earliest report counts.
+// The earliest report counts. A host that was disconnected observes a version late, and a deadline
+// counted from then would be too late.
 //
-// Guard: an entry that starts reads only the newest version from the store. Of one that was named
-// shortly before it, whose bound comes first, only its peers know.
+// An entry that starts reads only the newest version from the store. Only its peers know of a version
+// that was named shortly before the newest one and has an earlier deadline.
 func (g *Gateway) heardNamed(model string, version uint64, age, now time.Duration) {
 	list := g.named[model]
 	i := slices.IndexFunc(list, func(n named) bool { return n.version == version })
@@ -190,7 +195,7 @@
 	}
 }
 
-// isSuperseded reports whether a newer version than one is the only one to answer by now.
+// isSuperseded reports whether the deadline of a newer version than this one has passed.
 func (g *Gateway) isSuperseded(list []named, version uint64, now time.Duration) bool {
 	for _, n := range list {
 		if n.version > version && !n.estimated && g.config.Bound > 0 && now-n.namedAt >= g.config.Bound {
@@ -200,6 +205,6 @@
 	return false
 }
 
-// ageTolerance is the difference between two processes' words that is only the time
-// on their way, and not worth telling anybody of.
+// ageTolerance is the largest difference between two reported ages that is attributed to
+// propagation delay and not reported further.
 const ageTolerance = 50 * time.Millisecond
--- a/internal/transport/gateway/older_test.go
+++ b/internal/transport/gateway/switchover_test.go
@@ -19,33 +19,33 @@
 	switchoverModel   = "drafter"
 	switchoverService = "models"
 	switchoverBackend = "server-1"
-	// switchoverBound is the bound of a version on the largest installation that was met.
+	// switchoverBound is the bound for switching to a version on the largest known installation.
 	switchoverBound = 10300 * time.Millisecond
-	// switchoverNamedAt is when the version was named that the server lacks.
+	// switchoverNamedAt is when the version was named that the server does not hold.
 	switchoverNamedAt = 20 * time.Second
-	// engineQueueSize is how many requests an engine queues beyond its slots.
+	// engineQueueSize is the number of requests that an engine queues beyond its slots.
 	engineQueueSize = 24
 )
 
-// simulatedRequest is one attempt at the modelled engine.
+// simulatedRequest is one attempt at the simulated engine.
 type simulatedRequest struct {
 	prompt int
-	// arrivesAt is when the server has the request, and closes when it learns that the
-	// entry has closed the connection; 0 if it never does.
+	// arrivesAt is when the server receives the request, and closedAt when it observes that the
+	// entry has closed the connection, or 0 if that never happens.
 	arrivesAt, closedAt time.Duration
 	startedAt           time.Duration
 	promptRead          int
 }
 
-// simulatedEngine works in passes as the engines do: the prompts of those who wait are read
-// in order, a pass that has begun is finished, and whoever has been read whole begins
-// at its end. It drops who has closed, but only between two passes.
+// simulatedEngine computes in passes as the engines do. A pass processes the prompts of waiting
+// requests in order and is always completed. A request whose prompt has been processed starts at the
+// end of the pass. Requests with a closed connection are dropped, but only between two passes.
 type simulatedEngine struct {
 	*catalog.Engine
 	requests []*simulatedRequest
 }
 
-// run lets the engine work until a time.
+// run simulates the engine until a time.
 func (m *simulatedEngine) run(until time.Duration) {
 	answer := time.Duration(m.UsualAnswer) * m.Step
 	for now := switchoverNamedAt; now < until; {
@@ -60,9 +60,9 @@
 			}
 		}
 		ready = ready[:min(len(ready), max(m.Slots-running, 0))]
-		left, tokens := m.Stride*m.Chunk, 0
+		capacity, tokens := m.Stride*m.Chunk, 0
 		for _, r := range ready {
-			part := min(r.prompt-r.promptRead, left-tokens)
+			part := min(r.prompt-r.promptRead, capacity-tokens)
 			r.promptRead += part
 			tokens += part
 		}
@@ -75,7 +75,7 @@
 	}
 }
 
-// waitingRequests is how many requests the engine has at a time that have not begun.
+// waitingRequests returns the number of requests at the engine that have not started at a time.
 func (m *simulatedEngine) waitingRequests(now time.Duration) int {
 	n := 0
 	for _, r := range m.requests {
@@ -86,15 +86,15 @@
 	return n
 }
 
-// newTypicalEngine is an engine as the installations have it: a pass that reads all it can
-// takes half a second.
+// newTypicalEngine returns an engine as the installations have it. A pass with the maximum number of
+// prompt tokens takes half a second.
 func newTypicalEngine() *catalog.Engine {
 	return &catalog.Engine{Slots: 12, Step: 7 * time.Millisecond, Stride: 7, PromptToken: 32680 * time.Nanosecond, Chunk: 2048,
 		UsualPrompt: 965, UsualAnswer: 121, Models: []string{switchoverModel}}
 }
 
-// newSwitchoverEntry is an entry that knows one server, which holds version 2 of the versions 2
-// and 3 that are named.
+// newSwitchoverEntry returns an entry with one server, which holds version 2. The versions 2 and 3 are
+// named.
 func newSwitchoverEntry(engine *catalog.Engine, seed uint64) *Gateway {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	config := fleet.DefaultConfig()
@@ -110,7 +110,7 @@
 	return g
 }
 
-// newSwitchoverAttempt is a request of a caller, or an answer under way that goes on.
+// newSwitchoverAttempt returns an attempt for a caller's new request, or for an answer that resumes.
 func newSwitchoverAttempt(g *Gateway, prompt int, resumed bool) *attempts {
 	route := &catalog.Route{Kind: catalog.KindStream, Resumable: true, Attempts: 2, Goal: 400 * time.Millisecond, Pause: 300 * time.Millisecond}
 	a := &attempts{exchange: &exchange{gateway: g, route: route, service: switchoverService,
@@ -121,27 +121,27 @@
 	return a
 }
 
-// send places a request now and puts it on its way. It returns nil if it is not sent.
-func (m *simulatedEngine) send(g *Gateway, now time.Duration, prompt int, resumed bool, travel time.Duration) *simulatedRequest {
+// send places a request and sends it to the engine. It returns nil if it is not sent.
+func (m *simulatedEngine) send(g *Gateway, now time.Duration, prompt int, resumed bool, delay time.Duration) *simulatedRequest {
 	a := newSwitchoverAttempt(g, prompt, resumed)
 	placement := a.choose(now)
 	if !placement.Found {
 		return nil
 	}
 	if m.waitingRequests(now) >= m.Slots+engineQueueSize {
-		// Refused at once, and not run.
+		// The engine refuses the request at once and does not run it.
 		g.fleet.Ended(placement.Backend.ID)
 		return nil
 	}
-	r := &simulatedRequest{prompt: prompt, arrivesAt: now + travel}
+	r := &simulatedRequest{prompt: prompt, arrivesAt: now + delay}
 	if a.beginBy != 0 {
-		r.closedAt = a.beginBy + travel
+		r.closedAt = a.beginBy + delay
 	}
 	m.requests = append(m.requests, r)
 	return r
 }
 
-// latestStart is when the last request began.
+// latestStart returns when the last request started.
 func (m *simulatedEngine) latestStart() time.Duration {
 	last := time.Duration(0)
 	for _, r := range m.requests {
@@ -150,11 +150,9 @@
 	return last
 }
 
-// Requests began on old weights 50 to 190 ms after their bound, some with a whole answer.
-// The first server that had the version in force got 83 requests within 80 ms, from
-// all entries and from answers that had broken off elsewhere, 1.9 s before the bound of
-// the next version. They waited in its queue for up to 1.75 s, and as they had been sent
-// more than 1.5 s ahead, nobody took them back.
+// The first server with a version got 83 requests within 80 ms, new and resumed ones, 1.9 s before the
+// next version's deadline. They queued for up to 1.75 s, and as requests sent more than 1.5 s ahead were
+// not cancelled, they started on old weights 50 to 190 ms after it, and some ran to completion.
 func TestRequestsSentLongBeforeDeadlineAreCancelled(t *testing.T) {
 	c := qt.New(t)
 	for _, resumed := range []bool{false, true} {
@@ -168,29 +166,28 @@
 		}
 		c.Assert(len(engine.requests) > engine.Slots, qt.IsTrue)
 		engine.run(switchoverNamedAt + 2*switchoverBound)
-		c.Check(engine.latestStart() <= switchoverNamedAt+switchoverBound, qt.IsTrue, qt.Commentf("resumed %v: the last began %v after the bound", resumed, engine.latestStart()-switchoverNamedAt-switchoverBound))
+		c.Check(engine.latestStart() <= switchoverNamedAt+switchoverBound, qt.IsTrue, qt.Commentf("resumed %v: the last request started %v after the deadline", resumed, engine.latestStart()-switchoverNamedAt-switchoverBound))
 	}
 }
 
-// Callers were told "may have run" 140 ms before the bound, and 50 to 80 ms after it their
-// requests began on old weights. Their entry had closed the connection at the last moment.
-// The close came 100 ms later, and a pass that had begun to read their prompts was
-// finished, which takes up to half a second.
+// Entries closed connections 140 ms before the deadline and answered that the requests may have run. They
+// started on old weights 50 to 80 ms after it: the close arrived 100 ms later, and the pass that was
+// processing their prompts, which takes up to half a second, was completed.
 func TestRequestIsCancelledBeforeItsLastPassStarts(t *testing.T) {
 	c := qt.New(t)
-	bound := switchoverNamedAt + switchoverBound
+	deadline := switchoverNamedAt + switchoverBound
 	for ahead := 200 * time.Millisecond; ahead < 1500*time.Millisecond; ahead += 10 * time.Millisecond {
 		engine := &simulatedEngine{Engine: newTypicalEngine()}
 		for entry := range 12 {
-			engine.send(newSwitchoverEntry(engine.Engine, uint64(entry)), bound-ahead, 1200, false, 100*time.Millisecond)
+			engine.send(newSwitchoverEntry(engine.Engine, uint64(entry)), deadline-ahead, 1200, false, 100*time.Millisecond)
 		}
-		engine.run(bound + 2*time.Second)
-		c.Check(engine.latestStart() <= bound, qt.IsTrue, qt.Commentf("sent %v ahead: the last began %v after the bound", ahead, engine.latestStart()-bound))
+		engine.run(deadline + 2*time.Second)
+		c.Check(engine.latestStart() <= deadline, qt.IsTrue, qt.Commentf("sent %v ahead: the last request started %v after the deadline", ahead, engine.latestStart()-deadline))
 	}
 }
 
-// The same for any load, prompts, engines and ways that take up to a fifth of a second,
-// as those did that lay behind pieces of weights on a server's link.
+// The same for any load, prompts, engines, and propagation delays of up to a fifth of a second, which
+// occur when transfers of weights fill a server's link.
 func TestNoRequestStartsOnOldWeightsAfterDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine := newTypicalEngine()
@@ -198,27 +195,27 @@
 		engine.Stride = rapid.IntRange(1, 9).Draw(t, "stride")
 		engine.Chunk = rapid.SampledFrom([]int{256, 512, 1024, 2048}).Draw(t, "chunk")
 		m := &simulatedEngine{Engine: engine}
-		bound := switchoverNamedAt + switchoverBound
+		deadline := switchoverNamedAt + switchoverBound
 		var entries []*Gateway
 		for entry := range rapid.SampledFrom([]int{1, 4, 12, 24}).Draw(t, "entries") {
 			entries = append(entries, newSwitchoverEntry(engine, uint64(entry)))
 		}
 		aheads := rapid.SliceOfN(rapid.SampledFrom([]int{3000, 2000, 1700, 1600, 1400, 1200, 1000, 800, 700, 600, 400, 200}), 1, 3).Draw(t, "aheads")
 		slices.SortFunc(aheads, func(a, b int) int { return b - a })
-		travel := time.Duration(rapid.SampledFrom([]int{1, 20, 60, 100, 200}).Draw(t, "travel")) * time.Millisecond
+		delay := time.Duration(rapid.SampledFrom([]int{1, 20, 60, 100, 200}).Draw(t, "travel")) * time.Millisecond
 		for burst, ahead := range aheads {
 			label := strconv.Itoa(burst)
 			each := rapid.IntRange(1, 6).Draw(t, "each"+label)
 			prompt := rapid.SampledFrom([]int{40, 700, 1300, 2000, 3880}).Draw(t, "prompt"+label)
 			resumed := rapid.Bool().Draw(t, "resumed"+label)
 			for i := range each * len(entries) {
-				now := bound - time.Duration(ahead-i)*time.Millisecond
-				m.send(entries[i%len(entries)], now, prompt, resumed, travel)
+				now := deadline - time.Duration(ahead-i)*time.Millisecond
+				m.send(entries[i%len(entries)], now, prompt, resumed, delay)
 			}
 		}
-		m.run(bound + 6*time.Second)
-		if last := m.latestStart(); last > bound {
-			t.Fatalf("a request began %v after the bound", last-bound)
+		m.run(deadline + 6*time.Second)
+		if last := m.latestStart(); last > deadline {
+			t.Fatalf("a request started %v after the deadline", last-deadline)
 		}
 	})
 }
--- a/internal/transport/gateway/versions.go
+++ b/internal/transport/gateway/versions.go
@@ -10,20 +10,21 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Times of what the platform's store keeps on named versions.
+// Limits of the calls that store and restore when versions were named.
 const (
-	// restoreDelay is how long an entry that starts waits for a heartbeat that says when a version
-	// was named, before it asks the store.
+	// restoreDelay is how long a starting entry waits for a heartbeat with the naming time of a
+	// version before it asks the store.
 	restoreDelay = 100 * time.Millisecond
-	// maxVersionsAttempts bounds the calls that fail, with pauses from retryFirst on.
+	// maxVersionsAttempts limits the attempts of a failing call. The pause between them grows from
+	// retryFirst on.
 	maxVersionsAttempts = 20
 )
 
-// runVersions writes to the store when versions were named, and reads it for those that were named
-// before this entry started.
+// runVersions writes the naming times of versions to the store, and reads those of versions that
+// were named before this entry started.
 //
-// Guard: after all processes ended within a version's bound, servers with an older version got no
-// requests until they held the newest.
+// Without the stored times, servers with an older version got no requests until they held the newest
+// one, if all processes ended before the deadline of the newest version.
 func (g *Gateway) runVersions(ctx context.Context) {
 	for {
 		select {
@@ -39,7 +40,7 @@
 	}
 }
 
-// retry makes a call until it succeeds, or for versionsTries.
+// retry repeats a call with backoff until it succeeds, up to maxVersionsAttempts times.
 func (g *Gateway) retry(ctx context.Context, call func(context.Context) error) {
 	pause := retryFirst
 	for range maxVersionsAttempts {
@@ -47,13 +48,13 @@
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		g.log.Warn("named versions neither kept nor read", zap.Error(err))
+		g.log.Warn("naming times of versions not stored or not restored", zap.Error(err))
 		g.sleep(ctx, pause)
 		pause = min(2*pause, retryMost)
 	}
 }
 
-// hasUnknownAges reports whether it is not known when some version was named.
+// hasUnknownAges reports whether the naming time of any version is unknown.
 func (g *Gateway) hasUnknownAges() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -65,7 +66,7 @@
 	return false
 }
 
-// saveVersions writes when versions were named, if this entry reads the store for its region.
+// saveVersions writes the known naming times to the store, if this entry is its region's reader.
 func (g *Gateway) saveVersions(ctx context.Context) error {
 	now := boottime.Now()
 	if !g.isReader(now) {
@@ -80,12 +81,12 @@
 	return g.store.KeepVersions(ctx, g.config.Self.Host, known)
 }
 
-// restoreVersions reads when versions were named, unless it is known by now.
+// restoreVersions reads the naming times from the store, unless all are known by now.
 func (g *Gateway) restoreVersions(ctx context.Context) error {
 	if !g.hasUnknownAges() {
 		return nil
 	}
-	sent := boottime.Now()
+	sentAt := boottime.Now()
 	ages, bad, err := g.store.Versions(ctx)
 	if err != nil {
 		return err
@@ -94,11 +95,11 @@
 	defer g.mu.Unlock()
 	g.noteBad(bad)
 	for _, n := range ages {
-		// A row of another program may name a version that operators have not.
+		// A row of another program may contain a version that operators have not named.
 		if n.Version <= g.newestVersion(n.Model) {
-			g.heardNamed(n.Model, n.Version, n.Age, sent)
+			g.heardNamed(n.Model, n.Version, n.Age, sentAt)
 		}
 	}
-	g.log.Info("named versions read", zap.Int("Versions", len(ages)))
+	g.log.Info("naming times of versions restored", zap.Int("Versions", len(ages)))
 	return nil
 }
--- a/internal/transport/gateway/views.go
+++ b/internal/transport/gateway/views.go
@@ -10,21 +10,23 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// View is what an agent needs to know.
+// View is what an entry reports to an agent about the installation.
 type View struct {
 	Entries []Entry
-	// Named are the versions wanted of the models of the agent's service, the
-	// oldest of each model first.
+	// Named are the named versions of the models of the agent's service, for each model
+	// from the oldest to the newest.
 	Named []NamedAge
-	// Pass is the longest pass of the engines of the agent's service.
-	Pass time.Duration
-	// Place is the server's place among the Count servers of its service.
-	Place int
-	Count int
-	// OriginRate is the rate of the origin's link in bytes a second; 0 if unknown.
+	// LongestPass is the longest time that an engine of the agent's service computes without
+	// checking for cancelled requests.
+	Pass time.Duration `json:"Pass"`
+	// ServerIndex is the server's index among the ServerCount servers of its service.
+	Place int `json:"Place"`
+	Count int `json:"Count"`
+	// OriginRate is the rate of the origin's link in bytes per second, or 0 if it is unknown.
 	OriginRate float64
 }
 
+// namedAges returns the ages of all named versions. The caller holds the lock.
 func (g *Gateway) namedAges(now time.Duration) []NamedAge {
 	var ages []NamedAge
 	for model := range g.named {
@@ -33,6 +35,7 @@
 	return ages
 }
 
+// namedAgesOf returns the ages of the named versions of a model. The caller holds the lock.
 func (g *Gateway) namedAgesOf(model string, now time.Duration) []NamedAge {
 	var ages []NamedAge
 	for _, n := range g.named[model] {
@@ -41,10 +44,10 @@
 	return ages
 }
 
-// PathView is where agents read an entry's View.
+// PathView is the path at which agents read an entry's View.
 const PathView = "/view"
 
-// PeerRoutes adds the calls of other processes.
+// PeerRoutes registers the handlers for calls of other entries and of agents.
 func (g *Gateway) PeerRoutes(mux *http.ServeMux) {
 	g.relay.Routes(mux)
 	mux.HandleFunc("GET "+PathView, g.serveView)
@@ -63,9 +66,11 @@
 	_ = json.NewEncoder(w).Encode(view)
 }
 
-// initialVersion is the version of a model that nobody has named another of.
+// initialVersion is the version of a model for which no version has been named.
 const initialVersion = 1
 
+// view returns the view of the agent at a server's address. It returns false while no desired
+// state is known.
 func (g *Gateway) view(service, address string) (View, bool) {
 	state := g.state.Load()
 	if state == nil {
@@ -93,15 +98,16 @@
 	return view, true
 }
 
-// news reports whether this entry knows more of the versions of a server's models than
-// the server's agent does; the caller holds the lock.
+// isAgentOutdated reports whether this entry has versions of a server's models, or naming times
+// of them, that are missing from the report of the server's agent. The caller holds the lock.
 //
-// Guard: an agent that hears of a version late changes its server after the bound. Each entry looks
-// at what the agent knows, wherever it has it from. Counts of an entry's own changes mean nothing to
-// an agent that asked another one, which would read its view again with each report.
+// An agent that observes a version late changes its server after the deadline. Each entry therefore
+// compares the versions in the agent's report, whichever entry they came from. A change counter of
+// an entry would mean nothing to an agent that asked another entry, and the agent would read its view
+// again with each report.
 func (g *Gateway) news(report *LoadReport, now time.Duration) bool {
 	if report.Named == nil {
-		// It has no view yet, and asks for one anyway.
+		// The agent has no view yet and asks for one in any case.
 		return false
 	}
 	for _, model := range g.modelsAt(report.Load.Address) {
@@ -114,7 +120,7 @@
 	return false
 }
 
-// modelsAt returns the models of the service of the server at an address; the caller
+// modelsAt returns the models of the service of the server at an address. The caller
 // holds the lock.
 func (g *Gateway) modelsAt(address string) []string {
 	state, service := g.state.Load(), g.fleet.ServiceAt(address)
@@ -124,19 +130,20 @@
 	return state.Services[service].Engine.Models
 }
 
-// isMissingFrom reports whether a version, or how long ago it was named, is not among what is told.
-func (g *Gateway) isMissingFrom(model string, n named, told []NamedAge, now time.Duration) bool {
+// isMissingFrom reports whether a named version is missing from a report, or is there with a
+// later naming time.
+func (g *Gateway) isMissingFrom(model string, n named, reported []NamedAge, now time.Duration) bool {
 	newest := uint64(0)
-	for _, t := range told {
-		if t.Model != model {
+	for _, r := range reported {
+		if r.Model != model {
 			continue
 		}
-		newest = max(newest, t.Version)
-		if t.Version == n.version {
-			return !n.estimated && (!t.Known || now-n.namedAt > t.Age+ageTolerance)
+		newest = max(newest, r.Version)
+		if r.Version == n.version {
+			return !n.estimated && (!r.Known || now-n.namedAt > r.Age+ageTolerance)
 		}
 	}
-	// One that a newer one has taken the place of by now is forgotten, at some entries
-	// sooner than at others.
+	// A version that a newer one has superseded is pruned, by some entries sooner than by
+	// others.
 	return n.version > newest || now-n.namedAt < g.config.Bound
 }
