--- a/internal/transport/gateway/badrows.go
+++ b/internal/transport/gateway/badrows.go
@@ -12,7 +12,7 @@
 )
 
 // maxTrackedBadRows limits the bad rows whose reports are tracked. There may be 22,000 servers with a
-// row each. If a program damages more rows than the limit, some of them are reported again.
+// row each. If a program damages more rows than the limit, they are reported again.
 const maxTrackedBadRows = 4096
 
 // badRowTracker tracks invalid rows of the store. The zero value is empty. The gateway's lock
@@ -118,7 +118,7 @@
 // hasKnownBoot reports whether a row can be attributed to one boot of its server.
 //
 // A row without a boot, from another program or an earlier process, would be attributed to the
-// known boot: requests for the versions that one boot held would be sent to the next.
+// known boot. Requests for the versions that one boot held would then be sent to the next.
 func (b *badRows) hasKnownBoot(backend catalog.Backend) bool {
 	return backend.Boot != 0 || !b.bootsReported
 }
--- a/internal/transport/gateway/boots_test.go
+++ b/internal/transport/gateway/boots_test.go
@@ -34,6 +34,7 @@
 	return g, logs
 }
 
+// bootRow returns the row of the server i-1 at a boot and a revision.
 func bootRow(boot catalog.Boot, revision uint64) catalog.Backend {
 	return catalog.Backend{ID: "i-1", Service: "orders", Address: "10.0.0.1:1", Slots: 4, Boot: boot, Revision: revision,
 		Models: []catalog.Model{{Name: "drafter", Version: revision}}}
--- a/internal/transport/gateway/deadline_test.go
+++ b/internal/transport/gateway/deadline_test.go
@@ -50,7 +50,7 @@
 }
 
 // placeTypicalRequest places a new request of a typical size.
-func (g *Gateway) placeTypicalRequest(now time.Duration) (found bool, beginBy time.Duration) {
+func (g *Gateway) placeTypicalRequest(now time.Duration) (found bool, cancelAt time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	a := newSwitchoverAttempt(g, 900, false)
@@ -73,9 +73,9 @@
 		{Model: switchoverModel, Version: 2, Age: age, Known: true},
 		{Model: switchoverModel, Version: 3, Age: age - 2*time.Second, Known: true},
 	}}}, g.socket.Address())
-	found, beginBy := g.placeTypicalRequest(boottime.Now())
+	found, cancelAt := g.placeTypicalRequest(boottime.Now())
 	c.Assert(found, qt.IsFalse, qt.Commentf("sent to version 1, %v after the deadline of version 2, to start within %v",
-		age-switchoverBound, beginBy-boottime.Now()))
+		age-switchoverBound, cancelAt-boottime.Now()))
 }
 
 // A server that had not loaded version 2 by its deadline correctly got no requests. When version 3
--- a/internal/transport/gateway/feeds.go
+++ b/internal/transport/gateway/feeds.go
@@ -51,8 +51,8 @@
 
 // feedLog holds the recent changes of one table for followers.
 type feedLog struct {
-	// snapshot is the whole table as of startRevision. Its revision is 0 if the log no
-	// longer has it; the log then serves changes only.
+	// snapshot is the whole table as of startRevision. Its revision is 0 if the log no longer
+	// has it and serves changes only.
 	snapshot rowBatch
 	batches  []rowBatch
 	// batchBytes is the uncompressed size of all batches, which are sent together.
@@ -242,8 +242,8 @@
 // entries before it tries again.
 const lostFor = 3 * time.Second
 
-// markStoreUnreachable records that the store refuses to serve this entry, and sends a
-// heartbeat with that to the other entries unless they have been notified already.
+// markStoreUnreachable records that the store refuses to serve this entry. If that is new, it sends
+// a heartbeat to the other entries.
 func (g *Gateway) loseStore(table Table) {
 	now := boottime.Now()
 	notified := now < time.Duration(g.lostUntil.Swap(int64(now+lostFor)))
@@ -328,18 +328,18 @@
 }
 
 // fetchSnapshot asks the entry that reads the store for this region for a whole table. If
-// goneRevision is not 0, the store has dropped its history from that revision, and the snapshot
-// must be newer. It returns false if this entry must read the table from the store itself.
+// goneRevision is not 0, the store can no longer return the changes since that revision, and the
+// snapshot must be newer. It returns false if this entry must read the table from the store itself.
 //
 // After a power failure all entries of a region would read the same tables over one slow link
 // and time out. Therefore one entry of each region reads them and the others fetch them from it.
 //
-// If that takes long, as with many servers, the other entries would all give up at the same time
+// If that takes long, as with many servers, the other entries would all time out at the same time
 // and overload the link permanently. While the reading entry answers that it has no rows yet, they
 // time out one after the other instead.
 //
 // After the store dropped its history, a reader that asked its own followers would get no newer
-// table. The reader therefore reads the store. The others wait for that, all of them only for
+// table. The reader therefore reads the store. The other entries wait for that, but each only for
 // a short time, because their views become outdated.
 func (g *Gateway) wholeFromReader(ctx context.Context, table Table, goneRevision uint64) (Rows, time.Duration, bool) {
 	if table == TableEntries || goneRevision > 0 && g.isReader(boottime.Now()) {
--- a/internal/transport/gateway/feeds_test.go
+++ b/internal/transport/gateway/feeds_test.go
@@ -221,7 +221,7 @@
 	c.Assert(err, qt.IsNotNil)
 }
 
-// Measures the work of a reader, once for each desired state of 1,400 routes.
+// BenchmarkCompressLargeState measures what a reader does once for a desired state of 1,400 routes.
 func BenchmarkCompressLargeState(b *testing.B) {
 	large := largeStateRows(1400)
 	b.SetBytes(int64(len(large)))
@@ -231,7 +231,7 @@
 	}
 }
 
-// Measures the work of each follower for such a desired state.
+// BenchmarkDecompressLargeState measures what each follower does for such a desired state.
 func BenchmarkDecompressLargeState(b *testing.B) {
 	compressed := pack(largeStateRows(1400))
 	b.ReportAllocs()
--- a/internal/transport/gateway/named.go
+++ b/internal/transport/gateway/named.go
@@ -29,13 +29,13 @@
 		return 0
 	}
 	strict := g.switchoverConfig(model).Strict()
-	least := uint64(0)
+	minimum := uint64(0)
 	for _, n := range g.named[model] {
 		if now-n.namedAt >= strict {
-			least = max(least, n.version)
+			minimum = max(minimum, n.version)
 		}
 	}
-	return least
+	return minimum
 }
 
 // switchoverConfig returns the time limits for changes of a model's version.
@@ -145,9 +145,9 @@
 
 // pruneSuperseded removes the versions that are older than one whose deadline has passed.
 //
-// Versions must not be pruned by their age alone. When a version was pruned, twice Config.Bound
-// after its naming, as the next one was named, the entry no longer knew that its deadline had passed, and
-// servers that had never loaded it got requests again.
+// A version must not be pruned because of its age alone. Versions used to be pruned twice Config.Bound
+// after their naming when the next one was named. The entry then no longer knew that the deadline
+// had passed, and servers that had never loaded the version got requests again.
 func pruneSuperseded(list []named, bound, now time.Duration) []named {
 	for i := len(list) - 1; i > 0; i-- {
 		if bound > 0 && !list[i].estimated && now-list[i].namedAt >= bound {
--- a/internal/transport/gateway/views.go
+++ b/internal/transport/gateway/views.go
@@ -19,7 +19,8 @@
 	// LongestPass is the longest time that an engine of the agent's service computes without
 	// checking for cancelled requests.
 	Pass time.Duration `json:"Pass"`
-	// ServerIndex is the server's index among the ServerCount servers of its service.
+	// ServerIndex is the server's index among the ServerCount servers of its service, or 0 if the
+	// entry does not know the server.
 	Place int `json:"Place"`
 	Count int `json:"Count"`
 	// OriginRate is the rate of the origin's link in bytes per second, or 0 if it is unknown.
