--- a/internal/transport/gateway/attempts.go
+++ b/internal/transport/gateway/attempts.go
@@ -18,49 +18,52 @@
 )
 
 const (
-	// wholeBytes is how much of an answer is read before any of it is sent on,
-	// so that one that breaks off can be had elsewhere.
-	wholeBytes = 256 << 10
+	// maxBufferedResponse is how much of a response is read before any of it is forwarded. A response
+	// that is truncated before that can still be requested from another server.
+	maxBufferedResponse = 256 << 10
 )
 
-// attempts is the sending of one request until it has its final answer.
+// attempts sends one request to backend servers, one after the other, until it has a final
+// response.
 type attempts struct {
 	*exchange
 	forward.Attempts
 	tried []catalog.Backend
-	// stream is the state of an answer made of events; nil before its head.
+	// stream is the state of a streamed response; nil before its head has been received.
 	stream *eventStream
-	// last is the placement of the attempt under way, made at placedAt.
+	// placement is the server chosen for the current attempt, at placedAt.
 	last     fleet.Placement
 	placedAt time.Duration
-	// beginBy is when the attempt under way is taken back if it has not begun, as it is
-	// made by a version that soon may not answer any more; 0 if there is no such time.
+	// startDeadline is when the current attempt is cancelled if its response has not started,
+	// because its server holds a version that soon may not response any more; 0 if there is no
+	// deadline.
 	beginBy    time.Duration
-	beginTimer *time.Timer
-	// takenBack says whether the attempt under way was ended for that, or for a verdict on
-	// the request.
-	takenBack recall
-	// withdraw ends the attempt under way; nil if there is none. The gateway's lock guards it.
-	withdraw func()
+	startTimer *time.Timer
+	// phase tells whether the response of the current attempt has started, or whether the attempt
+	// was cancelled because of startDeadline or a quarantine decision.
+	takenBack attemptPhase
+	// cancelAttempt cancels the current attempt; nil if there is none. It is guarded by the
+	// gateway's mu.
+	cancelAttempt func()
 }
 
-// run sends the request until it has a final answer.
+// run sends the request until it has a final response.
 func (x *exchange) run() {
 	a := &attempts{exchange: x, Attempts: forward.Attempts{
 		Class: forward.Class{Repeatable: x.route.Repeatable(), Servers: x.route.Attempts}}}
 	x.gateway.track(a)
 	defer x.gateway.untrack(a)
 	for first := true; ; first = false {
-		if p := a.kept(); p != nil {
-			a.giveUp(p)
+		if response := a.kept(); response != nil {
+			a.fail(response)
 			return
 		}
-		placement, p := a.place(first)
-		if p != nil {
-			placement, p = a.placeLater(placement, p)
+		placement, response := a.place(first)
+		if response != nil {
+			placement, response = a.placeAfterWait(placement, response)
 		}
-		if p != nil {
-			a.giveUp(p)
+		if response != nil {
+			a.fail(response)
 			return
 		}
 		a.last, a.placedAt = placement, boottime.Now()
@@ -69,21 +72,21 @@
 		if end == 0 {
 			return
 		}
-		if !a.next(end, reply) {
+		if !a.decideNext(end, reply) {
 			return
 		}
 	}
 }
 
-// try sends the request to one server. It returns 0 if the caller has its final
-// answer, else how the attempt ended, and the server's failure if it gave one.
+// try sends the request to one server. It returns 0 if the caller has its final response, otherwise
+// how the attempt ended and, if the server answered with a failure, that response.
 func (a *attempts) try(placement fleet.Placement) (forward.End, *Reply) {
 	g := a.gateway
 	id := placement.Backend.ID
 	defer func() {
 		g.mu.Lock()
 		g.fleet.EndedAt(placement.Backend)
-		a.withdraw = nil
+		a.cancelAttempt = nil
 		g.mu.Unlock()
 	}()
 	ctx, cancel := context.WithCancel(a.ctx)
@@ -91,17 +94,17 @@
 	watch := a.watchHead(placement.Backend, cancel)
 	defer a.watchBegin(cancel)()
 	g.mu.Lock()
-	a.withdraw = cancel
+	a.cancelAttempt = cancel
 	g.mu.Unlock()
 	reply, err := g.sender.Send(ctx, a.dispatch(placement))
 	watch.end()
 	if err != nil {
-		return a.sendFailed(id, err), nil
+		return a.handleSendError(id, err), nil
 	}
 	a.takeAnnouncements(placement.Backend, reply)
 	if end := a.judge(id, reply); end != 0 {
 		if end != forward.EndFailed {
-			reply.Finish(a.drainSmall(reply))
+			reply.Finish(a.discardSmallBody(reply))
 			return end, nil
 		}
 		return end, reply
@@ -109,41 +112,43 @@
 	if reply.Stream {
 		return a.relayStream(id, reply, cancel), nil
 	}
-	return a.relayWhole(id, reply), nil
+	return a.relayResponse(id, reply), nil
 }
 
+// dispatch builds what is sent to the chosen server.
 func (a *attempts) dispatch(placement fleet.Placement) *Dispatch {
 	d := &Dispatch{
 		Call: a.call, Backend: placement.Backend, Organisation: a.organisation.ID,
-		Urgency: min(max(a.urgency, 0), lowestUrgency), Left: max(a.remaining(), 0), Version: placement.Version,
+		Urgency: min(max(a.priority, 0), lowestPriority), Left: max(a.remaining(), 0), Version: placement.Version,
 		Still: a.still,
 	}
 	if a.stream != nil {
-		// The caller is waiting in the middle of its answer.
-		d.LastEvent, d.Urgency = a.stream.last, 0
+		// The caller is waiting in the middle of its response.
+		d.LastEvent, d.Urgency = a.stream.lastEvent, 0
 	}
 	return d
 }
 
-// lowestUrgency is the least urgent rank that engines know.
-const lowestUrgency = 9
+// lowestPriority is the lowest priority that engines support.
+const lowestPriority = 9
 
-// sendFailed notes an attempt that got no answer.
-func (a *attempts) sendFailed(id string, err error) forward.End {
+// handleSendError classifies an attempt that got no response.
+func (a *attempts) handleSendError(id string, err error) forward.End {
 	var failed *channel.SendError
 	end := forward.EndLost
 	if errors.As(err, &failed) && !failed.Sent {
 		end = forward.EndUnsent
 	}
-	a.noteLost(id, end, err)
+	a.handleFailedAttempt(id, end, err)
 	return end
 }
 
-// blame logs an attempt that its server spoilt, and keeps others from it.
+// reportServerFailure logs an attempt that failed because of its server, and makes other requests
+// avoid that server.
 //
-// Guard: a request that was under way as its server started again breaks off when the
-// new process is known already. That one would get no request, for what it never had.
-func (a *attempts) blame(id string, end forward.End, err error) {
+// A request that was in flight when its server restarted may break off after the new process is
+// already known. The new process must not be avoided for a request that it never received.
+func (a *attempts) reportServerFailure(id string, end forward.End, err error) {
 	g := a.gateway
 	g.log.Warn("attempt failed", zap.String("Request", a.call.ID), zap.Stringer("Fingerprint", a.fingerprint()),
 		zap.String("Backend", id), zap.Int64("Boot", int64(a.last.Backend.Boot)), zap.Stringer("End", end), zap.Error(err))
@@ -158,7 +163,7 @@
 	}
 }
 
-// judge sorts the head of an answer; 0 means that it can be sent on.
+// classifyReply classifies the head of a response; 0 means that the response can be forwarded.
 func (a *attempts) judge(id string, reply *Reply) forward.End {
 	switch {
 	case reply.NotRun && reply.Moved:
@@ -167,10 +172,10 @@
 	case reply.NotRun:
 		return forward.EndRefused
 	case !reply.Sound:
-		a.blame(id, forward.EndLost, errUnsound)
+		a.reportServerFailure(id, forward.EndLost, errNoReceipt)
 		return forward.EndLost
 	case reply.Status >= http.StatusInternalServerError:
-		a.survived()
+		a.noteAnswered()
 		return forward.EndFailed
 	}
 	g := a.gateway
@@ -183,10 +188,11 @@
 	return 0
 }
 
-// moved takes note of what a server that was not the one meant has told.
+// handleMisdirected updates the fleet after a response from a different server at the address, or
+// from the server without the requested model.
 func (a *attempts) moved(id string, reply *Reply) {
 	g := a.gateway
-	g.log.Info("server moved", zap.String("Request", a.call.ID), zap.String("Backend", id), zap.String("Found", reply.Life))
+	g.log.Info("a different server answered at the address", zap.String("Request", a.call.ID), zap.String("Backend", id), zap.String("Found", reply.Life))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.fleet.Followed(a.last.Backend) {
@@ -199,10 +205,11 @@
 	g.fleet.NoteModelMissing(id, boottime.Now())
 }
 
-var errUnsound = errors.New("answer without the server's receipt")
+// errNoReceipt means that a response lacks the server's receipt, or was altered on the way.
+var errNoReceipt = errors.New("the response has no valid server receipt")
 
-// drainSmall reads the short body of a refusal so that its channel can be kept.
-func (a *attempts) drainSmall(reply *Reply) bool {
+// discardSmallBody reads the short body of a refusal so that the connection can be reused.
+func (a *attempts) discardSmallBody(reply *Reply) bool {
 	if reply.Length < 0 || reply.Length > 4<<10 {
 		return false
 	}
@@ -210,102 +217,103 @@
 	return err == nil
 }
 
-// next decides what follows an attempt; it returns true to try again.
-func (a *attempts) next(end forward.End, failure *Reply) bool {
+// decideNext decides what follows a failed attempt. It returns true to try another server.
+func (a *attempts) decideNext(end forward.End, failure *Reply) bool {
 	g := a.gateway
-	if a.callerLeft() {
-		a.finishFailure(failure)
-		a.ended(0, reasonCallerEnd, zap.String("Backend", a.last.Backend.ID))
+	if a.callerDisconnected() {
+		a.discardFailure(failure)
+		a.recordOutcome(0, reasonCallerDisconnected, zap.String("Backend", a.last.Backend.ID))
 		return false
 	}
 	g.mu.Lock()
-	step := a.After(end, g.budget(a.service), a.remaining(), boottime.Now(), true)
+	step := a.After(end, g.retryBudget(a.service), a.remaining(), boottime.Now(), true)
 	g.mu.Unlock()
 	g.log.Info("attempt ended", zap.String("Request", a.call.ID), zap.String("Backend", a.last.Backend.ID),
 		zap.Stringer("End", end), zap.Stringer("Step", step), zap.Int("Sent", a.Sent()), zap.Duration("Left", a.remaining()))
 	if step == forward.StepAgain {
-		a.finishFailure(failure)
+		a.discardFailure(failure)
 		if end == forward.EndLost {
-			a.awaitVerdict()
+			a.awaitDecision()
 		}
 		g.metrics.retries.WithLabelValues(a.service, end.String()).Inc()
 		return true
 	}
 	if step == forward.StepPass && failure != nil && a.stream == nil {
-		a.pass(failure)
+		a.passFailure(failure)
 		return false
 	}
-	a.finishFailure(failure)
-	p := a.problem(step)
+	a.discardFailure(failure)
+	response := a.errorFor(step)
 	if step == forward.StepNotRun && end == forward.EndMoved {
-		p.retry = a.returnWhenReady()
+		response.retryAfter = a.retryDelayUntilReady()
 	}
-	a.giveUp(p)
+	a.fail(response)
 	return false
 }
 
-func (a *attempts) finishFailure(failure *Reply) {
+// discardFailure releases the connection of a failure that is not forwarded; nil is ignored.
+func (a *attempts) discardFailure(failure *Reply) {
 	if failure != nil {
-		failure.Finish(a.drainSmall(failure))
+		failure.Finish(a.discardSmallBody(failure))
 	}
 }
 
-// pass hands a server's own failure on.
-func (a *attempts) pass(failure *Reply) {
-	if end := a.relayWhole(a.last.Backend.ID, failure); end != 0 {
-		a.giveUp(a.problem(forward.StepUnknown))
+// passFailure forwards a server's own failure to the caller.
+func (a *attempts) passFailure(failure *Reply) {
+	if end := a.relayResponse(a.last.Backend.ID, failure); end != 0 {
+		a.fail(a.errorFor(forward.StepUnknown))
 	}
 }
 
-// problem is the entry's own final answer for a step.
-func (a *attempts) problem(step forward.Step) *problem {
+// errorFor returns the entry's own error response for a step.
+func (a *attempts) errorFor(step forward.Step) *errorResponse {
 	switch step {
 	case forward.StepNotRun:
-		return busy(reasonRefused, a.gateway.returnTime())
+		return unavailable(reasonRefused, a.gateway.retryDelay())
 	case forward.StepTimeout:
-		return &problem{status: http.StatusGatewayTimeout, reason: reasonTime}
+		return &errorResponse{status: http.StatusGatewayTimeout, reason: reasonTimeout}
 	}
-	return &problem{status: http.StatusBadGateway, reason: reasonUnknown}
+	return &errorResponse{status: http.StatusBadGateway, reason: reasonMayHaveRun}
 }
 
-// giveUp ends the request without an answer of a server.
+// fail ends the request with an error of the entry's own.
 //
-// Guards: an answer that has begun cannot be taken back, so its channel is
-// broken and the caller sees that it is not whole; and once a server may have
-// run the request, the caller is not told that it did not.
-func (a *attempts) giveUp(p *problem) {
+// A response that has already started cannot be retracted, so the connection is aborted and the
+// caller sees that the response is truncated. Once a server may have run the request, the caller is
+// not told that it did not run.
+func (a *attempts) fail(response *errorResponse) {
 	if a.stream != nil {
-		a.ended(http.StatusOK, reasonBroken, zap.String("LastEvent", a.stream.last))
+		a.recordOutcome(http.StatusOK, reasonTruncated, zap.String("LastEvent", a.stream.lastEvent))
 		panic(http.ErrAbortHandler)
 	}
-	if a.MayHaveRun() && p.retry > 0 {
-		p = a.problem(forward.StepUnknown)
+	if a.MayHaveRun() && response.retryAfter > 0 {
+		response = a.errorFor(forward.StepUnknown)
 	}
-	a.refuse(p)
+	a.refuse(response)
 }
 
-// relayWhole sends on an answer that is not a stream. What fits into memory is
-// read whole first, so that an answer that breaks off is never begun.
-func (a *attempts) relayWhole(id string, reply *Reply) forward.End {
-	body, err := io.ReadAll(io.LimitReader(reply.Body, wholeBytes+1))
+// relayResponse forwards a response that is not a stream. A response that fits into the buffer is
+// read completely first, so that a truncated one is never started.
+func (a *attempts) relayResponse(id string, reply *Reply) forward.End {
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedResponse+1))
 	if err != nil {
 		reply.Finish(false)
-		a.broke(err)
-		if !a.callerLeft() && a.remaining() > 0 {
-			a.blame(id, forward.EndLost, err)
+		a.noteIncomplete(err)
+		if !a.callerDisconnected() && a.remaining() > 0 {
+			a.reportServerFailure(id, forward.EndLost, err)
 		}
 		return forward.EndLost
 	}
-	a.begun = time.Now()
+	a.firstByteAt = time.Now()
 	copyHeader(a.writer.Header(), reply.Header)
-	if len(body) <= wholeBytes {
+	if len(body) <= maxBufferedResponse {
 		reply.Finish(true)
-		a.survived()
+		a.noteAnswered()
 		a.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		a.writer.WriteHeader(reply.Status)
-		// A caller that does not take its answer is noticed by the server loop.
+		// The HTTP server notices a caller that does not read its response.
 		_, _ = a.writer.Write(body)
-		a.ended(reply.Status, "", zap.String("Backend", id))
+		a.recordOutcome(reply.Status, "", zap.String("Backend", id))
 		return 0
 	}
 	if reply.Length >= 0 {
@@ -318,10 +326,10 @@
 	}
 	reply.Finish(err == nil)
 	if err != nil {
-		a.ended(reply.Status, reasonBroken, zap.String("Backend", id), zap.Error(err))
+		a.recordOutcome(reply.Status, reasonTruncated, zap.String("Backend", id), zap.Error(err))
 		panic(http.ErrAbortHandler)
 	}
-	a.ended(reply.Status, "", zap.String("Backend", id))
+	a.recordOutcome(reply.Status, "", zap.String("Backend", id))
 	return 0
 }
 
--- a/internal/transport/gateway/crashes.go
+++ b/internal/transport/gateway/crashes.go
@@ -14,66 +14,68 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Times of requests that may end the servers that run them.
+// Timeouts and limits of the handling of requests that may crash servers.
 const (
-	// verdictWait is how long a request whose next end decides waits after an attempt broke
-	// off: until its server's end is known and all entries have told of it.
-	verdictWait = 350 * time.Millisecond
-	// comeBackAlone is when a caller should return whose request is being tried at one
-	// server already.
-	comeBackAlone = time.Second
-	// lookPause is how long after an answer broke off it is looked whether its server still
-	// listens, and again; a process that ends closes its connections first.
-	lookPause = 30 * time.Millisecond
-	lookAgain = 300 * time.Millisecond
-	// lookRest is how long a server that does listen is not looked at again: one may break
-	// off part of its answers for long.
-	lookRest = 3 * time.Second
-	// lookedMost bounds the servers of which that is remembered.
-	lookedMost = 4096
-	// toldMost bounds how many messages in a second answer entries that hold other requests.
-	toldMost = 8
+	// decisionTimeout is how long a suspected request waits after a truncated response, until the
+	// crash of its server is confirmed and all entries have reported it.
+	decisionTimeout = 350 * time.Millisecond
+	// retryAfterSuspected is sent to a caller whose suspected request is already running at a
+	// server.
+	retryAfterSuspected = time.Second
+	// firstProbeDelay and secondProbeDelay are the delays after a truncated response before it is
+	// checked whether the server still listens. A process that ends closes its connections before
+	// its listening socket.
+	firstProbeDelay  = 30 * time.Millisecond
+	secondProbeDelay = 300 * time.Millisecond
+	// probeInterval is the minimum time between two checks of the same process. A server that still
+	// listens may truncate some of its responses for a long time.
+	probeInterval = 3 * time.Second
+	// maxProbedProcesses limits the processes whose last check is remembered.
+	maxProbedProcesses = 4096
+	// maxHoldRepliesPerSecond limits the replies to entries that hold different requests.
+	maxHoldRepliesPerSecond = 8
 )
 
-// crashes is what an entry knows of requests that end servers; the gateway's lock guards it.
+// crashes tracks requests that crash servers. It is guarded by the gateway's mu.
 type crashes struct {
 	*quarantine.Table
-	// under has the requests under way.
-	under map[*attempts]bool
-	// looked is when it was last looked whether a server still listens.
-	looked map[quarantine.Process]time.Duration
-	// toldAt is when the last of toldMost messages was sent, and told how many were.
-	toldAt time.Duration
-	told   int
+	// inFlight are the requests being served.
+	inFlight map[*attempts]bool
+	// probedAt is when a process was last checked for still listening.
+	probedAt map[quarantine.Process]time.Duration
+	// replies counts the replies with holds since repliesSince, for maxHoldRepliesPerSecond.
+	repliesSince time.Duration
+	replies      int
 }
 
 func newCrashes() *crashes {
-	return &crashes{Table: quarantine.New(quarantine.DefaultConfig()), under: map[*attempts]bool{}, looked: map[quarantine.Process]time.Duration{}}
+	return &crashes{Table: quarantine.New(quarantine.DefaultConfig()), inFlight: map[*attempts]bool{}, probedAt: map[quarantine.Process]time.Duration{}}
 }
 
-// identity is what the caller repeats when it sends the request again.
+// identity returns what stays the same when the caller retries the request.
 func (x *exchange) identity() *quarantine.Identity {
 	return &quarantine.Identity{Organisation: string(x.organisation.ID), Method: x.call.Method, Host: x.call.Host,
 		Target: x.call.Target, Body: x.call.Body}
 }
 
-// fingerprint names the request, whatever its attempt.
+// fingerprint identifies the request across all its attempts.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
-	if known := x.fingerprinted.Load(); known != nil {
-		return *known
+	if cached := x.cachedFingerprint.Load(); cached != nil {
+		return *cached
 	}
 	f := x.identity().Fingerprint()
-	x.fingerprinted.Store(&f)
+	x.cachedFingerprint.Store(&f)
 	return f
 }
 
-// known reports whether the request may be suspected. Others cost no reading of their body.
-func (a *attempts) known() bool {
+// maybeSuspected reports whether the request may be suspected. It is decided without hashing the
+// body.
+func (a *attempts) maybeSuspected() bool {
 	g := a.gateway
 	g.mu.Lock()
-	quiet := g.crashes.Quiet()
+	noSuspects := g.crashes.Quiet()
 	g.mu.Unlock()
-	if quiet {
+	if noSuspects {
 		return false
 	}
 	head := a.identity().Head()
@@ -82,12 +84,14 @@
 	return g.crashes.Knows(head)
 }
 
-// kept says why a request is kept from all servers; nil if it is not.
+// checkQuarantine returns the error response for a quarantined request; nil if the request may be
+// sent.
 //
-// Guard: the same request comes again under another ID, and its server ends with all that
-// it runs. Once three have, neither a caller's attempt nor this entry's next one is sent.
-func (a *attempts) kept() *problem {
-	if !a.known() {
+// The same request returns under another ID and crashes its server together with everything that
+// the server runs. After three crashes, neither a caller's retry nor this entry's next attempt is
+// sent.
+func (a *attempts) kept() *errorResponse {
+	if !a.maybeSuspected() {
 		return nil
 	}
 	g, f := a.gateway, a.fingerprint()
@@ -96,36 +100,37 @@
 	left, held := g.crashes.Held(f, boottime.Now())
 	switch {
 	case held:
-		return busy(reasonQuarantined, left)
-	case g.crashes.Suspected(f, boottime.Now()) && a.another(f):
-		return busy(reasonAlone, comeBackAlone)
+		return unavailable(reasonQuarantined, left)
+	case g.crashes.Suspected(f, boottime.Now()) && a.duplicateInFlight(f):
+		return unavailable(reasonAlreadyInFlight, retryAfterSuspected)
 	}
 	return nil
 }
 
-// another reports whether the same request is under way at a server; the caller holds the
-// lock.
-func (a *attempts) another(f quarantine.Fingerprint) bool {
-	for other := range a.gateway.crashes.under {
-		if other != a && other.withdraw != nil && other.is(f) {
+// duplicateInFlight reports whether the same request is running at a server for another caller
+// attempt. The caller holds g.mu.
+func (a *attempts) duplicateInFlight(f quarantine.Fingerprint) bool {
+	for other := range a.gateway.crashes.inFlight {
+		if other != a && other.cancelAttempt != nil && other.matches(f) {
 			return true
 		}
 	}
 	return false
 }
 
-// is reports whether this is a request with a fingerprint; its body is read only if all else
-// is the same.
-func (a *attempts) is(f quarantine.Fingerprint) bool {
+// matches reports whether the request has the fingerprint f. The body is hashed only if everything
+// else is the same.
+func (a *attempts) matches(f quarantine.Fingerprint) bool {
 	return a.identity().Head() == f.Head() && a.fingerprint() == f
 }
 
-// awaitVerdict lets a request whose next end decides wait until that is known.
+// awaitDecision delays the retry of a request that one more crash would quarantine, until it is
+// known whether the last server crashed.
 //
-// Guard: the entry sends what broke off to another server within a millisecond, before
-// anybody can know that the first has ended.
-func (a *attempts) awaitVerdict() {
-	if !a.known() {
+// Without the delay, the entry would retry a truncated request at another server within a
+// millisecond, before anyone can know that the first server has crashed.
+func (a *attempts) awaitDecision() {
+	if !a.maybeSuspected() {
 		return
 	}
 	g, f := a.gateway, a.fingerprint()
@@ -135,7 +140,7 @@
 	if !suspected {
 		return
 	}
-	timer := time.NewTimer(verdictWait)
+	timer := time.NewTimer(decisionTimeout)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -143,37 +148,38 @@
 	}
 }
 
-var errKept = errors.New("the request is kept from all servers by now")
+var errKept = errors.New("the request has been quarantined")
 
-// processOf names the process that a request was placed at.
+// processOf identifies the process that a request was sent to.
 func processOf(b catalog.Backend) quarantine.Process {
 	return quarantine.Process{Server: b.ID, Boot: b.Boot}
 }
 
-// broke notes an attempt that got no whole answer, and looks whether its server ended.
-func (a *attempts) broke(err error) {
+// noteIncomplete records an attempt without a complete response, and checks whether its server has
+// crashed.
+func (a *attempts) noteIncomplete(err error) {
 	g, f, backend := a.gateway, a.fingerprint(), a.last.Backend
 	process, now := processOf(backend), boottime.Now()
-	byPeer := endedByPeer(err) && !errors.Is(err, errToCaller)
+	byPeer := closedByPeer(err) && !errors.Is(err, errWriteToCaller)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.crashes.Broke(f, process, byPeer, now)
-	if at, ok := g.crashes.looked[process]; byPeer && (!ok || now-at > lookRest) {
-		if len(g.crashes.looked) >= lookedMost {
-			clear(g.crashes.looked)
+	if at, ok := g.crashes.probedAt[process]; byPeer && (!ok || now-at > probeInterval) {
+		if len(g.crashes.probedAt) >= maxProbedProcesses {
+			clear(g.crashes.probedAt)
 		}
-		g.crashes.looked[process] = now
-		go g.runLook(backend)
+		g.crashes.probedAt[process] = now
+		go g.probeServer(backend)
 	}
 }
 
-// trustBody is the longest body of which it is remembered that its request was answered: it is hashed
-// for that.
-const trustBody = 64 << 10
+// maxHashedBody is the longest body for which it is recorded that the request was answered, because
+// that requires hashing the body.
+const maxHashedBody = 64 << 10
 
-// survived notes that the server went on after it ran the request.
-func (a *attempts) survived() {
-	if len(a.call.Body) > trustBody && !a.known() {
+// noteAnswered records that the server kept running after it ran the request.
+func (a *attempts) noteAnswered() {
+	if len(a.call.Body) > maxHashedBody && !a.maybeSuspected() {
 		return
 	}
 	g, f := a.gateway, a.fingerprint()
@@ -182,112 +188,112 @@
 	g.crashes.Answered(f, boottime.Now())
 }
 
-// track notes a request that is under way, and untrack one that has ended.
+// track adds a request to those in flight, and untrack removes it.
 func (g *Gateway) track(a *attempts) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.crashes.under[a] = true
+	g.crashes.inFlight[a] = true
 }
 
 func (g *Gateway) untrack(a *attempts) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.crashes.under, a)
+	delete(g.crashes.inFlight, a)
 }
 
-// endedByPeer reports whether the server's side ended a connection.
-func endedByPeer(err error) bool {
-	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errHalfEvent} {
-		if errors.Is(err, end) {
+// closedByPeer reports whether the server closed the connection.
+func closedByPeer(err error) bool {
+	for _, target := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errIncompleteEvent} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// runLook looks whether the process of a server that broke an answer off is gone.
+// probeServer checks whether the process of a server that truncated a response has ended.
 //
-// Guard: answers are lost and connections reset while servers go on. Held against the
-// requests, three of those in a row would have a sound request refused.
-func (g *Gateway) runLook(backend catalog.Backend) {
-	for _, pause := range []time.Duration{lookPause, lookAgain} {
-		time.Sleep(pause)
+// Responses are lost and connections are reset while servers keep running. If that counted as a
+// crash, three such events in a row would quarantine a harmless request.
+func (g *Gateway) probeServer(backend catalog.Backend) {
+	for _, delay := range []time.Duration{firstProbeDelay, secondProbeDelay} {
+		time.Sleep(delay)
 		if g.sender.Gone(backend) {
 			g.mu.Lock()
-			g.serverEnded(backend, "ConnectionRefused")
+			g.noteServerCrash(backend, "ConnectionRefused")
 			g.mu.Unlock()
 			return
 		}
 	}
 }
 
-// serverEnded notes that a server's process has ended; the caller holds the lock.
-func (g *Gateway) serverEnded(backend catalog.Backend, seen string) {
+// noteServerCrash records that a server's process has ended. The caller holds g.mu.
+func (g *Gateway) noteServerCrash(backend catalog.Backend, evidence string) {
 	now := boottime.Now()
-	under := g.crashes.Ended(processOf(backend), now)
-	if len(under) == 0 {
+	requests := g.crashes.Ended(processOf(backend), now)
+	if len(requests) == 0 {
 		return
 	}
-	names := make([]string, 0, len(under))
-	for _, f := range under {
+	names := make([]string, 0, len(requests))
+	for _, f := range requests {
 		names = append(names, f.String())
 	}
-	g.metrics.serverEnds.WithLabelValues(backend.Service).Inc()
-	g.log.Warn("backend server ended under requests", zap.String("Backend", backend.ID), zap.Int64("Boot", int64(backend.Boot)),
-		zap.String("Seen", seen), zap.Strings("Fingerprints", names))
+	g.metrics.serverCrashes.WithLabelValues(backend.Service).Inc()
+	g.log.Warn("backend server process ended with requests in flight", zap.String("Backend", backend.ID), zap.Int64("Boot", int64(backend.Boot)),
+		zap.String("Seen", evidence), zap.Strings("Fingerprints", names))
 }
 
-// advanceCrashes makes verdicts, takes back what they concern, and returns what the other
-// entries are to hear; the caller holds the lock.
+// advanceQuarantine decides which requests are quarantined, cancels their attempts, and returns
+// what the other entries must be told. The caller holds g.mu.
 func (g *Gateway) advanceCrashes(now time.Duration) []quarantine.News {
 	for _, replaced := range g.fleet.Replacements() {
-		g.serverEnded(replaced, "Replaced")
+		g.noteServerCrash(replaced, "Replaced")
 	}
 	for _, f := range g.crashes.Advance(now) {
 		g.log.Warn("request quarantined", zap.Stringer("Fingerprint", f), zap.Int("Ends", g.crashes.Ends(f)))
-		g.withdraw(f)
+		g.cancelAttempts(f)
 	}
 	return g.crashes.Fresh(now)
 }
 
-// withdraw takes back attempts at a request that have not begun to be answered; the caller
-// holds the lock.
-func (g *Gateway) withdraw(f quarantine.Fingerprint) {
-	for a := range g.crashes.under {
-		if a.withdraw != nil && a.is(f) && a.takenBack.take() {
-			a.withdraw()
+// cancelAttempts cancels the attempts at a request whose responses have not started. The caller
+// holds g.mu.
+func (g *Gateway) cancelAttempts(f quarantine.Fingerprint) {
+	for a := range g.crashes.inFlight {
+		if a.cancelAttempt != nil && a.matches(f) && a.takenBack.take() {
+			a.cancelAttempt()
 		}
 	}
 }
 
-// takeCrashes takes another entry's news; the caller holds the lock.
-func (g *Gateway) takeCrashes(news *quarantine.News, from net.Addr, now time.Duration) {
-	for _, reply := range g.crashes.Take(news, now) {
+// applyCrashReports applies another entry's reports of crashes and holds. The caller holds g.mu.
+func (g *Gateway) takeCrashes(reports *quarantine.News, from net.Addr, now time.Duration) {
+	for _, reply := range g.crashes.Take(reports, now) {
 		g.reply(Datagram{News: &reply}, from)
 	}
-	for _, hold := range news.Holds {
+	for _, hold := range reports.Holds {
 		if _, held := g.crashes.Held(hold.Request, now); held {
-			g.withdraw(hold.Request)
+			g.cancelAttempts(hold.Request)
 		}
 	}
 }
 
-// tellHolds returns the requests that are held if another entry holds others; the caller
-// holds the lock.
+// holdsForPeer returns the quarantined requests if another entry has different ones. The caller
+// holds g.mu.
 //
-// Guard: an entry that has just started, or was cut off, knows nothing of them, and sends
-// what all others refuse.
+// An entry that has just started, or was cut off, does not have these holds and would send requests
+// that all other entries refuse.
 func (g *Gateway) tellHolds(digest uint64, now time.Duration) []quarantine.News {
 	c := g.crashes
 	if c.Quiet() || digest == c.Digest(now) {
 		return nil
 	}
-	if now-c.toldAt >= time.Second {
-		c.toldAt, c.told = now, 0
+	if now-c.repliesSince >= time.Second {
+		c.repliesSince, c.replies = now, 0
 	}
-	if c.told >= toldMost {
+	if c.replies >= maxHoldRepliesPerSecond {
 		return nil
 	}
-	c.told++
+	c.replies++
 	return c.Holds(now)
 }
--- a/internal/transport/gateway/gateway.go
+++ b/internal/transport/gateway/gateway.go
@@ -28,30 +28,30 @@
 // Config holds the settings of a Gateway.
 type Config struct {
 	Self Entry
-	// Regions gives the region of each site.
+	// Regions maps each site to its region.
 	Regions map[string]string
-	// Revoke is the time in which a key that is taken away stops working; a key
-	// is refused once the view is older. 0 means no bound.
+	// RevocationDelay is the maximum time for which a revoked key still works. Keys are refused
+	// once the desired state is older than this. 0 means no limit.
 	Revoke time.Duration
-	// Bound is the time in which a named version is the only one to answer.
+	// SwitchoverTimeout is the time after an operator names a model version by which no older
+	// version may answer any more.
 	Bound time.Duration
-	// RetryRatio and RetrySlack bound the retries of all entries together
-	// within any RetryWindow.
+	// RetryRatio and RetrySlack limit the retries of all entries together within any RetryWindow.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// Seeds are peer addresses of entries to ask for others while the store
-	// does not list them.
+	// Seeds are peer addresses of entries that are asked for other entries until the store has
+	// returned the list of entries.
 	Seeds []string
-	// Keep is how long callers may keep an answer of Locate.
+	// LocateTTL is how long callers may cache a result of Locate.
 	Keep time.Duration
-	// Grace is how long after a stop's announcement new requests are taken, and
-	// Leave when the process must have ended.
+	// DrainGracePeriod is how long new requests are accepted after shutdown is announced.
+	// DrainTimeout is the time from that announcement by which the process must have ended.
 	Grace time.Duration
 	Leave time.Duration
 }
 
-// Gateway is one entry.
+// Gateway is one entry. It serves callers' requests by forwarding them to backend servers.
 type Gateway struct {
 	config  Config
 	store   Store
@@ -65,50 +65,52 @@
 	feeds   *feeds
 
 	state atomic.Pointer[catalog.State]
-	// confirmed is when the read was sent that last confirmed the state; 0 if
-	// none has.
+	// stateConfirmedAt is when the last read that confirmed the state was sent; 0 if there was
+	// none.
 	confirmed atomic.Int64
-	running   atomic.Int64
-	// lostUntil is until when another entry should read the store for the region.
+	// inFlight is the number of callers' requests being served.
+	inFlight atomic.Int64
+	// readerSuspendedUntil is the time until which another entry should read the store for the
+	// region, because the store does not answer this one.
 	lostUntil atomic.Int64
-	// listed is true once the store's list of entries has been read.
+	// entriesListed is true once the list of entries has been read from the store.
 	listed atomic.Bool
-	// restored is true once this entry knows the verdicts that were made before it started.
+	// holdsRestored is true once this entry has the quarantine holds that were placed before it
+	// started.
 	restored atomic.Bool
-	// stated is closed once a desired state is known, and started is when this process
-	// began.
+	// stateKnown is closed once a desired state is known. started is when this process started.
 	stated  chan struct{}
 	started time.Duration
-	// revoke is Config.Revoke, which may change.
-	revoke atomic.Int64
+	// revocationDelay is Config.RevocationDelay, which Reconfigure may change.
+	revocationDelay atomic.Int64
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	fleet   *fleet.Fleet
-	gate    admission.EntryGate
-	budgets map[string]*retry.Window
-	room    *room
-	crashes *crashes
-	// outages are of services.
+	mu           sync.Mutex
+	rng          *rand.Rand
+	fleet        *fleet.Fleet
+	gate         admission.EntryGate
+	retryBudgets map[string]*retry.Window
+	waitQueue    *waitQueue
+	crashes      *crashes
+	// outages are keyed by service.
 	outages map[string]*admission.Outage
 	peers   *peers
-	// named are the versions of each model that operators want, oldest first.
+	// namedVersions are the versions of each model that operators want, oldest first.
 	named map[string][]named
-	// namedNews has a value once the store has named a version.
+	// namedChanged receives a value when a version has been named.
 	namedNews chan struct{}
 	bad       badRows
-	// viewGap is the time between the last two answers about backend servers.
+	// backendsInterval is the time between the last two updates of the list of backend servers.
 	viewGap time.Duration
 	uptime  uptime.Uptime
-	// answeredAt is when the store last answered this entry; 0 if it has not.
+	// storeAnsweredAt is when the store last answered this entry; 0 if it has not.
 	answeredAt time.Duration
-	// beatNow asks for a heartbeat to the region.
+	// heartbeatNow requests an immediate heartbeat to the region.
 	beatNow chan struct{}
 	stop    *drain.Stop
 }
 
-// New returns a gateway; its loops run until ctx ends. The socket takes
-// heartbeats and load reports.
+// New returns a gateway whose loops run until ctx ends. The socket receives heartbeats and load
+// reports.
 func New(ctx context.Context, config Config, store Store, codec Codec, sender Sender, origin relay.Origin,
 	client *http.Client, socket net.PacketConn, log *zap.Logger, registry prometheus.Registerer, rng *rand.Rand) *Gateway {
 	fleetConfig := fleet.DefaultConfig()
@@ -117,10 +119,10 @@
 		stated: make(chan struct{}), started: boottime.Now(), beatNow: make(chan struct{}, 1), namedNews: make(chan struct{}, 1),
 		config: config, store: store, codec: codec, sender: sender, log: log, socket: datagrams.New(socket), client: client, feeds: newFeeds(),
 		metrics: newMetrics(registry), rng: rng, fleet: fleet.New(fleetConfig, rng), gate: admission.DefaultEntryGate(),
-		budgets: map[string]*retry.Window{}, outages: map[string]*admission.Outage{}, room: newRoom(), crashes: newCrashes(), peers: newPeers(config.Self, boottime.Now()), named: map[string][]named{},
+		retryBudgets: map[string]*retry.Window{}, outages: map[string]*admission.Outage{}, waitQueue: newWaitQueue(), crashes: newCrashes(), peers: newPeers(config.Self, boottime.Now()), named: map[string][]named{},
 		stop: drain.New(drain.Config{Grace: config.Grace, Move: config.Leave}),
 	}
-	g.revoke.Store(int64(config.Revoke))
+	g.revocationDelay.Store(int64(config.Revoke))
 	g.relay = relay.New(relays.Entry{Host: config.Self.Host, Site: config.Self.Site}, relayView{g}, origin, client, log, registry)
 	for _, loop := range []func(context.Context){g.runDesired, g.runBackends, g.runEntries, g.runHeartbeat, g.runCounts, g.runSeeds, g.runRestore, g.runVersions} {
 		go loop(ctx)
@@ -129,40 +131,41 @@
 	return g
 }
 
-// age returns how old the view of the desired state is; false if there is none.
-func (g *Gateway) age(now time.Duration) (time.Duration, bool) {
+// stateAge returns the age of the desired state; false if no state is known.
+func (g *Gateway) stateAge(now time.Duration) (time.Duration, bool) {
 	confirmed := g.confirmed.Load()
 	return now - time.Duration(confirmed), confirmed != 0
 }
 
-// revokeMargin is left for the way from a caller to this process.
+// revokeMargin allows for the time a request takes from the caller to this process.
 const revokeMargin = 200 * time.Millisecond
 
-// fresh reports whether keys may be taken as good.
+// keysFresh reports whether the desired state is recent enough to accept keys.
 //
-// Guard: a host cut off from the store does not hear that a key was taken away,
-// and would run requests of a caller that is no longer allowed; once the last
-// read that confirmed the view is nearly as old as the bound, keys are refused.
-// The age counts from when the read was sent, on a clock that also runs while
-// the host is suspended.
-func (g *Gateway) fresh(now time.Duration) bool {
-	age, ok := g.age(now)
-	revoke := time.Duration(g.revoke.Load())
+// An entry that is cut off from the store does not receive revocations and would serve callers
+// whose keys were revoked. Keys are therefore refused once the last read that confirmed the state
+// is nearly as old as the revocation delay. The age counts from when that read was sent, on a clock
+// that also advances while the host is suspended.
+func (g *Gateway) keysFresh(now time.Duration) bool {
+	age, ok := g.stateAge(now)
+	revoke := time.Duration(g.revocationDelay.Load())
 	return ok && (revoke <= 0 || age < revoke-revokeMargin)
 }
 
-// Ready reports whether new callers should come here.
+// Ready reports whether new callers should use this entry.
 func (g *Gateway) Ready() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.readyLocked(boottime.Now())
 }
 
+// readyLocked is Ready for callers that hold g.mu.
 func (g *Gateway) readyLocked(now time.Duration) bool {
-	return !g.stop.Leaving() && g.state.Load() != nil && g.fresh(now)
+	return !g.stop.Leaving() && g.state.Load() != nil && g.keysFresh(now)
 }
 
-// Limits returns what the desired state allows callers; zeros while none is known.
+// Limits returns the limits that the desired state sets for callers; zero values while no state is
+// known.
 func (g *Gateway) Limits() catalog.Limits {
 	state := g.state.Load()
 	if state == nil {
@@ -171,7 +174,7 @@
 	return state.Limits
 }
 
-// Locate returns where callers should connect, and for how long to keep that.
+// Locate returns the addresses that callers should connect to and how long they may cache them.
 func (g *Gateway) Locate(_, site string) ([]string, time.Duration) {
 	ready := g.Ready()
 	g.mu.Lock()
@@ -179,55 +182,55 @@
 	return g.peers.locate(site, ready, boottime.Now()), g.config.Keep
 }
 
-// budget returns the retry budget of a service; the caller holds the lock.
-func (g *Gateway) budget(service string) *retry.Window {
-	b, ok := g.budgets[service]
+// retryBudget returns the retry budget of a service. The caller holds g.mu.
+func (g *Gateway) retryBudget(service string) *retry.Window {
+	b, ok := g.retryBudgets[service]
 	if !ok {
 		b = retry.NewWindow(g.retryWindow())
-		g.budgets[service] = b
+		g.retryBudgets[service] = b
 	}
 	return b
 }
 
-// retryWindow is this entry's part of the bound on retries.
+// retryWindow returns this entry's share of the retry limit.
 func (g *Gateway) retryWindow() retry.WindowConfig {
 	return retry.SharedWindow(g.config.RetryWindow, g.config.RetryRatio, g.config.RetrySlack, g.peers.registered())
 }
 
-// resizeBudgets follows the number of entries; the caller holds the lock.
+// resizeRetryBudgets adjusts the retry budgets to the number of entries. The caller holds g.mu.
 func (g *Gateway) resizeBudgets() {
-	for _, b := range g.budgets {
+	for _, b := range g.retryBudgets {
 		b.Resize(g.retryWindow())
 	}
 }
 
-// leaveTick is how often the progress of a stop is looked at.
-const leaveTick = 50 * time.Millisecond
+// drainPollInterval is how often the progress of a shutdown is checked.
+const drainPollInterval = 50 * time.Millisecond
 
-// Reconfigure takes bounds that have changed; addresses and names stay.
+// Reconfigure applies changed limits and timeouts. Addresses and names do not change.
 func (g *Gateway) Reconfigure(config Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.revoke.Store(int64(config.Revoke))
+	g.revocationDelay.Store(int64(config.Revoke))
 	g.config.Bound, g.config.Keep = config.Bound, config.Keep
 	g.config.RetryRatio, g.config.RetrySlack = config.RetryRatio, config.RetrySlack
 	g.resizeBudgets()
 }
 
-// Leave announces the stop, lets callers learn of it, and returns when what was
-// begun has ended, or when ctx ends.
+// Shutdown announces that this entry is draining, keeps accepting requests for the grace period,
+// and returns when all requests have ended or ctx ends.
 func (g *Gateway) Leave(ctx context.Context) {
 	g.mu.Lock()
 	g.stop.Announce(time.Now())
 	g.mu.Unlock()
-	g.log.Info("leaving", zap.Int64("Running", g.running.Load()))
+	g.log.Info("leaving", zap.Int64("Running", g.inFlight.Load()))
 	g.beat(boottime.Now(), true)
-	go g.runUnregister(ctx)
-	ticker := time.NewTicker(leaveTick)
+	go g.unregister(ctx)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
 		g.mu.Lock()
-		phase := g.stop.Advance(time.Now(), int(g.running.Load()))
+		phase := g.stop.Advance(time.Now(), int(g.inFlight.Load()))
 		g.mu.Unlock()
 		if phase == drain.PhaseDone {
 			return
@@ -240,29 +243,31 @@
 	}
 }
 
-func (g *Gateway) runUnregister(ctx context.Context) {
+// unregister removes this entry's row from the store.
+func (g *Gateway) unregister(ctx context.Context) {
 	if err := g.store.Unregister(ctx, g.config.Self); err != nil {
-		g.log.Warn("entry not unregistered", zap.Error(err))
+		g.log.Warn("could not unregister this entry from the store", zap.Error(err))
 	}
 }
 
-// alone reports whether this entry has had the time to hear of others.
-func (g *Gateway) alone() bool {
+// discoveryElapsed reports whether this entry has run long enough to have discovered other entries.
+func (g *Gateway) discoveryElapsed() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return boottime.Now()-g.peers.started > startTrust
 }
 
-// relayView tells the relay about the installation.
-type relayView struct{ g *Gateway }
+// relayView gives the relay access to the origin, the holders of weights and the other entries.
+type relayView struct{ gateway *Gateway }
 
-// Origin returns the origin of weights, once the other entries can be known.
+// Origin returns the origin of weights, once this entry can know the other entries.
 //
-// Guard: an entry that has just started and knows no other takes itself for the one that fetches
-// every piece. After a loss of power each would fetch a copy and use up the origin's connections.
+// An entry that has just started and knows no others would take itself for the one that fetches
+// every piece. After a power failure every entry would fetch its own copy and use up the origin's
+// connections.
 func (v relayView) Origin() (address, site string, ok bool) {
-	state := v.g.state.Load()
-	if state == nil || !v.g.listed.Load() && !v.g.alone() {
+	state := v.gateway.state.Load()
+	if state == nil || !v.gateway.listed.Load() && !v.gateway.discoveryElapsed() {
 		return "", "", false
 	}
 	origin, ok := state.Origin()
@@ -271,16 +276,16 @@
 
 // Holders returns the hosts of this site whose servers hold a version.
 func (v relayView) Holders(named catalog.NamedVersion) []relays.Holder {
-	v.g.mu.Lock()
-	defer v.g.mu.Unlock()
-	return v.g.fleet.Holders(named.Model, named.Version, boottime.Now())
+	v.gateway.mu.Lock()
+	defer v.gateway.mu.Unlock()
+	return v.gateway.fleet.Holders(named.Model, named.Version, boottime.Now())
 }
 
-// Relays returns the entries that are alive.
+// Relays returns the live entries and their peer addresses.
 func (v relayView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
-	v.g.mu.Lock()
-	defer v.g.mu.Unlock()
-	alive := v.g.peers.alive(boottime.Now())
+	v.gateway.mu.Lock()
+	defer v.gateway.mu.Unlock()
+	alive := v.gateway.peers.alive(boottime.Now())
 	entries := make([]relays.Entry, 0, len(alive))
 	addresses := make(map[filbertlever.HostID]string, len(alive))
 	for _, e := range alive {
--- a/internal/transport/gateway/holds.go
+++ b/internal/transport/gateway/holds.go
@@ -11,38 +11,39 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Times of verdicts in the platform's store.
+// Times for saving and restoring quarantine holds in the platform's store.
 const (
-	// restoreWait is how long after its start an entry waits for others that know the
-	// verdicts, and restoreTurn how much longer for each that stands before it in its region:
-	// if all have just started, one or two read the store.
-	restoreWait = 500 * time.Millisecond
-	restoreTurn = 300 * time.Millisecond
-	// restoreMost bounds that wait, and restoreAgain is the time between two reads that fail.
-	restoreMost  = 4 * time.Second
-	restoreAgain = time.Second
-	// restorePoll is how often it is looked whether another entry knew.
-	restorePoll = 100 * time.Millisecond
-	// keepTries is how often a verdict is written while the store is away, every keepAgain:
-	// for as long as it first holds.
-	keepTries = 60
-	keepAgain = 5 * time.Second
+	// minRestoreDelay is how long a starting entry waits for other entries that already have the
+	// holds, before it reads them from the store. restoreDelayPerPeer is added for each entry of
+	// its region with a lower host ID, so that only one or two entries read the store if all have
+	// just started.
+	minRestoreDelay     = 500 * time.Millisecond
+	restoreDelayPerPeer = 300 * time.Millisecond
+	// maxRestoreDelay limits that wait. restoreRetryInterval is the time between failed reads.
+	maxRestoreDelay      = 4 * time.Second
+	restoreRetryInterval = time.Second
+	// restorePollInterval is how often it is checked whether another entry had the holds.
+	restorePollInterval = 100 * time.Millisecond
+	// maxSaveAttempts and saveRetryInterval limit how long saving a hold is retried while the store
+	// is unavailable: as long as a first hold lasts.
+	maxSaveAttempts   = 60
+	saveRetryInterval = 5 * time.Second
 )
 
-// runRestore takes the verdicts that entries made before this one started, from the store
-// unless another entry has them.
+// runRestore restores the holds that were placed before this entry started, from the store unless
+// another entry has them.
 //
-// Guard: all entries may lose their power at once, and servers ended again under what all
-// had refused.
+// All entries may lose power at the same time. Without the store, servers would crash again under
+// requests that all entries had refused before.
 func (g *Gateway) runRestore(ctx context.Context) {
-	began := boottime.Now()
+	started := boottime.Now()
 	for !g.restored.Load() {
-		pause := restorePoll
-		if boottime.Now()-began >= g.restoreTurn() {
+		pause := restorePollInterval
+		if boottime.Now()-started >= g.restoreDelay() {
 			if err := g.restore(ctx); err == nil {
 				return
 			}
-			pause = restoreAgain
+			pause = restoreRetryInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -52,8 +53,8 @@
 	}
 }
 
-// restoreTurn is how long after its start this entry reads the verdicts itself.
-func (g *Gateway) restoreTurn() time.Duration {
+// restoreDelay returns how long after its start this entry reads the holds itself.
+func (g *Gateway) restoreDelay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	before := 0
@@ -62,13 +63,14 @@
 			before++
 		}
 	}
-	return min(restoreWait+time.Duration(before)*restoreTurn, restoreMost)
+	return min(minRestoreDelay+time.Duration(before)*restoreDelayPerPeer, maxRestoreDelay)
 }
 
+// restore reads the holds from the store and deletes the expired ones there.
 func (g *Gateway) restore(ctx context.Context) error {
 	holds, bad, err := g.store.Holds(ctx)
 	if err != nil {
-		g.log.Warn("verdicts not read", zap.Error(err))
+		g.log.Warn("could not read quarantine holds from the store", zap.Error(err))
 		return err
 	}
 	g.mu.Lock()
@@ -76,53 +78,54 @@
 	g.noteBad(bad)
 	g.mu.Unlock()
 	g.restored.Store(true)
-	g.log.Info("verdicts read", zap.Int("Held", len(holds)-len(stale)), zap.Int("Past", len(stale)))
+	g.log.Info("quarantine holds read from the store", zap.Int("Held", len(holds)-len(stale)), zap.Int("Past", len(stale)))
 	if len(stale) > 0 {
-		g.runDropHolds(ctx, stale)
+		g.deleteHolds(ctx, stale)
 	}
 	return nil
 }
 
-func (g *Gateway) runDropHolds(ctx context.Context, requests []quarantine.Fingerprint) {
+// deleteHolds deletes expired holds from the store.
+func (g *Gateway) deleteHolds(ctx context.Context, requests []quarantine.Fingerprint) {
 	if err := g.store.DropHolds(ctx, requests); err != nil {
-		// Whoever reads it next drops it.
-		g.log.Warn("past verdicts not dropped", zap.Error(err))
+		// The next entry that reads the holds deletes them.
+		g.log.Warn("could not delete expired quarantine holds", zap.Error(err))
 	}
 }
 
-// runKeepHold writes a verdict to the store, also if that is away for a while.
-func (g *Gateway) runKeepHold(ctx context.Context, hold quarantine.Hold) {
-	for range keepTries {
+// saveHold writes a hold to the store, and retries while the store is unavailable.
+func (g *Gateway) saveHold(ctx context.Context, hold quarantine.Hold) {
+	for range maxSaveAttempts {
 		hold.Age = boottime.Now() - hold.At
 		err := g.store.KeepHold(ctx, hold)
 		if err == nil {
 			return
 		}
-		g.log.Warn("verdict not kept", zap.Stringer("Fingerprint", hold.Request), zap.Error(err))
+		g.log.Warn("could not save a quarantine hold", zap.Stringer("Fingerprint", hold.Request), zap.Error(err))
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(keepAgain):
+		case <-time.After(saveRetryInterval):
 		}
 	}
 }
 
-// keepVerdicts has the store told of verdicts that this entry made, and of those that are
-// over; the caller holds the lock.
+// persistHolds saves the holds that this entry placed, and deletes the expired ones, in the store.
+// The caller holds g.mu.
 func (g *Gateway) keepVerdicts(ctx context.Context) {
-	made, over := g.crashes.Verdicts()
-	for _, hold := range made {
-		go g.runKeepHold(ctx, hold)
+	placed, expired := g.crashes.Verdicts()
+	for _, hold := range placed {
+		go g.saveHold(ctx, hold)
 	}
-	if len(over) > 0 {
-		go g.runDropHolds(ctx, slices.Clone(over))
+	if len(expired) > 0 {
+		go g.deleteHolds(ctx, slices.Clone(expired))
 	}
 }
 
-// heardRestored notes that another entry knows the verdicts, and that this one holds the
-// same requests; the caller holds the lock.
-func (g *Gateway) heardRestored(beat *Beat, now time.Duration) {
-	if beat.Restored && !g.restored.Load() && beat.Held == g.crashes.Digest(now) {
+// noteHoldsRestored records that another entry has restored the holds and has the same ones as this
+// entry. The caller holds g.mu.
+func (g *Gateway) heardRestored(heartbeat *Beat, now time.Duration) {
+	if heartbeat.Restored && !g.restored.Load() && heartbeat.Held == g.crashes.Digest(now) {
 		g.restored.Store(true)
 	}
 }
--- a/internal/transport/gateway/metrics.go
+++ b/internal/transport/gateway/metrics.go
@@ -6,20 +6,20 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// metrics are an entry's figures. None bears an organisation, so that nobody
-// who reads metrics learns of one.
+// metrics are an entry's metrics. No label contains an organisation, so that people who read the
+// metrics do not learn which organisations send requests.
 type metrics struct {
-	outcomes      *prometheus.CounterVec
-	retries       *prometheus.CounterVec
-	first         *prometheus.HistogramVec
-	beginLate     *prometheus.HistogramVec
-	takenBack     *prometheus.CounterVec
-	serverEnds    *prometheus.CounterVec
-	quarantined   prometheus.Gauge
-	announcements *prometheus.CounterVec
-	placedMissing *prometheus.CounterVec
-	badDatagrams  prometheus.Counter
-	badRows       *prometheus.CounterVec
+	outcomes          *prometheus.CounterVec
+	retries           *prometheus.CounterVec
+	firstByte         *prometheus.HistogramVec
+	startDelay        *prometheus.HistogramVec
+	cancelledAttempts *prometheus.CounterVec
+	serverCrashes     *prometheus.CounterVec
+	quarantined       prometheus.Gauge
+	announcements     *prometheus.CounterVec
+	placedMissing     *prometheus.CounterVec
+	badDatagrams      prometheus.Counter
+	badRows           *prometheus.CounterVec
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
@@ -32,21 +32,21 @@
 			Name: "filbertlever_gateway_retries_total",
 			Help: "Attempts after the first of a request, by service and how the one before ended.",
 		}, []string{"Service", "End"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "filbertlever_gateway_first_seconds",
 			Help:    "Time from a request's head to the first byte of its answer.",
 			Buckets: []float64{.01, .02, .05, .1, .15, .2, .3, .4, .6, 1, 2, 4},
 		}, []string{"Service"}),
-		beginLate: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		startDelay: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "filbertlever_gateway_begin_late_seconds",
 			Help:    "Time by which an answer's first event came later than predicted; below 0: sooner.",
 			Buckets: []float64{-.1, 0, .05, .1, .2, .3, .5, .7, 1, 1.5, 2, 3},
 		}, []string{"Service"}),
-		takenBack: prometheus.NewCounterVec(prometheus.CounterOpts{
+		cancelledAttempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "filbertlever_gateway_taken_back_total",
 			Help: "Attempts that were ended because they had not begun in time for the bound of a version.",
 		}, []string{"Service"}),
-		serverEnds: prometheus.NewCounterVec(prometheus.CounterOpts{
+		serverCrashes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "filbertlever_gateway_server_ends_total",
 			Help: "Backend servers whose process ended with requests of this entry under way, by service.",
 		}, []string{"Service"}),
@@ -71,11 +71,11 @@
 			Help: "Rows of the store that name nothing, by table and cause, once for each change of a row.",
 		}, []string{"Table", "Cause"}),
 	}
-	registry.MustRegister(m.outcomes, m.retries, m.first, m.beginLate, m.takenBack, m.serverEnds, m.quarantined, m.announcements, m.placedMissing, m.badDatagrams, m.badRows)
+	registry.MustRegister(m.outcomes, m.retries, m.firstByte, m.startDelay, m.cancelledAttempts, m.serverCrashes, m.quarantined, m.announcements, m.placedMissing, m.badDatagrams, m.badRows)
 	return m
 }
 
-// Register adds figures that are read from the gateway itself.
+// Register adds metrics that are read from the gateway when they are collected.
 func (g *Gateway) Register(registry prometheus.Registerer) {
 	for _, table := range []Table{TableDesired, TableBackends, TableEntries} {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -88,12 +88,12 @@
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "filbertlever_gateway_running",
 			Help: "Callers' requests under way.",
-		}, func() float64 { return float64(g.running.Load()) }),
+		}, func() float64 { return float64(g.inFlight.Load()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "filbertlever_gateway_view_age_seconds",
 			Help: "Age of the read that last confirmed the desired state.",
 		}, func() float64 {
-			age, _ := g.age(boottime.Now())
+			age, _ := g.stateAge(boottime.Now())
 			return age.Seconds()
 		}),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
--- /dev/null
+++ b/internal/transport/gateway/phase.go
@@ -0,0 +1,84 @@
+package gateway
+
+import (
+	"errors"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/filbertlever/filbertlever/internal/coordination/forward"
+	"github.com/filbertlever/filbertlever/internal/transport/boottime"
+)
+
+// attemptPhase records whether an attempt started its response or was cancelled, whichever happened
+// first. It is safe for concurrent use.
+type attemptPhase struct{ state atomic.Int32 }
+
+// Phases of an attempt.
+const (
+	attemptPending int32 = iota
+	attemptStarted
+	attemptCancelled
+)
+
+// isCancelled reports whether the attempt was cancelled.
+func (p *attemptPhase) Load() bool { return p.state.Load() == attemptCancelled }
+
+// tryCancel marks the attempt as cancelled unless its response has started.
+func (p *attemptPhase) take() bool { return p.state.CompareAndSwap(attemptPending, attemptCancelled) }
+
+// watchStart cancels the attempt if its response has not started by startDeadline. The returned
+// function stops the timer.
+//
+// A request that waits at its server longer than predicted would start on a version that may not
+// answer any more, and its caller would get a response from old weights after the switchover
+// timeout. The connection is closed early enough for the server to drop the request before that.
+func (a *attempts) watchBegin(cancel func()) func() {
+	a.takenBack.state.Store(attemptPending)
+	if a.beginBy == 0 {
+		return func() {}
+	}
+	expire := func() {
+		if a.takenBack.take() {
+			cancel()
+		}
+	}
+	left := a.beginBy - boottime.Now()
+	if left <= 0 {
+		expire()
+		return a.hasBegun
+	}
+	a.startTimer = time.AfterFunc(left, expire)
+	return a.hasBegun
+}
+
+// markStarted records that the response of the current attempt has started, or that the attempt has
+// ended.
+//
+// The timer may fire while the first event is being read. Whichever comes first wins, so a response
+// that has started is not cut off.
+func (a *attempts) hasBegun() {
+	a.takenBack.state.CompareAndSwap(attemptPending, attemptStarted)
+	if a.startTimer != nil {
+		a.startTimer.Stop()
+		a.startTimer = nil
+	}
+}
+
+// handleFailedAttempt handles an attempt that got no response, or an incomplete one. If the attempt
+// was cancelled or its caller disconnected, the server is not at fault.
+func (a *attempts) handleFailedAttempt(id string, end forward.End, err error) {
+	if end == forward.EndLost {
+		a.noteIncomplete(err)
+	}
+	switch {
+	case a.callerDisconnected(), errors.Is(err, errKept), errors.Is(err, errServerLeft):
+	case a.takenBack.Load():
+		a.gateway.metrics.cancelledAttempts.WithLabelValues(a.service).Inc()
+		a.gateway.log.Info("attempt taken back", zap.String("Request", a.call.ID), zap.String("Backend", id),
+			zap.Uint64("Holds", a.last.Holds), zap.Duration("Predicted", a.last.Predicted), zap.Duration("Waited", boottime.Now()-a.placedAt))
+	case a.remaining() > 0:
+		a.reportServerFailure(id, end, err)
+	}
+}
--- a/internal/transport/gateway/placing.go
+++ b/internal/transport/gateway/placement.go
@@ -11,48 +11,49 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// place picks a server, or says why the request cannot be served.
-func (a *attempts) place(first bool) (fleet.Placement, *problem) {
+// place chooses a server, or returns the error response if none can serve the request.
+func (a *attempts) place(first bool) (fleet.Placement, *errorResponse) {
 	g := a.gateway
 	now := boottime.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if first {
-		g.budget(a.service).Fresh(now)
+		g.retryBudget(a.service).Fresh(now)
 	}
 	placement := a.choose(now)
 	fields := []zap.Field{zap.String("Request", a.call.ID), zap.String("Service", a.service),
 		zap.String("Backend", placement.Backend.ID), zap.Duration("Predicted", placement.Predicted), zap.Int("Ahead", placement.Ahead),
 		zap.Int("Weighed", placement.Weighed), zap.Duration("ReportAge", placement.ReportAge), zap.String("Why", string(placement.Reason)), zap.Bool("Cut", placement.Cut), zap.Duration("Reading", placement.Reading)}
-	fields = append(fields, a.bounds(placement, now)...)
-	fields = append(fields, g.listing(placement, now)...)
+	fields = append(fields, a.startFields(placement, now)...)
+	fields = append(fields, g.viewFields(placement, now)...)
 	if !placement.Found {
-		g.log.Info("no server", fields...)
-		return placement, busy(reasonNoServer, g.returnWhenReady(a.service, placement.ReadyIn, a.remaining(), now))
+		g.log.Info("no server available", fields...)
+		return placement, unavailable(reasonNoServer, g.retryDelayUntilReady(a.service, placement.ReadyIn, a.remaining(), now))
 	}
-	admitted, retry := g.gate.Admit(forecast(placement), admission.Caller{Left: a.remaining(), Goal: a.route.Goal}, g.rng)
+	admitted, retryAfter := g.gate.Admit(forecast(placement), admission.Caller{Left: a.remaining(), Goal: a.route.Goal}, g.rng)
 	if a.stream != nil || g.plain(a.service) {
-		// An answer that has begun goes on wherever it can, and a plain service
-		// has a queue of a few places of its own, which refuses.
+		// A stream that has started is resumed on any server. A plain service has its own short
+		// queue and refuses requests itself.
 		admitted = true
 	}
 	if !admitted {
 		g.fleet.Ended(placement.Backend.ID)
 		g.log.Info("refused", fields...)
-		return placement, busy(reasonBusy, retry)
+		return placement, unavailable(reasonBusy, retryAfter)
 	}
 	g.log.Info("placed", fields...)
-	g.notePlaced(a.service, placement)
+	g.countMissing(a.service, placement)
 	return placement, nil
 }
 
+// forecast returns the part of a placement that admission control needs.
 func forecast(p fleet.Placement) admission.Forecast {
 	return admission.Forecast{Ahead: p.Ahead, Reading: p.Reading, Predicted: p.Predicted}
 }
 
-// listing tells of a placement how old the view of the servers is, and for how long the
-// server has been missing from it.
-func (g *Gateway) listing(placement fleet.Placement, now time.Duration) []zap.Field {
+// viewFields returns log fields with the age of the view of the servers, and how long the chosen
+// server has been missing from the list.
+func (g *Gateway) viewFields(placement fleet.Placement, now time.Duration) []zap.Field {
 	fields := []zap.Field{zap.Duration("ViewAge", g.feeds.age(TableBackends, now))}
 	if placement.Missing > 0 {
 		fields = append(fields, zap.Duration("Missing", placement.Missing))
@@ -60,16 +61,16 @@
 	return fields
 }
 
-// notePlaced counts placements at servers that the list lacks.
-func (g *Gateway) notePlaced(service string, placement fleet.Placement) {
+// countMissing counts placements on servers that are missing from the list.
+func (g *Gateway) countMissing(service string, placement fleet.Placement) {
 	if placement.Missing > 0 {
 		g.metrics.placedMissing.WithLabelValues(service).Inc()
 	}
 }
 
-// bounds tells of a placement which version the server is taken to hold, and for how
-// long the attempt may wait there until it has begun.
-func (a *attempts) bounds(placement fleet.Placement, now time.Duration) []zap.Field {
+// startFields returns log fields with the version that the server is assumed to hold, and the time
+// within which the response must start.
+func (a *attempts) startFields(placement fleet.Placement, now time.Duration) []zap.Field {
 	fields := []zap.Field{zap.Uint64("Holds", placement.Holds)}
 	if a.beginBy != 0 {
 		fields = append(fields, zap.Duration("BeginIn", a.beginBy-now))
@@ -77,11 +78,10 @@
 	return fields
 }
 
-// choose picks a server, and notes when the attempt is taken back if it has not begun
-// there; the caller holds the lock.
+// choose picks a server and sets startDeadline for the attempt. The caller holds g.mu.
 func (a *attempts) choose(now time.Duration) fleet.Placement {
 	g := a.gateway
-	placement := a.pick(now)
+	placement := a.pickServer(now)
 	a.beginBy = 0
 	if !placement.Found {
 		return placement
@@ -95,20 +95,20 @@
 	return placement
 }
 
-// pick picks a server; the caller holds the lock.
+// pickServer picks a server. The caller holds g.mu.
 //
-// An answer that has begun is finished by the same weights if a server that has
-// them can go on before the caller sees a pause. During a switch few servers
-// have them, which are about to change too; then newer weights finish it, since
-// an answer that breaks off is asked for again and made by those all the same.
-func (a *attempts) pick(now time.Duration) fleet.Placement {
+// A stream that has started is continued by the same version of the weights if a server that holds
+// it can resume before the caller sees a pause. During a switchover few servers hold that version,
+// and those are about to switch too. In that case a newer version continues the stream, because the
+// caller would repeat a truncated request and get the newer version anyway.
+func (a *attempts) pickServer(now time.Duration) fleet.Placement {
 	g := a.gateway
 	wanted := a.wanted(now)
 	placement := g.fleet.Choose(wanted, now)
 	if wanted.Version == 0 {
-		return a.pickOlder(wanted, placement, now)
+		return a.pickOlderVersion(wanted, placement, now)
 	}
-	if placement.Found && placement.Predicted < a.route.Pause && !placement.Cut && a.beginsInTime(placement, now) {
+	if placement.Found && placement.Predicted < a.route.Pause && !placement.Cut && a.startsInTime(placement, now) {
 		return placement
 	}
 	if placement.Found {
@@ -118,14 +118,16 @@
 	return g.fleet.Choose(wanted, now)
 }
 
-func (a *attempts) beginsInTime(placement fleet.Placement, now time.Duration) bool {
+// startsInTime reports whether the response is predicted to start before the start deadline of the
+// server's version.
+func (a *attempts) startsInTime(placement fleet.Placement, now time.Duration) bool {
 	_, ok := a.gateway.takeBackAt(a.call.Model, now, placement)
 	return ok
 }
 
-// pickOlder picks a server with an older version for a request that finds no place
-// with the wanted one, if it surely begins there before the bound.
-func (a *attempts) pickOlder(wanted fleet.Request, found fleet.Placement, now time.Duration) fleet.Placement {
+// pickOlderVersion picks a server with an older version for a request that finds no free server
+// with the wanted one, if the response is sure to start there before the switchover timeout.
+func (a *attempts) pickOlderVersion(wanted fleet.Request, found fleet.Placement, now time.Duration) fleet.Placement {
 	g := a.gateway
 	if wanted.Least == 0 || found.Found && found.Ahead <= g.gate.Waiting {
 		return found
@@ -135,7 +137,7 @@
 	if !older.Found {
 		return found
 	}
-	if older.Ahead > 0 || !a.beginsInTime(older, now) {
+	if older.Ahead > 0 || !a.startsInTime(older, now) {
 		g.fleet.Ended(older.Backend.ID)
 		return found
 	}
@@ -145,12 +147,13 @@
 	return older
 }
 
+// isPlain reports whether a service has no inference engine.
 func (g *Gateway) plain(service string) bool {
 	state := g.state.Load()
 	return state != nil && state.Services[service].Engine == nil
 }
 
-// wanted describes the request for placement; the caller holds the lock.
+// placementRequest describes the request for placement. The caller holds g.mu.
 func (a *attempts) wanted(now time.Duration) fleet.Request {
 	request := fleet.Request{Service: a.service, Model: a.call.Model, PromptTokens: a.call.PromptTokens,
 		AnswerTokens: a.call.AnswerTokens, Final: a.Sent()+1 >= a.Class.Servers, Avoid: a.gateway.fleet.Avoid(a.tried)}
--- a/internal/transport/gateway/ports.go
+++ b/internal/transport/gateway/ports.go
@@ -1,6 +1,6 @@
-// Package gateway is an entry on an installation: it takes callers' requests,
-// places each at a backend server, and returns one whole answer. What the
-// installation speaks is behind the interfaces of this file.
+// Package gateway implements an entry: it accepts callers' requests, forwards each to a backend
+// server, and returns exactly one complete response. The interfaces in this file separate it from
+// the protocol of the installation.
 package gateway
 
 import (
@@ -18,97 +18,100 @@
 
 // Call is a caller's request.
 type Call struct {
-	// ID names one attempt of a caller.
+	// ID identifies one attempt of a caller.
 	ID     string
 	Method string
 	Host   string
-	// Path selects the route; Target is the path and query as they were sent.
+	// Path selects the route. Target is the path and query exactly as the caller sent them.
 	Path   string
 	Target string
-	// Header is what is passed on as the caller sent it.
+	// Header holds the headers that are forwarded unchanged.
 	Header http.Header
 	Key    string
-	// Bounded is true if the caller said how long it waits, which is Left.
+	// HasTimeout is true if the caller sent a timeout, which is then in Timeout.
 	Bounded bool
 	Left    time.Duration
 	// Model is empty for plain services.
 	Model        string
 	PromptTokens int
-	// AnswerTokens is how long the answer will be: the caller's guess, which is
-	// right in the middle and often far off, or else its limit; 0 if it said neither.
+	// AnswerTokens is the expected length of the answer: the caller's estimate, whose median is
+	// right but which is often far off, or otherwise the caller's limit. It is 0 if the caller sent
+	// neither.
 	AnswerTokens int
-	// LastEvent is the last event of a stream that the caller has; may be empty.
+	// LastEvent is the ID of the last stream event that the caller has received; may be empty.
 	LastEvent string
 	Body      []byte
 }
 
-// Codec reads the head of callers' requests.
+// Codec parses the head of callers' requests.
 type Codec interface {
 	Parse(r *http.Request) (*Call, error)
 }
 
-// Dispatch is a request on its way to one backend server.
+// Dispatch is a request to be sent to one backend server.
 type Dispatch struct {
 	Call         *Call
 	Backend      catalog.Backend
 	Organisation filbertlever.OrganisationID
-	// Urgency is 0 for the most urgent; negative sends none.
+	// Priority is 0 for the most urgent requests. If negative, no priority is sent.
 	Urgency int
-	// Left is the time that the server has.
+	// TimeLeft is the time that the server has to answer.
 	Left time.Duration
 	// Version is the only version of the weights that may answer; 0 means any.
 	Version uint64
-	// LastEvent is the event after which a stream goes on; may be empty.
+	// LastEvent is the ID of the event after which a stream is resumed; may be empty.
 	LastEvent string
-	// Still is asked right before the request is sent; an error says that it must not be.
+	// BeforeSend is called immediately before the request is sent. If it returns an error, the
+	// request is not sent.
 	Still func() error
 }
 
-// Reply is the head of a backend server's answer.
+// Reply is the head of a backend server's response.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Length is negative if the server did not say.
+	// Length is negative if the server did not send a length.
 	Length int64
-	// Sound is true if the answer bears the server's receipt and is as it was made.
+	// Verified is true if the response carries the server's receipt and was not altered on the way.
 	Sound bool
-	// Stream is true if the body is a series of events.
+	// Stream is true if the body is an event stream.
 	Stream bool
-	// NotRun is true if the server says that it did not run the request.
+	// NotRun is true if the server states that it did not run the request.
 	NotRun bool
-	// Moved is true if another server, or other weights, were met than expected.
+	// Misdirected is true if a different server, or different weights, were found at the address.
 	Moved bool
-	// Life names the server that answered, if it is another than expected.
+	// ActualServer identifies the server that answered if it is not the expected one.
 	Life string
-	// Leaves is true if the server says that it is about to end.
+	// Draining is true if the server announces that it is about to stop.
 	Draining bool
-	// Closes is true if the server closes the connection after the answer.
+	// ConnectionClose is true if the server closes the connection after this response.
 	Closes bool
-	// Rest is how long the server wants no more requests of this entry; 0 if it did not say.
+	// RetryAfter is how long the server wants no more requests from this entry; 0 if it did not
+	// say.
 	RetryAfter time.Duration
 	// Version is the version of the weights that answer; 0 if unknown.
 	Version uint64
-	// Finish ends the use of the channel, which is kept only after a whole answer.
+	// Finish releases the connection, which is reused only if the response was read completely.
 	Finish func(whole bool)
 }
 
-// Sender sends requests to backend servers. An error that is a
-// *channel.SendError tells whether the request may have reached the server.
+// Sender sends requests to backend servers. An error that is a *channel.SendError tells whether the
+// request may have reached the server.
 type Sender interface {
 	Send(ctx context.Context, dispatch *Dispatch) (*Reply, error)
-	// Gone reports whether nothing listens at a server's address.
+	// ConnectionRefused reports whether nothing listens at a server's address.
 	Gone(backend catalog.Backend) bool
 }
 
-// ErrHistoryGone means that a feed can no longer go on from a revision.
-var ErrHistoryGone = errors.New("the history asked for is gone")
+// ErrRevisionPruned means that a feed no longer holds all changes since the requested revision.
+var ErrHistoryGone = errors.New("the requested revision is no longer in the history")
 
-// ErrTurnedAway means that the store answers this process, or refuses its connections, and
-// does not serve it.
-var ErrTurnedAway = errors.New("the store turns this process away")
+// ErrStoreRejected means that the store is reachable but refuses to serve this process: it answers
+// with a refusal, or refuses the connection.
+var ErrTurnedAway = errors.New("the store refuses to serve this process")
 
-// Table names a table of the store by what it holds.
+// Table names a table of the store.
 type Table string
 
 // The tables.
@@ -120,47 +123,47 @@
 	TableVersions Table = "Versions"
 )
 
-// Rows are rows of a table as the store sent them.
+// Rows holds rows of a table as the store sent them.
 type Rows struct {
-	// Revision is that of the whole store.
+	// Revision is the revision of the whole store.
 	Revision uint64
-	// Raw is opaque; it is empty if there are no rows.
+	// Raw is opaque. It is empty if there are no rows.
 	Raw []byte
-	// packed is Raw as another entry told it; nil if they came from the store.
+	// compressed is Raw as another entry compressed it; nil if the rows came from the store.
 	packed []byte
 }
 
-// Cause says why a row names nothing.
+// Cause is why a row cannot be used.
 type Cause string
 
 // The causes.
 const (
-	// CauseEnvelope: it is no row of its table, or its key, revision or value cannot
-	// be had.
+	// CauseEnvelope: the row does not belong to its table, or its key, revision or value cannot be
+	// read.
 	CauseEnvelope Cause = "Envelope"
-	// CauseBytes: its value is not an object of readable fields.
+	// CauseBytes: the value is not an object of readable fields.
 	CauseBytes Cause = "Bytes"
-	// CauseSize: it is larger than any row of its table.
+	// CauseSize: the row is larger than any valid row of its table.
 	CauseSize Cause = "Size"
-	// CauseMissing and CauseType: a field is not there, or of another type.
+	// CauseMissing and CauseType: a field is missing or has the wrong type.
 	CauseMissing Cause = "Missing"
 	CauseType    Cause = "Type"
-	// CauseRange: a field is of its type, and says what cannot be.
+	// CauseRange: a field has the right type and an impossible value.
 	CauseRange Cause = "Range"
-	// CauseState and CauseService: a state that has no name here, and a service that
-	// the desired state in force does not name.
+	// CauseState and CauseService: the row has an unknown state, or a service that is not in the
+	// active desired state.
 	CauseState   Cause = "State"
 	CauseService Cause = "Service"
 )
 
-// BadRow is a row that names nothing: another program may have written it.
+// BadRow is a row that cannot be used. Another program may have written it.
 type BadRow struct {
 	Table Table
 	// Key and Revision are empty and 0 if they cannot be read.
 	Key      string
 	Revision uint64
 	Cause    Cause
-	// Err says which field, and what was expected.
+	// Err names the field and what was expected.
 	Err error
 }
 
@@ -170,7 +173,7 @@
 
 func (b BadRow) Unwrap() error { return b.Err }
 
-// Desired is the desired state, or what has changed of it.
+// Desired holds the desired state, or the changes to it.
 type Desired struct {
 	// State is nil if it has not changed.
 	State *catalog.State
@@ -178,40 +181,40 @@
 	Bad   []BadRow
 }
 
-// Backends is the list of backend servers, or what has changed of it.
+// Backends holds the list of backend servers, or the changes to it.
 type Backends struct {
 	Present []catalog.Backend
-	// Gone are also those whose row is bad now.
+	// Removed also lists servers whose row can no longer be used.
 	Gone []string
 	Bad  []BadRow
 }
 
-// Entry is how an entry registers.
+// Entry is the registration of an entry.
 type Entry struct {
 	Host   filbertlever.HostID `cbor:"1,keyasint"`
 	Site   string              `cbor:"2,keyasint"`
 	Region string              `cbor:"3,keyasint"`
-	// Callers is where callers connect, Peers where other processes do.
+	// Callers is the address for callers, Peers the one for other processes.
 	Callers string `cbor:"4,keyasint"`
 	Peers   string `cbor:"5,keyasint"`
-	// Datagrams is where heartbeats and load reports are sent.
+	// Datagrams is the address for heartbeats and load reports.
 	Datagrams string `cbor:"6,keyasint"`
-	// Incarnation names this life of the process.
+	// Incarnation identifies one lifetime of the process.
 	Incarnation filbertlever.Incarnation `cbor:"7,keyasint"`
 }
 
-// Entries is the list of entries, or what has changed of it.
+// Entries holds the list of entries, or the changes to it.
 type Entries struct {
 	Present []Entry
-	// Gone are also those whose row is bad now.
+	// Removed also lists entries whose row can no longer be used.
 	Gone []string
 	Bad  []BadRow
 }
 
-// Store is what an entry needs of the platform's store. Follow returns after
-// wait at the latest, also if nothing has changed. Desired, Backends and Entries
-// decode rows that are newer than a revision, each by itself: they fail only if
-// there are no rows to be told apart.
+// Store is an entry's access to the platform's store. Follow returns after wait at the latest, even
+// if nothing has changed. DecodeDesired, DecodeBackends and DecodeEntries decode the rows that are
+// newer than a revision. Each row is decoded on its own, so they fail only if the rows cannot be
+// separated.
 type Store interface {
 	Read(ctx context.Context, table Table) (Rows, error)
 	Follow(ctx context.Context, table Table, after uint64, wait time.Duration) (Rows, error)
@@ -220,13 +223,14 @@
 	Entries(rows Rows, after uint64) (Entries, error)
 	Register(ctx context.Context, entry Entry) error
 	Unregister(ctx context.Context, entry Entry) error
-	// Holds returns the requests that are kept from all servers, and rows that tell of none;
-	// KeepHold writes one, and DropHolds removes what is kept no more.
+	// Holds returns the quarantined requests and the rows that cannot be read. SaveHold writes one
+	// hold, and DeleteHolds removes those that have expired.
 	Holds(ctx context.Context) ([]quarantine.Hold, []BadRow, error)
 	KeepHold(ctx context.Context, hold quarantine.Hold) error
 	DropHolds(ctx context.Context, requests []quarantine.Fingerprint) error
-	// KeepVersions writes when a host learned of the named versions. Versions returns what hosts
-	// have written, as ages at the time of the call or a little more, and rows that cannot be read.
+	// SaveVersions records when a host learned of the named versions. Versions returns what hosts
+	// have recorded, as ages at the time of the call or slightly more, and the rows that cannot be
+	// read.
 	KeepVersions(ctx context.Context, host filbertlever.HostID, named []NamedAge) error
 	Versions(ctx context.Context) ([]NamedAge, []BadRow, error)
 }
--- a/internal/transport/gateway/serve.go
+++ b/internal/transport/gateway/serve.go
@@ -19,67 +19,68 @@
 
 // Bounds of callers' requests.
 const (
-	// defaultTime is a request's time if neither caller nor route bounds it.
-	defaultTime = time.Minute
-	// bodyTime bounds the reading of a body.
-	bodyTime = 5 * time.Second
-	// comeBack is when a caller should return that was refused for a reason of
-	// this process and not of load: another entry can serve it at once.
-	comeBack = 100 * time.Millisecond
-	// comeBackState is the same while no desired state is known.
-	comeBackState = 300 * time.Millisecond
-	// writeSlack is left to a caller to take the end of its answer.
-	writeSlack = time.Second
+	// defaultTimeout is used as the caller's timeout if the caller sends none.
+	defaultTimeout = time.Minute
+	// bodyReadTimeout limits the time for reading a request body.
+	bodyReadTimeout = 5 * time.Second
+	// retryAfterLocal is sent with refusals that are due to this process and not to load: another
+	// entry can serve the request immediately.
+	retryAfterLocal = 100 * time.Millisecond
+	// retryAfterNoState is sent while no desired state is known.
+	retryAfterNoState = 300 * time.Millisecond
+	// writeGracePeriod is the extra time after the deadline for writing the response to the caller.
+	writeGracePeriod = time.Second
 )
 
-// problem is a final answer of the entry's own.
-type problem struct {
+// errorResponse is a final response that the entry produces itself.
+type errorResponse struct {
 	status int
 	reason string
-	// retry is when to come back; only for requests that did not run.
-	retry time.Duration
-	// closes ends the caller's channel, whose rest cannot be trusted.
-	closes bool
+	// retryAfter is when the caller should retry; only set for requests that did not run.
+	retryAfter time.Duration
+	// closeConnection is set if the rest of the caller's connection cannot be parsed reliably.
+	closeConnection bool
 }
 
-// Reasons of the entry's own answers.
+// Reasons in responses that the entry produces itself.
 const (
-	reasonNoState   = "no desired state is known yet"
-	reasonStale     = "the view of the keys is too old"
-	reasonLeaving   = "this entry is leaving"
-	reasonBad       = "malformed request"
-	reasonHeader    = "headers are too large"
-	reasonBody      = "body is too large"
-	reasonSlowBody  = "body did not arrive in time"
-	reasonNoRoute   = "no such route"
-	reasonNoKey     = "unknown key"
-	reasonNoServer  = "no server can take the request"
-	reasonBusy      = "all servers are busy"
-	reasonRefused   = "servers refused the request"
-	reasonUnknown   = "the request may have run, its answer is lost"
-	reasonTime      = "time ran out"
-	reasonCallerEnd = "the caller left"
-	reasonBroken    = "the answer broke off"
-	// A request under which servers have ended is not run; nor is one of which the same is
-	// being tried, as the next end decides.
-	reasonQuarantined = "servers end under this request"
-	reasonAlone       = "this request is being tried at one server"
+	reasonNoState            = "no desired state is known yet"
+	reasonStale              = "the view of the keys is too old"
+	reasonDraining           = "this entry is leaving"
+	reasonMalformed          = "malformed request"
+	reasonHeaderTooLarge     = "headers are too large"
+	reasonBodyTooLarge       = "body is too large"
+	reasonBodyTimeout        = "body did not arrive in time"
+	reasonNoRoute            = "no such route"
+	reasonNoKey              = "unknown key"
+	reasonNoServer           = "no server can take the request"
+	reasonBusy               = "all servers are busy"
+	reasonRefused            = "servers refused the request"
+	reasonMayHaveRun         = "the request may have run, its answer is lost"
+	reasonTimeout            = "time ran out"
+	reasonCallerDisconnected = "the caller left"
+	reasonTruncated          = "the answer broke off"
+	// reasonQuarantined refuses a request that servers crashed under. reasonAlreadyInFlight refuses
+	// a suspected request while the same request is running at a server, because the next crash
+	// decides whether it is quarantined.
+	reasonQuarantined     = "servers end under this request"
+	reasonAlreadyInFlight = "this request is being tried at one server"
 )
 
-// ServeHTTP takes one request of a caller.
+// ServeHTTP serves one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.running.Add(1)
-	defer g.running.Add(-1)
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
 	x := &exchange{gateway: g, writer: w, request: r, arrived: time.Now()}
-	if p := x.prepare(); p != nil {
-		x.refuse(p)
+	if response := x.prepare(); response != nil {
+		x.refuse(response)
 		return
 	}
 	defer x.cancel()
 	x.run()
 }
 
-// exchange is one request of a caller and its answer.
+// exchange is one request of a caller and its response.
 type exchange struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
@@ -91,59 +92,59 @@
 	route        *catalog.Route
 	service      string
 	organisation catalog.Organisation
-	urgency      int
+	priority     int
 	deadline     time.Time
 	ctx          context.Context
 	cancel       context.CancelFunc
-	// fingerprinted is the request's fingerprint, once it was asked for.
-	fingerprinted atomic.Pointer[quarantine.Fingerprint]
-	// begun is when the first byte of an answer was sent on.
-	begun time.Time
+	// cachedFingerprint is set once the request's fingerprint has been computed.
+	cachedFingerprint atomic.Pointer[quarantine.Fingerprint]
+	// firstByteAt is when the first byte of the response was forwarded.
+	firstByteAt time.Time
 }
 
-// prepare checks everything that can be known before the request is placed.
-func (x *exchange) prepare() *problem {
+// prepare checks everything that can be checked before a server is chosen.
+func (x *exchange) prepare() *errorResponse {
 	g := x.gateway
-	if !x.accepted() {
-		return &problem{status: http.StatusServiceUnavailable, reason: reasonLeaving, retry: comeBack, closes: true}
+	if !x.accepting() {
+		return &errorResponse{status: http.StatusServiceUnavailable, reason: reasonDraining, retryAfter: retryAfterLocal, closeConnection: true}
 	}
 	call, err := g.codec.Parse(x.request)
 	if err != nil {
-		return &problem{status: http.StatusBadRequest, reason: err.Error(), closes: true}
+		return &errorResponse{status: http.StatusBadRequest, reason: err.Error(), closeConnection: true}
 	}
 	x.call = call
 	x.state = g.awaitState(x.request.Context())
 	if x.state == nil {
-		return &problem{status: http.StatusServiceUnavailable, reason: reasonNoState, retry: comeBackState}
+		return &errorResponse{status: http.StatusServiceUnavailable, reason: reasonNoState, retryAfter: retryAfterNoState}
 	}
-	if p := x.checkSize(); p != nil {
-		return p
+	if response := x.checkSize(); response != nil {
+		return response
 	}
 	route, ok := x.state.Route(call.Host, call.Path)
 	if !ok {
-		return &problem{status: http.StatusNotFound, reason: reasonNoRoute}
+		return &errorResponse{status: http.StatusNotFound, reason: reasonNoRoute}
 	}
 	x.route = route
 	x.service = route.Service(call.ID)
-	if p := x.checkKey(); p != nil {
-		return p
+	if response := x.checkKey(); response != nil {
+		return response
 	}
 	x.setDeadline()
 	return x.readBody()
 }
 
-// Times of an entry that has just started.
+// Timeouts of an entry that has just started.
 const (
-	// stateWait is how long a request waits for the desired state, which is known soon after the
-	// start. A caller that is told to come back has lost a try.
+	// stateWaitTimeout is how long a request waits for the desired state, which normally arrives
+	// soon after the start. Refusing the request would cost the caller one of its attempts.
 	stateWait = 400 * time.Millisecond
-	// stateExpected is the time since the start in which it is expected to be known
-	// soon; after that the store is away, and nothing tells for how long.
+	// startupWindow is the time after the start in which the desired state is expected to arrive
+	// soon. After that, the store is unavailable for an unknown time and requests do not wait.
 	stateExpected = 1500 * time.Millisecond
 )
 
-// awaitState returns the desired state, for which requests wait a moment while this
-// process has just started; nil if none is known.
+// awaitState returns the desired state, for which requests wait briefly while this process has just
+// started; nil if none is known.
 func (g *Gateway) awaitState(ctx context.Context) *catalog.State {
 	if state := g.state.Load(); state != nil || boottime.Now()-g.started > stateExpected {
 		return state
@@ -158,9 +159,9 @@
 	return g.state.Load()
 }
 
-// accepted reports whether new requests are taken, and asks callers of a
-// leaving entry to end their channel.
-func (x *exchange) accepted() bool {
+// accepting reports whether new requests are accepted. It asks callers of a draining entry to close
+// their connections.
+func (x *exchange) accepting() bool {
 	g := x.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -170,7 +171,8 @@
 	return g.stop.Accepts()
 }
 
-func (x *exchange) checkSize() *problem {
+// checkSize enforces the limits on the size of headers and body.
+func (x *exchange) checkSize() *errorResponse {
 	limits := x.state.Limits
 	if limits.Header > 0 {
 		size := 0
@@ -180,38 +182,39 @@
 			}
 		}
 		if size > limits.Header {
-			return &problem{status: http.StatusRequestHeaderFieldsTooLarge, reason: reasonHeader, closes: true}
+			return &errorResponse{status: http.StatusRequestHeaderFieldsTooLarge, reason: reasonHeaderTooLarge, closeConnection: true}
 		}
 	}
 	if limits.Body > 0 && x.request.ContentLength > limits.Body {
-		return &problem{status: http.StatusRequestEntityTooLarge, reason: reasonBody, closes: true}
+		return &errorResponse{status: http.StatusRequestEntityTooLarge, reason: reasonBodyTooLarge, closeConnection: true}
 	}
 	return nil
 }
 
-// checkKey finds the organisation that holds the request's key.
-func (x *exchange) checkKey() *problem {
-	x.urgency = x.route.Priority
+// checkKey finds the organisation that the request's key belongs to.
+func (x *exchange) checkKey() *errorResponse {
+	x.priority = x.route.Priority
 	if !x.state.Keyed || x.route.Anonymous {
 		return nil
 	}
-	if !x.gateway.fresh(boottime.Now()) {
-		return &problem{status: http.StatusServiceUnavailable, reason: reasonStale, retry: comeBack, closes: true}
+	if !x.gateway.keysFresh(boottime.Now()) {
+		return &errorResponse{status: http.StatusServiceUnavailable, reason: reasonStale, retryAfter: retryAfterLocal, closeConnection: true}
 	}
 	organisation, ok := x.state.Organisation(x.call.Key)
 	if !ok {
-		return &problem{status: http.StatusUnauthorized, reason: reasonNoKey}
+		return &errorResponse{status: http.StatusUnauthorized, reason: reasonNoKey}
 	}
 	x.organisation = organisation
 	if organisation.Priority >= 0 {
-		x.urgency = organisation.Priority
+		x.priority = organisation.Priority
 	}
 	return nil
 }
 
-// setDeadline bounds the request by what the caller waits and the route allows.
+// setDeadline sets the request's deadline to the smaller of the caller's timeout and the route's
+// timeout.
 func (x *exchange) setDeadline() {
-	left := defaultTime
+	left := defaultTimeout
 	if x.call.Bounded {
 		left = x.call.Left
 	}
@@ -222,14 +225,14 @@
 	x.ctx, x.cancel = context.WithDeadline(x.request.Context(), x.deadline)
 }
 
-// readBody reads the whole body, so that the request can be sent again and the
-// caller's leaving is noticed from then on.
-func (x *exchange) readBody() *problem {
+// readBody reads the whole body, so that the request can be retried and a disconnect of the caller
+// is detected from then on.
+func (x *exchange) readBody() *errorResponse {
 	if x.request.Body == nil || x.request.ContentLength == 0 {
 		return nil
 	}
 	controller := http.NewResponseController(x.writer)
-	_ = controller.SetReadDeadline(time.Now().Add(bodyTime))
+	_ = controller.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	limit := x.state.Limits.Body
 	if limit <= 0 {
 		limit = 1 << 30
@@ -238,36 +241,36 @@
 	_ = controller.SetReadDeadline(time.Time{})
 	if err != nil {
 		x.cancel()
-		return &problem{status: http.StatusRequestTimeout, reason: reasonSlowBody, closes: true}
+		return &errorResponse{status: http.StatusRequestTimeout, reason: reasonBodyTimeout, closeConnection: true}
 	}
 	if int64(len(body)) > limit {
 		x.cancel()
-		return &problem{status: http.StatusRequestEntityTooLarge, reason: reasonBody, closes: true}
+		return &errorResponse{status: http.StatusRequestEntityTooLarge, reason: reasonBodyTooLarge, closeConnection: true}
 	}
 	x.call.Body = body
 	return nil
 }
 
-// refuse gives the caller a final answer of the entry's own.
-func (x *exchange) refuse(p *problem) {
+// refuse sends an error response to the caller.
+func (x *exchange) refuse(response *errorResponse) {
 	header := x.writer.Header()
-	if p.retry > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(p.retry.Seconds(), 'f', 3, 64))
+	if response.retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(response.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	if p.closes {
+	if response.closeConnection {
 		header.Set("Connection", "close")
 	}
-	http.Error(x.writer, p.reason, p.status)
-	fields := []zap.Field{zap.Duration("RetryAfter", p.retry)}
-	if p.status == http.StatusServiceUnavailable && x.call != nil && len(x.call.Body) <= trustBody {
-		// The caller comes back under another ID; this is what stays the same.
+	http.Error(x.writer, response.reason, response.status)
+	fields := []zap.Field{zap.Duration("RetryAfter", response.retryAfter)}
+	if response.status == http.StatusServiceUnavailable && x.call != nil && len(x.call.Body) <= maxHashedBody {
+		// The caller retries under another ID. The fingerprint stays the same.
 		fields = append(fields, zap.Stringer("Fingerprint", x.fingerprint()))
 	}
-	x.ended(p.status, p.reason, fields...)
+	x.recordOutcome(response.status, response.reason, fields...)
 }
 
-// ended writes the line and the figures of a request's final answer.
-func (x *exchange) ended(status int, reason string, more ...zap.Field) {
+// recordOutcome logs the final response of a request and updates the metrics.
+func (x *exchange) recordOutcome(status int, reason string, more ...zap.Field) {
 	g := x.gateway
 	g.metrics.outcomes.WithLabelValues(x.service, outcomeName(status, reason)).Inc()
 	now := time.Now()
@@ -278,16 +281,16 @@
 		fields = append(fields, zap.String("Request", x.call.ID), zap.String("Model", x.call.Model))
 	}
 	if x.state != nil {
-		age, _ := g.age(boottime.Now())
+		age, _ := g.stateAge(boottime.Now())
 		fields = append(fields, zap.Uint64("StateVersion", x.state.Version), zap.Duration("StateAge", age))
 	}
 	if x.route != nil {
 		fields = append(fields, zap.String("Route", x.route.Name), zap.String("Service", x.service),
 			zap.String("Organisation", string(x.organisation.ID)))
 	}
-	if !x.begun.IsZero() {
-		g.metrics.first.WithLabelValues(x.service).Observe(x.begun.Sub(x.arrived).Seconds())
-		fields = append(fields, zap.Duration("First", x.begun.Sub(x.arrived)))
+	if !x.firstByteAt.IsZero() {
+		g.metrics.firstByte.WithLabelValues(x.service).Observe(x.firstByteAt.Sub(x.arrived).Seconds())
+		fields = append(fields, zap.Duration("First", x.firstByteAt.Sub(x.arrived)))
 	}
 	if reason != "" {
 		fields = append(fields, zap.String("Reason", reason))
@@ -295,14 +298,14 @@
 	g.log.Info("request ended", append(fields, more...)...)
 }
 
-// outcomeName groups final answers for counting.
+// outcomeName groups final responses for the outcome metric.
 func outcomeName(status int, reason string) string {
 	switch {
-	case reason == reasonCallerEnd:
+	case reason == reasonCallerDisconnected:
 		return "CallerLeft"
-	case reason == reasonBroken:
+	case reason == reasonTruncated:
 		return "BrokenOff"
-	case reason == reasonQuarantined, reason == reasonAlone:
+	case reason == reasonQuarantined, reason == reasonAlreadyInFlight:
 		return "Quarantined"
 	case status < http.StatusBadRequest:
 		return "Answered"
@@ -316,29 +319,29 @@
 	return "ServerFailed"
 }
 
-// callerLeft reports whether the caller itself has ended the request.
-func (x *exchange) callerLeft() bool {
+// callerDisconnected reports whether the caller itself has cancelled the request.
+func (x *exchange) callerDisconnected() bool {
 	return errors.Is(x.request.Context().Err(), context.Canceled)
 }
 
-// remaining is the time left of the request.
+// remaining returns the time until the request's deadline.
 func (x *exchange) remaining() time.Duration { return time.Until(x.deadline) }
 
-// busy is the refusal of a request that no server can take in time.
-func busy(reason string, retry time.Duration) *problem {
-	return &problem{status: http.StatusServiceUnavailable, reason: reason, retry: retry}
+// unavailable returns a 503 response with a retry delay.
+func unavailable(reason string, retryAfter time.Duration) *errorResponse {
+	return &errorResponse{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
-// returnTime is when to come back when no queue tells.
-func (g *Gateway) returnTime() time.Duration {
+// retryDelay returns when a caller should retry if no server's queue gives an estimate.
+func (g *Gateway) retryDelay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return admission.ReturnTime(0, g.rng)
 }
 
-// returnWhenReady is when to come back to a service whose servers hold nothing, one
-// of which will be ready then; the caller holds the lock.
-func (g *Gateway) returnWhenReady(service string, ready, left, now time.Duration) time.Duration {
+// retryDelayUntilReady returns when a caller should retry a service that no server can serve now.
+// Ready is when one is expected to be able to. The caller holds g.mu.
+func (g *Gateway) retryDelayUntilReady(service string, ready, left, now time.Duration) time.Duration {
 	outage, ok := g.outages[service]
 	if !ok {
 		outage = &admission.Outage{}
@@ -347,9 +350,10 @@
 	return admission.ReturnWhenReady(ready, left, outage.Refused(now), g.rng)
 }
 
-func (a *attempts) returnWhenReady() time.Duration {
+// retryDelayUntilReady is the same for a request whose last attempt found a different server.
+func (a *attempts) retryDelayUntilReady() time.Duration {
 	g, now := a.gateway, boottime.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.returnWhenReady(a.service, g.fleet.ReadyIn(a.service, now), a.remaining(), now)
+	return g.retryDelayUntilReady(a.service, g.fleet.ReadyIn(a.service, now), a.remaining(), now)
 }
--- a/internal/transport/gateway/stream.go
+++ b/internal/transport/gateway/stream.go
@@ -17,33 +17,33 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Times and sizes of streams.
+// Timeouts and limits of streams.
 const (
-	// quietPauses is how many of the longest pauses that callers accept a
-	// server may be silent before its stream goes on at another one. Callers
-	// themselves leave after eight.
-	quietPauses = 4
-	quietLeast  = 800 * time.Millisecond
-	// eventBytes bounds one event.
-	eventBytes = 1 << 20
+	// maxSilentPauses is how many times the longest pause that callers accept a server may be
+	// silent before its stream is resumed on another server. Callers themselves disconnect after
+	// eight.
+	maxSilentPauses   = 4
+	minSilenceTimeout = 800 * time.Millisecond
+	// maxEventBytes limits the size of one event.
+	maxEventBytes = 1 << 20
 )
 
-// eventStream is what a caller has of an answer made of events.
+// eventStream is what the caller has received of a streamed response.
 type eventStream struct {
 	stream.Events
-	// last is the id of the last event sent on.
-	last string
-	// version is that of the weights that began the answer.
+	// lastEvent is the ID of the last event that was forwarded.
+	lastEvent string
+	// version is the version of the weights that started the response.
 	version uint64
 	flusher *http.ResponseController
 }
 
-// relayStream sends on the events of an answer as they arrive, whole ones only.
+// relayStream forwards the events of a response as they arrive, complete events only.
 func (a *attempts) relayStream(id string, reply *Reply, cancel func()) forward.End {
 	if a.stream == nil {
 		a.beginStream(reply)
 	}
-	quiet := a.watchQuiet(cancel)
+	silence := a.watchSilence(cancel)
 	reader := bufio.NewReaderSize(reply.Body, 4<<10)
 	for first := true; ; first = false {
 		event, err := readEvent(reader)
@@ -51,24 +51,25 @@
 			a.hasBegun()
 			a.observe(id, first)
 		}
-		if quiet != nil {
-			quiet.Reset(a.quietTime())
+		if silence != nil {
+			silence.Reset(a.silenceTimeout())
 		}
 		if err == io.EOF {
 			return a.endStream(id, reply)
 		}
 		if err == nil {
-			err = a.passEvent(event)
+			err = a.forwardEvent(event)
 		}
 		if err != nil {
 			reply.Finish(false)
-			a.noteLost(id, forward.EndLost, err)
+			a.handleFailedAttempt(id, forward.EndLost, err)
 			return forward.EndLost
 		}
 	}
 }
 
-// observe tells the placement that an event came, and how long the first took.
+// recordProgress reports to the fleet that an event arrived and, for the first event, how long it
+// took.
 func (a *attempts) observe(id string, first bool) {
 	g := a.gateway
 	now := boottime.Now()
@@ -80,94 +81,100 @@
 	g.fleet.Progress(id, now)
 	if first {
 		late := now - a.placedAt - a.last.Predicted
-		g.metrics.beginLate.WithLabelValues(a.service).Observe(late.Seconds())
+		g.metrics.startDelay.WithLabelValues(a.service).Observe(late.Seconds())
 		g.fleet.Observe(id, a.last.Predicted, now-a.placedAt, now)
 	}
 }
 
-// beginStream sends the head of the first server's answer, which stays.
+// beginStream sends the head of the first server's response, which is kept when another server
+// resumes the stream.
 func (a *attempts) beginStream(reply *Reply) {
-	a.stream = &eventStream{version: reply.Version, last: a.call.LastEvent, flusher: http.NewResponseController(a.writer)}
+	a.stream = &eventStream{version: reply.Version, lastEvent: a.call.LastEvent, flusher: http.NewResponseController(a.writer)}
 	a.stream.From(eventNumber(a.call.LastEvent))
 	copyHeader(a.writer.Header(), reply.Header)
 	a.writer.WriteHeader(reply.Status)
-	_ = a.stream.flusher.SetWriteDeadline(a.deadline.Add(writeSlack))
+	_ = a.stream.flusher.SetWriteDeadline(a.deadline.Add(writeGracePeriod))
 }
 
+// endStream ends a stream that was forwarded completely.
 func (a *attempts) endStream(id string, reply *Reply) forward.End {
 	reply.Finish(true)
-	a.survived()
+	a.noteAnswered()
 	_ = a.stream.flusher.SetWriteDeadline(time.Time{})
-	a.ended(reply.Status, "", zap.String("Backend", id), zap.String("LastEvent", a.stream.last), zap.Int("Servers", a.Sent()+1))
+	a.recordOutcome(reply.Status, "", zap.String("Backend", id), zap.String("LastEvent", a.stream.lastEvent), zap.Int("Servers", a.Sent()+1))
 	return 0
 }
 
-// passEvent sends one event on unless the caller has it already.
-func (a *attempts) passEvent(event event) error {
+// forwardEvent forwards one event unless the caller already has it.
+func (a *attempts) forwardEvent(event event) error {
 	if event.id != "" {
 		switch a.stream.Next(eventNumber(event.id)) {
 		case stream.VerdictDrop:
 			return nil
 		case stream.VerdictBroken:
-			return fmt.Errorf("event %s does not follow %s", event.id, a.stream.last)
+			return fmt.Errorf("event %s is out of order after event %s", event.id, a.stream.lastEvent)
 		}
 	}
-	if a.begun.IsZero() {
-		a.begun = time.Now()
+	if a.firstByteAt.IsZero() {
+		a.firstByteAt = time.Now()
 	}
 	if _, err := a.writer.Write(event.raw); err != nil {
-		return fmt.Errorf("%w: %w", errToCaller, err)
+		return fmt.Errorf("%w: %w", errWriteToCaller, err)
 	}
 	if err := a.stream.flusher.Flush(); err != nil {
-		return fmt.Errorf("%w: %w", errToCaller, err)
+		return fmt.Errorf("%w: %w", errWriteToCaller, err)
 	}
 	if event.id != "" {
-		a.stream.last = event.id
+		a.stream.lastEvent = event.id
 	}
 	return nil
 }
 
-// watchQuiet ends an attempt whose server falls silent, if another server may
-// go on with the stream.
-func (a *attempts) watchQuiet(cancel func()) *time.Timer {
+// watchSilence cancels an attempt whose server stops sending, if another server may resume the
+// stream.
+func (a *attempts) watchSilence(cancel func()) *time.Timer {
 	if !a.Class.Repeatable || a.Sent()+1 >= a.Class.Servers || a.route.Pause <= 0 {
 		return nil
 	}
-	return time.AfterFunc(a.quietTime(), cancel)
+	return time.AfterFunc(a.silenceTimeout(), cancel)
 }
 
-func (a *attempts) quietTime() time.Duration { return max(quietPauses*a.route.Pause, quietLeast) }
+// silenceTimeout is how long a server may send nothing before its stream is resumed on another
+// server.
+func (a *attempts) silenceTimeout() time.Duration {
+	return max(maxSilentPauses*a.route.Pause, minSilenceTimeout)
+}
 
-// event is one event of a stream as it was sent.
+// event is one event of a stream as it was received.
 type event struct {
 	id  string
 	raw []byte
 }
 
-// errToCaller means that an answer could not be sent on.
-var errToCaller = errors.New("send to the caller")
+// errWriteToCaller means that a response could not be forwarded.
+var errWriteToCaller = errors.New("write to the caller")
 
-// errHalfEvent means that a stream ended within an event.
-var errHalfEvent = errors.New("stream ends within an event")
+// errIncompleteEvent means that a stream ended in the middle of an event.
+var errIncompleteEvent = errors.New("stream ended in the middle of an event")
 
-// readEvent reads up to the blank line that ends an event. It returns io.EOF
-// only if the stream ended properly between two events.
+// readEvent reads up to the blank line that ends an event. It returns io.EOF only if the stream
+// ended between two events.
 func readEvent(r *bufio.Reader) (event, error) {
 	var e event
 	for {
 		line, err := r.ReadSlice('\n')
 		e.raw = append(e.raw, line...)
-		if errors.Is(err, bufio.ErrBufferFull) && len(e.raw) < eventBytes {
+		if errors.Is(err, bufio.ErrBufferFull) && len(e.raw) < maxEventBytes {
 			continue
 		}
 		if err == io.EOF && len(e.raw) > 0 {
-			return e, errHalfEvent
+			return e, errIncompleteEvent
 		}
 		if err != nil {
 			return e, err
 		}
-		if len(e.raw) > eventBytes {
-			return e, fmt.Errorf("event of more than %d bytes", eventBytes)
+		if len(e.raw) > maxEventBytes {
+			return e, fmt.Errorf("event exceeds %d bytes", maxEventBytes)
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
@@ -179,7 +186,7 @@
 	}
 }
 
-// eventNumber returns the number of an event, or -1 if its id is none.
+// eventNumber returns the number in an event ID, or -1 if the ID is not a number.
 func eventNumber(id string) int64 {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
--- /dev/null
+++ b/internal/transport/gateway/waitqueue_test.go
@@ -0,0 +1,54 @@
+package gateway
+
+import (
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"github.com/filbertlever/filbertlever/internal/coordination/admission"
+	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
+	"github.com/filbertlever/filbertlever/internal/coordination/fleet"
+)
+
+// A request that should wait is refused, or one that waits takes the place of others. Late requests
+// wait after an outage, all requests if a server will be ready soon, and started streams whenever
+// no server is free. Requests for a plain service never wait, as it has its own queue.
+func TestWhichRequestsWaitForAServer(t *testing.T) {
+	c := qt.New(t)
+	engine := &catalog.Engine{Slots: 16}
+	g := &Gateway{}
+	g.state.Store(&catalog.State{Services: map[string]catalog.Service{"models": {Engine: engine}, "orders": {}}})
+	route := &catalog.Route{Goal: 400 * time.Millisecond, Timeout: 6 * time.Second}
+	inTime, late := 6*time.Second, 4*time.Second
+	for name, test := range map[string]struct {
+		service  string
+		left     time.Duration
+		started  bool
+		found    fleet.Placement
+		overload bool
+		want     bool
+	}{
+		"a request in time is refused":             {"models", inTime, false, fleet.Placement{Found: true}, false, false},
+		"a late request after an outage":           {"models", late, false, fleet.Placement{Found: true}, false, true},
+		"a server will be ready soon":              {"models", inTime, false, fleet.Placement{ReadyIn: time.Second}, false, true},
+		"a server will be ready too late":          {"models", late, false, fleet.Placement{ReadyIn: 2 * time.Second}, false, false},
+		"no known time at which a server is ready": {"models", late, false, fleet.Placement{}, false, false},
+		"a started stream without a server":        {"models", inTime, true, fleet.Placement{}, false, true},
+		"a started stream with a server":           {"models", inTime, true, fleet.Placement{Found: true}, false, false},
+		"a late request during a long overload":    {"models", late, false, fleet.Placement{Found: true}, true, false},
+		"a plain service":                          {"orders", late, false, fleet.Placement{Found: true}, false, false},
+	} {
+		x := &exchange{gateway: g, route: route, service: test.service, call: &Call{Bounded: true}, deadline: time.Now().Add(test.left)}
+		a := &attempts{exchange: x}
+		if test.started {
+			a.stream = &eventStream{}
+		}
+		now := 2 * admission.Recovery
+		g.outages = map[string]*admission.Outage{"models": {}}
+		if !test.overload {
+			g.outages["models"].Refused(now - time.Second)
+		}
+		c.Check(a.mayWait(test.found, now), qt.Equals, test.want, qt.Commentf(name))
+	}
+}
