--- a/internal/transport/gateway/attempts.go
+++ b/internal/transport/gateway/attempts.go
@@ -39,7 +39,7 @@
 	// deadline.
 	beginBy    time.Duration
 	startTimer *time.Timer
-	// phase tells whether the response of the current attempt has started, or whether the attempt
+	// phase records whether the response of the current attempt has started, or whether the attempt
 	// was cancelled because of startDeadline or a quarantine decision.
 	takenBack attemptPhase
 	// cancelAttempt cancels the current attempt; nil if there is none. It is guarded by the
@@ -276,11 +276,11 @@
 	return &errorResponse{status: http.StatusBadGateway, reason: reasonMayHaveRun}
 }
 
-// fail ends the request with an error of the entry's own.
+// fail ends the request with the entry's own error response.
 //
 // A response that has already started cannot be retracted, so the connection is aborted and the
-// caller sees that the response is truncated. Once a server may have run the request, the caller is
-// not told that it did not run.
+// caller sees that the response is truncated. Once a server may have run the request, the error
+// must not claim that it did not run.
 func (a *attempts) fail(response *errorResponse) {
 	if a.stream != nil {
 		a.recordOutcome(http.StatusOK, reasonTruncated, zap.String("LastEvent", a.stream.lastEvent))
--- a/internal/transport/gateway/crashes.go
+++ b/internal/transport/gateway/crashes.go
@@ -128,7 +128,7 @@
 // known whether the last server crashed.
 //
 // Without the delay, the entry would retry a truncated request at another server within a
-// millisecond, before anyone can know that the first server has crashed.
+// millisecond, before a crash of the first server can be detected.
 func (a *attempts) awaitDecision() {
 	if !a.maybeSuspected() {
 		return
@@ -243,8 +243,8 @@
 		zap.String("Seen", evidence), zap.Strings("Fingerprints", names))
 }
 
-// advanceQuarantine decides which requests are quarantined, cancels their attempts, and returns
-// what the other entries must be told. The caller holds g.mu.
+// advanceQuarantine decides which requests are quarantined, cancels their attempts, and returns the
+// reports for the other entries. The caller holds g.mu.
 func (g *Gateway) advanceCrashes(now time.Duration) []quarantine.News {
 	for _, replaced := range g.fleet.Replacements() {
 		g.noteServerCrash(replaced, "Replaced")
--- a/internal/transport/gateway/gateway.go
+++ b/internal/transport/gateway/gateway.go
@@ -27,6 +27,7 @@
 
 // Config holds the settings of a Gateway.
 type Config struct {
+	// Self is this entry's registration.
 	Self Entry
 	// Regions maps each site to its region.
 	Regions map[string]string
@@ -260,11 +261,12 @@
 // relayView gives the relay access to the origin, the holders of weights and the other entries.
 type relayView struct{ gateway *Gateway }
 
-// Origin returns the origin of weights, once this entry can know the other entries.
+// Origin returns the origin of weights. It returns none until the list of entries has been read or
+// there was time to discover other entries.
 //
-// An entry that has just started and knows no others would take itself for the one that fetches
-// every piece. After a power failure every entry would fetch its own copy and use up the origin's
-// connections.
+// An entry that has just started and has discovered no others would assume that it is the one that
+// fetches every piece. After a power failure every entry would fetch its own copy and use up the
+// origin's connections.
 func (v relayView) Origin() (address, site string, ok bool) {
 	state := v.gateway.state.Load()
 	if state == nil || !v.gateway.listed.Load() && !v.gateway.discoveryElapsed() {
--- a/internal/transport/gateway/metrics.go
+++ b/internal/transport/gateway/metrics.go
@@ -9,17 +9,17 @@
 // metrics are an entry's metrics. No label contains an organisation, so that people who read the
 // metrics do not learn which organisations send requests.
 type metrics struct {
-	outcomes          *prometheus.CounterVec
-	retries           *prometheus.CounterVec
-	firstByte         *prometheus.HistogramVec
-	startDelay        *prometheus.HistogramVec
-	cancelledAttempts *prometheus.CounterVec
-	serverCrashes     *prometheus.CounterVec
-	quarantined       prometheus.Gauge
-	announcements     *prometheus.CounterVec
-	placedMissing     *prometheus.CounterVec
-	badDatagrams      prometheus.Counter
-	badRows           *prometheus.CounterVec
+	outcomes             *prometheus.CounterVec
+	retries              *prometheus.CounterVec
+	firstByte            *prometheus.HistogramVec
+	startPredictionError *prometheus.HistogramVec
+	cancelledAttempts    *prometheus.CounterVec
+	serverCrashes        *prometheus.CounterVec
+	quarantined          prometheus.Gauge
+	announcements        *prometheus.CounterVec
+	placedMissing        *prometheus.CounterVec
+	badDatagrams         prometheus.Counter
+	badRows              *prometheus.CounterVec
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
@@ -37,7 +37,7 @@
 			Help:    "Time from a request's head to the first byte of its answer.",
 			Buckets: []float64{.01, .02, .05, .1, .15, .2, .3, .4, .6, 1, 2, 4},
 		}, []string{"Service"}),
-		startDelay: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		startPredictionError: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "filbertlever_gateway_begin_late_seconds",
 			Help:    "Time by which an answer's first event came later than predicted; below 0: sooner.",
 			Buckets: []float64{-.1, 0, .05, .1, .2, .3, .5, .7, 1, 1.5, 2, 3},
@@ -71,7 +71,7 @@
 			Help: "Rows of the store that name nothing, by table and cause, once for each change of a row.",
 		}, []string{"Table", "Cause"}),
 	}
-	registry.MustRegister(m.outcomes, m.retries, m.firstByte, m.startDelay, m.cancelledAttempts, m.serverCrashes, m.quarantined, m.announcements, m.placedMissing, m.badDatagrams, m.badRows)
+	registry.MustRegister(m.outcomes, m.retries, m.firstByte, m.startPredictionError, m.cancelledAttempts, m.serverCrashes, m.quarantined, m.announcements, m.placedMissing, m.badDatagrams, m.badRows)
 	return m
 }
 
--- a/internal/transport/gateway/ports.go
+++ b/internal/transport/gateway/ports.go
@@ -87,8 +87,7 @@
 	Draining bool
 	// ConnectionClose is true if the server closes the connection after this response.
 	Closes bool
-	// RetryAfter is how long the server wants no more requests from this entry; 0 if it did not
-	// say.
+	// RetryAfter is how long the server wants no more requests from this entry; 0 if unspecified.
 	RetryAfter time.Duration
 	// Version is the version of the weights that answer; 0 if unknown.
 	Version uint64
@@ -96,8 +95,8 @@
 	Finish func(whole bool)
 }
 
-// Sender sends requests to backend servers. An error that is a *channel.SendError tells whether the
-// request may have reached the server.
+// Sender sends requests to backend servers. An error that is a *channel.SendError indicates whether
+// the request may have reached the server.
 type Sender interface {
 	Send(ctx context.Context, dispatch *Dispatch) (*Reply, error)
 	// ConnectionRefused reports whether nothing listens at a server's address.
--- a/internal/transport/gateway/serve.go
+++ b/internal/transport/gateway/serve.go
@@ -17,7 +17,7 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Bounds of callers' requests.
+// Timeouts and retry delays of callers' requests.
 const (
 	// defaultTimeout is used as the caller's timeout if the caller sends none.
 	defaultTimeout = time.Minute
@@ -214,14 +214,14 @@
 // setDeadline sets the request's deadline to the smaller of the caller's timeout and the route's
 // timeout.
 func (x *exchange) setDeadline() {
-	left := defaultTimeout
+	timeout := defaultTimeout
 	if x.call.Bounded {
-		left = x.call.Left
+		timeout = x.call.Left
 	}
 	if x.route.Timeout > 0 {
-		left = min(left, x.route.Timeout)
+		timeout = min(timeout, x.route.Timeout)
 	}
-	x.deadline = x.arrived.Add(left)
+	x.deadline = x.arrived.Add(timeout)
 	x.ctx, x.cancel = context.WithDeadline(x.request.Context(), x.deadline)
 }
 
--- a/internal/transport/gateway/stream.go
+++ b/internal/transport/gateway/stream.go
@@ -21,7 +21,7 @@
 const (
 	// maxSilentPauses is how many times the longest pause that callers accept a server may be
 	// silent before its stream is resumed on another server. Callers themselves disconnect after
-	// eight.
+	// eight. minSilenceTimeout is the lower limit of that timeout.
 	maxSilentPauses   = 4
 	minSilenceTimeout = 800 * time.Millisecond
 	// maxEventBytes limits the size of one event.
@@ -81,7 +81,7 @@
 	g.fleet.Progress(id, now)
 	if first {
 		late := now - a.placedAt - a.last.Predicted
-		g.metrics.startDelay.WithLabelValues(a.service).Observe(late.Seconds())
+		g.metrics.startPredictionError.WithLabelValues(a.service).Observe(late.Seconds())
 		g.fleet.Observe(id, a.last.Predicted, now-a.placedAt, now)
 	}
 }
--- a/internal/transport/gateway/waitqueue.go
+++ b/internal/transport/gateway/waitqueue.go
@@ -49,7 +49,7 @@
 		return false
 	case a.stream != nil:
 		// Servers that switch their weights at the same time may leave no server for a moment.
-		// Every stream in progress would be truncated for good.
+		// Without waiting, every stream in progress would be truncated.
 		return !placement.Found
 	case placement.Found:
 		// During a long overload, a late request that waits would take the place of a request that
