--- a/internal/coordination/distribution/distribution_test.go
+++ b/internal/coordination/distribution/distribution_test.go
@@ -11,33 +11,34 @@
 
 const chunks = 256
 
-func TestReachesEveryHostNearTheBound(t *testing.T) {
+// A set of weights must reach any number of hosts in little more than the time
+// it takes one link to carry it.
+func TestWeightsReachAllHostsNearLinkSpeed(t *testing.T) {
 	c := qt.New(t)
-	times := map[int]int{}
+	ticks := map[int]int{}
 	for _, hosts := range []int{16, 64, 128} {
 		s := newSwarm(hosts, 1, chunks)
-		times[hosts] = s.run(10 * chunks)
-		t.Logf("%d hosts: %d ticks for %d chunks, %.2f copies", hosts, times[hosts], chunks, s.copies())
+		ticks[hosts] = s.run(10 * chunks)
+		t.Logf("%d hosts: %d ticks for %d chunks, %.2f copies", hosts, ticks[hosts], chunks, s.copies())
 		c.Assert(s.complete(), qt.IsTrue)
 		c.Assert(s.copies(), qt.Equals, 1.0)
-		c.Assert(float64(times[hosts]) <= 1.25*chunks, qt.IsTrue)
+		c.Assert(float64(ticks[hosts]) <= 1.25*chunks, qt.IsTrue)
 	}
-	c.Assert(float64(times[128]) <= 1.15*float64(times[16]), qt.IsTrue)
+	c.Assert(float64(ticks[128]) <= 1.15*float64(ticks[16]), qt.IsTrue)
 }
 
-// The thin lines between regions carry the model once for every host of a
-// site, and the overnight lookups stall.
-func TestCrossesToEachSiteOnce(t *testing.T) {
+// Sending a chunk to a site more than once fills the slow links between sites.
+func TestEachChunkIsSentToEachSiteOnce(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(48, 3, chunks)
 	s.run(10 * chunks)
 	c.Assert(s.complete(), qt.IsTrue)
-	c.Assert(s.between, qt.Equals, 2*chunks)
+	c.Assert(s.crossSite, qt.Equals, 2*chunks)
 }
 
-// A model never reaches some hosts, or the origin is drawn dry: hosts died
-// mid-transfer, as receivers, as relays and as the ones that draw.
-func TestHostsDieMidTransfer(t *testing.T) {
+// Hosts that fail during a transfer, whether root, relay or leaf, must neither
+// stop it nor multiply the load on the origin.
+func TestTransferCompletesWhenHostsFail(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(40, 1, chunks)
 	s.run(chunks / 4)
@@ -51,9 +52,9 @@
 	c.Assert(float64(ticks) <= 1.6*chunks, qt.IsTrue)
 }
 
-// The transfer stands still for good: links stalled without warning, and the
-// hosts behind them look alive.
-func TestLinksStallSilently(t *testing.T) {
+// Hosts whose links stall silently still look alive and must not stop the
+// transfer.
+func TestTransferCompletesWhenLinksStall(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(40, 1, chunks)
 	s.hosts[3].silent = true
@@ -64,36 +65,36 @@
 	c.Assert(s.copies() <= 1.25, qt.IsTrue)
 }
 
-// One host's memory is bad and every chunk that it passes on is corrupt; its
-// children ask it again and again.
+// A host with faulty memory sends only corrupt chunks. Its children must not
+// keep requesting chunks from it.
 func TestCorruptPeerIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(40, 1, chunks)
 	s.hosts[5].corrupt = true
 	ticks := s.run(10 * chunks)
-	c.Assert(s.spoiled <= 4*len(s.hosts), qt.IsTrue, qt.Commentf("%d corrupt chunks", s.spoiled))
+	c.Assert(s.corruptChunks <= 4*len(s.hosts), qt.IsTrue, qt.Commentf("%d corrupt chunks", s.corruptChunks))
 	t.Logf("%d ticks, %.2f copies", ticks, s.copies())
 	c.Assert(s.complete(), qt.IsTrue)
 	c.Assert(s.copies() <= 1.25, qt.IsTrue)
 	c.Assert(float64(ticks) <= 1.6*chunks, qt.IsTrue)
 }
 
-// A host that comes back empty when all others are done draws its share of the
-// model from the origin, although every peer has it.
-func TestLateJoinerTakesFromPeers(t *testing.T) {
+// A host that restarts empty after all others are complete must fetch from
+// peers and not from the origin.
+func TestLateJoinerFetchesFromPeers(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(20, 1, chunks)
 	s.run(10 * chunks)
-	before := s.drawn
+	fetchesBefore := s.originFetches
 	late := s.join(s.order[4], chunks-1)
 	s.run(10 * chunks)
 	c.Assert(late.planner.Complete(), qt.IsTrue)
-	c.Assert(s.drawn, qt.Equals, before)
+	c.Assert(s.originFetches, qt.Equals, fetchesBefore)
 }
 
-// All hosts wait for one chunk until a takeover: its root was slower than the
-// others, took its turn for long past and left the draw to them.
-func TestSlowRootStillDraws(t *testing.T) {
+// A root slower than the others must still fetch its chunks from the origin. If
+// it assumed that others took them over, all hosts would wait for a takeover.
+func TestSlowRootFetchesFromOrigin(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(2, 1, chunks)
 	slow := s.hosts[0]
@@ -108,12 +109,12 @@
 		}
 		c.Assert(i < chunks, qt.IsTrue)
 	}
-	c.Fatal("the root draws nothing")
+	c.Fatal("the root fetches nothing from the origin")
 }
 
-// The origin is down for a while in mid-transfer, and the roots hammer it or
-// never ask again.
-func TestOriginDownForAWhile(t *testing.T) {
+// During an origin outage the roots must not overload the origin with retries,
+// and they must resume afterwards.
+func TestTransferResumesAfterOriginOutage(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(20, 1, chunks)
 	s.run(chunks / 4)
@@ -126,51 +127,51 @@
 	c.Assert(s.copies() <= 1.5, qt.IsTrue, qt.Commentf("%.2f copies", s.copies()))
 }
 
-// The origin is at a trickle, and every host opens a connection to it for each
-// of its chunks at once.
-func TestFewDrawsAtATime(t *testing.T) {
+// With a very slow origin, a host must not open a connection for each of its
+// chunks at once.
+func TestOriginFetchesAreLimited(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(1, 1, chunks)
 	host := s.hosts[0]
-	draws := 0
+	fetches := 0
 	for range chunks {
 		s.now = s.now.Add(s.config.Takeover)
 		if _, ok, _ := host.planner.Next(s.now); ok {
-			draws++
+			fetches++
 		}
 	}
-	c.Assert(draws, qt.Equals, s.config.Draws)
+	c.Assert(fetches, qt.Equals, s.config.OriginWindow)
 }
 
-// One host has lost its way to the origin and the chunks whose root it is
-// never arrive anywhere; or every host draws them.
-func TestRootCutOffFromTheOrigin(t *testing.T) {
+// The chunks of a root that cannot reach the origin must be taken over, and by
+// few hosts.
+func TestRootCannotReachOrigin(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(20, 1, chunks)
-	s.hosts[4].cutOff = true
+	s.hosts[4].originUnreachable = true
 	ticks := s.run(6 * chunks)
 	t.Logf("%d ticks, %.2f copies", ticks, s.copies())
 	c.Assert(s.complete(), qt.IsTrue)
 	c.Assert(s.copies() <= 1.25, qt.IsTrue, qt.Commentf("%.2f copies", s.copies()))
 }
 
-// First tokens wait behind weights: a burst fills the link under live requests.
-func TestPaceLeavesRoomForLiveRequests(t *testing.T) {
+// A transfer at full link speed delays the first tokens of live requests.
+func TestBandwidthLimitDuringLiveRequests(t *testing.T) {
 	c := qt.New(t)
-	pace := distribution.Pace{Link: 1000, Share: distribution.DefaultShare}
-	c.Assert(pace.Rate(3) < 1000, qt.IsTrue)
-	c.Assert(math.IsInf(pace.Rate(0), 1), qt.IsTrue)
+	limit := distribution.Pace{Link: 1000, Share: distribution.DefaultShare}
+	c.Assert(limit.Rate(3) < 1000, qt.IsTrue)
+	c.Assert(math.IsInf(limit.Rate(0), 1), qt.IsTrue)
 	c.Assert(math.IsInf(distribution.Pace{}.Rate(3), 1), qt.IsTrue)
 }
 
-// A whole site is cut off while chunks are on their way, and the others wait
-// for the relays there.
-func TestSiteCutOff(t *testing.T) {
+// A site that is cut off during a transfer must not block the hosts that fetch
+// through it.
+func TestTransferCompletesWhenSiteIsCutOff(t *testing.T) {
 	c := qt.New(t)
 	s := newSwarm(30, 3, chunks)
 	s.run(chunks / 4)
-	for _, m := range s.hosts {
-		m.dead = m.dead || m.peer.Site == "site-1"
+	for _, host := range s.hosts {
+		host.dead = host.dead || host.peer.Site == "site-1"
 	}
 	ticks := s.run(10 * chunks)
 	t.Logf("%d more ticks, %.2f copies", ticks, s.copies())
--- a/internal/coordination/distribution/planner.go
+++ b/internal/coordination/distribution/planner.go
@@ -18,7 +18,7 @@
 	SourceStore
 )
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k SourceKind) String() string {
 	return [...]string{"None", "Peer", "Origin", "Store"}[k]
 }
@@ -34,37 +34,39 @@
 type Fetch struct {
 	Chunk  int
 	Source Source
-	// Below is how many hosts are below this one in the chunk's tree, at a
-	// guess: whoever serves several peers serves those with more below first.
+	// Descendants is the approximate number of hosts below this one in the
+	// chunk's tree. A host that serves several peers serves those with more
+	// descendants first.
 	Below int
-	// Probe is true if the peer must answer at once whether it has the chunk.
+	// Probe is true if the peer must answer immediately whether it has the
+	// chunk.
 	Probe bool
-	// Reason says why this source, for the log.
+	// Reason is why this source was chosen. It is logged.
 	Reason Reason
 }
 
-// Reason says why a source was chosen.
+// Reason is why a source was chosen.
 type Reason string
 
-// The reasons.
+// The reasons for choosing a source.
 const (
-	ReasonRoot     Reason = "RootOfChunk"
-	ReasonParent   Reason = "ParentInTree"
-	ReasonAncestor Reason = "ParentUnfit"
-	ReasonTakeover Reason = "Takeover"
-	ReasonStore    Reason = "OriginUnfit"
+	ReasonRoot              Reason = "RootOfChunk"
+	ReasonParent            Reason = "ParentInTree"
+	ReasonParentUnavailable Reason = "ParentUnfit"
+	ReasonTakeover          Reason = "Takeover"
+	ReasonOriginUnavailable Reason = "OriginUnfit"
 )
 
-// Failure is how a fetch failed.
+// Failure is the way in which a fetch failed.
 type Failure int
 
-// The failures.
+// The kinds of failures.
 const (
-	// FailureNotYet means that a peer is alive but lacks the chunk still.
+	// FailureNotAvailable means that a live peer does not have the chunk yet.
 	FailureNotYet Failure = iota + 1
-	// FailureError is a refused or broken connection or an error answer.
+	// FailureError is a refused or broken connection or an error response.
 	FailureError
-	// FailureStalled means that no byte came for too long.
+	// FailureStalled means that no byte arrived within the stall timeout.
 	FailureStalled
 	// FailureCorrupt means that the bytes do not match the digest.
 	FailureCorrupt
@@ -72,253 +74,269 @@
 
 // Config holds the limits of a Planner.
 type Config struct {
-	// Shape is the form of the trees; the zero value is the one in use.
+	// Shape is the form of the trees. The zero value is used in production.
 	Shape Shape
-	// Window is how many chunks are fetched from peers at once.
+	// Window limits fetches from peers: none starts while this many fetches are in
+	// flight.
 	Window int
-	// Draws is how many chunks of the whole system are drawn from the origin
-	// at about the same time: the root of chunk c waits until it has heard of
-	// chunk c-Draws. This keeps the origin's link from being split among all
-	// roots, which would delay the first whole chunk.
-	Draws int
-	// Takeover is the least time that a chunk asked for may make no progress
-	// before the host next in its tree draws it from the origin too.
+	// OriginWindow is how many chunks all hosts together fetch from the origin
+	// at about the same time: the root of chunk c waits until chunk
+	// c-OriginWindow is known to exist outside the origin. Splitting the
+	// origin's link among all roots would delay the first complete chunk.
+	OriginWindow int
+	// TakeoverTimeout is the minimum time for which a requested chunk may make
+	// no progress before the next host in its tree fetches it from the origin
+	// too.
 	Takeover time.Duration
-	// Avoid is how long a source that failed is avoided at first; a corrupt
-	// one is avoided AvoidCorrupt.
-	Avoid        time.Duration
-	AvoidCorrupt time.Duration
-	// Stragglers lets a host draw from the origin once it has all but a few
-	// chunks and these do not come, to favour time over origin bytes.
+	// Backoff is the initial backoff of a failed source. The backoff of a peer
+	// that sent a corrupt chunk is CorruptBackoff.
+	Avoid          time.Duration
+	CorruptBackoff time.Duration
+	// FetchStragglersFromOrigin lets a host fetch the last few chunks from the
+	// origin if they make no progress. It saves time at the cost of more bytes
+	// from the origin.
 	Stragglers bool
 }
 
 // DefaultConfig returns the limits used in production.
 func DefaultConfig() Config {
 	return Config{
-		Window:       24,
-		Draws:        16,
-		Takeover:     2 * time.Second,
-		Avoid:        time.Second,
-		AvoidCorrupt: time.Minute,
+		Window:         24,
+		OriginWindow:   16,
+		Takeover:       2 * time.Second,
+		Avoid:          time.Second,
+		CorruptBackoff: time.Minute,
 	}
 }
 
-// Planner carries one host's copy of one set of weights to completion. It is
-// not safe for concurrent use.
+// Planner decides the fetches that complete one host's copy of one set of
+// weights. It is not safe for concurrent use.
 type Planner struct {
 	config Config
 	self   filbertlever.HostID
 	tree   *tree
 	chunks []chunk
-	// missing counts chunks not held yet; first is the lowest of them.
-	missing int
-	first   int
-	flying  int
-	// drawing counts the fetches under way that are not from peers.
-	drawing int
-	// roots are the chunks whose root this host is, in order; those before
-	// nextRoot are held.
+	// missingCount is the number of chunks not held yet. The lowest of them is
+	// firstMissing.
+	missingCount int
+	firstMissing int
+	inFlight     int
+	// originInFlight is the number of fetches in flight from the origin or the
+	// store.
+	originInFlight int
+	// roots are the chunks for which this host is the root, in order. Those
+	// before nextRoot are held.
 	roots    []int
 	nextRoot int
-	// heard is the highest chunk known to exist outside the origin, and
-	// heardAt is when it last rose.
-	heard   int
-	heardAt time.Time
-	// joined is what heard was at the start.
-	joined int
-	// interval is the smoothed time between two chunks that arrive.
-	interval time.Duration
-	arrived  time.Time
-	sources  map[Source]*sourceState
+	// highest is the highest chunk known to exist outside the origin. It last
+	// increased at highestAt.
+	highest   int
+	highestAt time.Time
+	// highestAtStart is the value of highest when the planner was created.
+	highestAtStart int
+	// arrivalInterval is the smoothed interval between the arrivals of two
+	// chunks.
+	arrivalInterval time.Duration
+	lastArrival     time.Time
+	sources         map[Source]*sourceState
 }
 
+// chunk is the state of one chunk.
 type chunk struct {
-	held   bool
-	flying bool
-	source Source
-	// since is when the chunk was first asked for or last made progress; zero
-	// before that.
-	since time.Time
-	// probe is true if this host is the chunk's root and asks a peer before it
-	// draws: others may have taken the chunk over.
-	probe bool
-	// notBefore keeps a chunk from being asked for again at once.
-	notBefore time.Time
+	held     bool
+	inFlight bool
+	source   Source
+	// lastProgress is when the chunk was first requested or last made progress.
+	// It is zero before the first request.
+	lastProgress time.Time
+	// probePeer is true if this host is the chunk's root and must probe a peer
+	// before it fetches from the origin, since others may have taken the chunk
+	// over.
+	probePeer bool
+	// retryAt is the earliest time of the next request for the chunk.
+	retryAt time.Time
 }
 
+// sourceState is the backoff state of a source.
 type sourceState struct {
-	failures   int
-	avoidUntil time.Time
+	failures int
+	retryAt  time.Time
 }
 
-// New returns the planner of host self for a set of chunks that the hosts in
-// order all want. The order must be the same everywhere, as far as hosts agree
-// on who is there; disagreement costs time, never correctness. Heard is the
-// highest chunk already known to exist outside the origin, -1 for none.
-func New(config Config, self Peer, chunks int, order []Peer, heard int, now time.Time) *Planner {
+// New returns the planner of host self for a set of chunks that all hosts in
+// order need. The order should be the same on every host. Differences cost time
+// but do not affect correctness. The highest chunk already known to exist
+// outside the origin is highest, or -1 if there is none.
+func New(config Config, self Peer, chunks int, order []Peer, highest int, now time.Time) *Planner {
 	t := newTree(config.Shape, append(slices.Clone(order), self))
 	p := &Planner{
-		config:  config,
-		self:    self.ID,
-		tree:    t,
-		chunks:  make([]chunk, chunks),
-		missing: chunks,
-		joined:  heard,
-		heard:   heard,
-		heardAt: now,
-		arrived: now,
-		sources: map[Source]*sourceState{},
+		config:         config,
+		self:           self.ID,
+		tree:           t,
+		chunks:         make([]chunk, chunks),
+		missingCount:   chunks,
+		highestAtStart: highest,
+		highest:        highest,
+		highestAt:      now,
+		lastArrival:    now,
+		sources:        map[Source]*sourceState{},
 	}
 	for i := range p.chunks {
-		if t.place(self.ID, i).root() {
+		if t.nodeOf(self.ID, i).isRoot() {
 			p.roots = append(p.roots, i)
-			p.chunks[i].probe = p.passed(i)
+			p.chunks[i].probePeer = p.mayBeOnPeers(i)
 		}
 	}
 	return p
 }
 
 // Complete reports whether every chunk is held.
-func (p *Planner) Complete() bool { return p.missing == 0 }
+func (p *Planner) Complete() bool { return p.missingCount == 0 }
 
-// Held returns how many chunks are held.
-func (p *Planner) Held() int { return len(p.chunks) - p.missing }
+// HeldCount returns the number of chunks held.
+func (p *Planner) HeldCount() int { return len(p.chunks) - p.missingCount }
 
-// Have notes a chunk that is at hand already, as one shared by two versions.
+// MarkHeld records a chunk that is already available locally, such as one
+// shared by two versions.
 func (p *Planner) Have(i int) {
 	c := &p.chunks[i]
 	if c.held {
 		return
 	}
 	c.held = true
-	p.missing--
-	for p.first < len(p.chunks) && p.chunks[p.first].held {
-		p.first++
+	p.missingCount--
+	for p.firstMissing < len(p.chunks) && p.chunks[p.firstMissing].held {
+		p.firstMissing++
 	}
 }
 
-// Heard notes that chunk i exists outside the origin, as a peer said.
+// ObserveHighest records that chunk i exists outside the origin, as reported by
+// a peer.
 func (p *Planner) Heard(i int, now time.Time) {
-	if i > p.heard {
-		p.heard = min(i, len(p.chunks)-1)
-		p.heardAt = now
+	if i > p.highest {
+		p.highest = min(i, len(p.chunks)-1)
+		p.highestAt = now
 	}
 }
 
-// Highest returns the highest chunk known to exist outside the origin, which
-// peers are told; -1 if there is none.
-func (p *Planner) Highest() int { return p.heard }
+// Highest returns the highest chunk known to exist outside the origin, which is
+// reported to peers. It returns -1 if there is none.
+func (p *Planner) Highest() int { return p.highest }
 
-// Next returns a fetch to start now, or how long to wait until there may be one.
+// Next returns a fetch to start now, or how long to wait before the next call.
 func (p *Planner) Next(now time.Time) (fetch Fetch, ok bool, wait time.Duration) {
-	wait = p.config.Takeover / idleLooks
-	if p.missing == 0 {
+	wait = p.config.Takeover / idlePollsPerTimeout
+	if p.missingCount == 0 {
 		return Fetch{}, false, wait
 	}
-	if fetch, ok := p.nextRootDraw(now); ok {
+	if fetch, ok := p.nextRootFetch(now); ok {
 		return fetch, true, 0
 	}
-	for i := p.first; i < len(p.chunks) && p.flying < p.config.Window; i++ {
+	for i := p.firstMissing; i < len(p.chunks) && p.inFlight < p.config.Window; i++ {
 		c := &p.chunks[i]
-		if c.held || c.flying {
+		if c.held || c.inFlight {
 			continue
 		}
-		if now.Before(c.notBefore) {
-			wait = min(wait, c.notBefore.Sub(now))
+		if now.Before(c.retryAt) {
+			wait = min(wait, c.retryAt.Sub(now))
 			continue
 		}
-		if c.since.IsZero() {
-			c.since = now
+		if c.lastProgress.IsZero() {
+			c.lastProgress = now
 		}
-		if source, reason, ok := p.source(i, now); ok {
-			return p.take(i, source, reason), true, 0
+		if source, reason, ok := p.chooseSource(i, now); ok {
+			return p.start(i, source, reason), true, 0
 		}
 	}
 	return Fetch{}, false, wait
 }
 
-// idleLooks is how often in a takeover time an idle planner looks for work.
-const idleLooks = 8
+// idlePollsPerTimeout is how often an idle planner looks for work within one
+// takeover timeout.
+const idlePollsPerTimeout = 8
 
-// nextRootDraw returns the next chunk that this host must draw from the
-// origin for everybody, once its turn has come.
+// nextRootFetch returns the next chunk that this host, as its root, must fetch
+// from the origin, if that fetch is due.
 //
-// Guard: while the origin is at a trickle nothing is heard for long and the
-// turn moves on; without a bound of its own each host would open a connection
-// for every chunk whose root it is, and slow the origin down further.
-func (p *Planner) nextRootDraw(now time.Time) (Fetch, bool) {
-	if p.drawing >= p.config.Draws {
+// While the origin is very slow, no new chunk is observed for a long time and
+// the origin limit advances. Without a limit on its own fetches each host would
+// then open a connection for every chunk of which it is the root, and slow the
+// origin down further.
+func (p *Planner) nextRootFetch(now time.Time) (Fetch, bool) {
+	if p.originInFlight >= p.config.OriginWindow {
 		return Fetch{}, false
 	}
 	for p.nextRoot < len(p.roots) && p.chunks[p.roots[p.nextRoot]].held {
 		p.nextRoot++
 	}
 	for _, i := range p.roots[p.nextRoot:] {
-		if i > p.turn(now) {
+		if i > p.originLimit(now) {
 			return Fetch{}, false
 		}
 		c := &p.chunks[i]
-		if c.probe {
+		if c.probePeer {
 			continue
 		}
-		if c.held || c.flying || now.Before(c.notBefore) {
+		if c.held || c.inFlight || now.Before(c.retryAt) {
 			continue
 		}
-		source, reason := p.origin(ReasonRoot)
-		return p.take(i, source, reason), true
+		source, reason := p.originSource(ReasonRoot)
+		return p.start(i, source, reason), true
 	}
 	return Fetch{}, false
 }
 
-// turn returns the highest chunk that may be drawn from the origin now. If
-// nothing has been heard for long, the roots before may be lost, and the turn
-// moves on without them.
-func (p *Planner) turn(now time.Time) int {
-	silent := int(now.Sub(p.heardAt) / p.patience())
-	return p.heard + p.config.Draws*(1+silent)
+// originLimit returns the highest chunk that may be fetched from the origin
+// now. If the highest observed chunk has not increased for a long time, the
+// roots of earlier chunks may have failed, and the limit advances without them.
+func (p *Planner) originLimit(now time.Time) int {
+	timeouts := int(now.Sub(p.highestAt) / p.progressTimeout())
+	return p.highest + p.config.OriginWindow*(1+timeouts)
 }
 
-func (p *Planner) take(i int, source Source, reason Reason) Fetch {
+// start marks a chunk as in flight and returns its fetch.
+func (p *Planner) start(i int, source Source, reason Reason) Fetch {
 	c := &p.chunks[i]
-	c.flying = true
+	c.inFlight = true
 	c.source = source
-	p.flying++
+	p.inFlight++
 	if source.Kind != SourcePeer {
-		p.drawing++
+		p.originInFlight++
 	}
 	return Fetch{
 		Chunk:  i,
 		Source: source,
-		Below:  p.tree.below(p.self, i),
-		Probe:  source.Kind == SourcePeer && p.tree.place(p.self, i).root(),
+		Below:  p.tree.descendants(p.self, i),
+		Probe:  source.Kind == SourcePeer && p.tree.nodeOf(p.self, i).isRoot(),
 		Reason: reason,
 	}
 }
 
-// Progress notes that bytes of a chunk arrived.
-func (p *Planner) Progress(i int, now time.Time) { p.chunks[i].since = now }
+// Progress records that bytes of a chunk arrived.
+func (p *Planner) Progress(i int, now time.Time) { p.chunks[i].lastProgress = now }
 
-// Done notes that a chunk arrived and was verified.
+// Done records that a chunk arrived and was verified.
 func (p *Planner) Done(i int, now time.Time) {
-	p.land(i)
+	p.finish(i)
 	delete(p.sources, p.chunks[i].source)
-	// A wait for one lost chunk says nothing of the links; counted in full it
-	// would stretch the patience and with it the wait for the next.
-	sample := min(now.Sub(p.arrived), max(p.config.Takeover/time.Duration(p.config.Window), 2*p.interval))
-	p.interval += (sample - p.interval) / intervalSmoothing
-	p.arrived = now
+	// The wait for one lost chunk does not reflect the speed of the links.
+	// Counted in full, it would lengthen the progress timeout and with it the
+	// wait for the next chunk.
+	sample := min(now.Sub(p.lastArrival), max(p.config.Takeover/time.Duration(p.config.Window), 2*p.arrivalInterval))
+	p.arrivalInterval += (sample - p.arrivalInterval) / intervalSmoothingFactor
+	p.lastArrival = now
 	p.Have(i)
 	p.Heard(i, now)
 }
 
-// intervalSmoothing is the weight of the past in the smoothed interval.
-const intervalSmoothing = 8
+// intervalSmoothingFactor divides the weight of a new sample in the smoothed
+// interval.
+const intervalSmoothingFactor = 8
 
-// Failed notes that the fetch of a chunk failed.
+// Failed records that the fetch of a chunk failed.
 func (p *Planner) Failed(i int, failure Failure, now time.Time) {
 	source := p.chunks[i].source
-	p.land(i)
+	p.finish(i)
 	c := &p.chunks[i]
 	if failure == FailureNotYet {
 		return
@@ -328,28 +346,30 @@
 		state = &sourceState{}
 		p.sources[source] = state
 	}
-	pause := p.config.Avoid << min(state.failures, 4)
+	backoff := p.config.Avoid << min(state.failures, 4)
 	if failure == FailureCorrupt && source.Kind == SourcePeer {
-		// Guard: a peer that sends corrupt chunks would cost a transfer each
-		// time; it is avoided for the rest of a usual burst.
-		pause = p.config.AvoidCorrupt
+		// A peer that sends corrupt chunks costs one transfer each time. The
+		// backoff covers the rest of a typical transfer of a set.
+		backoff = p.config.CorruptBackoff
 	}
 	state.failures++
-	state.avoidUntil = now.Add(pause)
+	state.retryAt = now.Add(backoff)
 	if source.Kind != SourcePeer {
-		// The origin is one link for everybody: pause, rather than turn away. A
-		// root that cannot reach it asks a peer next, since others take over.
-		c.notBefore = now.Add(min(pause, p.config.Takeover/4))
-		c.probe = p.tree.place(p.self, i).root()
+		// All hosts share the origin's link, so fetches from it are delayed and
+		// not redirected. A root that cannot reach the origin probes a peer
+		// next, since other hosts take over its chunks.
+		c.retryAt = now.Add(min(backoff, p.config.Takeover/4))
+		c.probePeer = p.tree.nodeOf(p.self, i).isRoot()
 	}
 }
 
-func (p *Planner) land(i int) {
-	if p.chunks[i].flying {
-		p.chunks[i].flying = false
-		p.flying--
+// finish marks a chunk as no longer in flight.
+func (p *Planner) finish(i int) {
+	if p.chunks[i].inFlight {
+		p.chunks[i].inFlight = false
+		p.inFlight--
 		if p.chunks[i].source.Kind != SourcePeer {
-			p.drawing--
+			p.originInFlight--
 		}
 	}
 }
--- a/internal/coordination/distribution/sources.go
+++ b/internal/coordination/distribution/sources.go
@@ -1,134 +1,144 @@
 package distribution
 
-import (
-	"time"
-)
+import "time"
 
-// originFailures is after how many failures in a row the store is asked
-// instead of the origin.
-const originFailures = 2
+// maxOriginFailures is the number of consecutive failures after which the store
+// is used instead of the origin.
+const maxOriginFailures = 2
 
-// stragglerShare is the part of the chunks that counts as the last few.
-const stragglerShare = 16
+// stragglerDivisor defines the fraction of the chunks, 1/16, that counts as the
+// last few.
+const stragglerDivisor = 16
 
-// source picks the source of chunk i, or none if it is not time yet.
-func (p *Planner) source(i int, now time.Time) (Source, Reason, bool) {
-	at := p.tree.place(p.self, i)
-	if at.root() {
-		if p.chunks[i].probe {
-			p.chunks[i].probe = false
-			return p.fitAny(i, now)
+// chooseSource picks the source of chunk i. It returns false if the chunk must
+// not be fetched yet.
+func (p *Planner) chooseSource(i int, now time.Time) (Source, Reason, bool) {
+	at := p.tree.nodeOf(p.self, i)
+	if at.isRoot() {
+		if p.chunks[i].probePeer {
+			p.chunks[i].probePeer = false
+			return p.anyPeerSource(i, now)
 		}
-		// The draw of this chunk waits for its turn.
+		// nextRootFetch fetches this chunk from the origin.
 		return Source{}, "", false
 	}
-	// Guard: the root or a relay of this chunk may be cut off or silent although
-	// it seems fit. The host next in line takes over after one time of patience
-	// without progress, the one after it after two, so that a lost root costs
-	// one more copy of the chunk and not one for every host.
-	late := p.overdue(i, min(at.turns(), maxTakeovers)+1, now)
-	late = late || p.straggles() && p.overdue(i, 1, now)
-	if late && p.drawing < p.config.Draws {
-		source, reason := p.origin(ReasonTakeover)
+	// The root or a relay of this chunk may be partitioned or hung although it
+	// seems available. The next host in rank takes over after one progress
+	// timeout, the one after it after two. A failed root then costs one more
+	// copy of the chunk and not one for every host.
+	stalled := p.isStalled(i, min(at.takeoverRank(), maxTakeoverRank)+1, now)
+	stalled = stalled || p.isStraggling() && p.isStalled(i, 1, now)
+	if stalled && p.originInFlight < p.config.OriginWindow {
+		source, reason := p.originSource(ReasonTakeover)
 		return source, reason, true
 	}
-	if source, reason, ok := p.peer(i, at, now); ok {
+	if source, reason, ok := p.peerSource(i, at, now); ok {
 		return source, reason, true
 	}
-	// Every host before this one is unfit: this one is the root.
-	if i > p.turn(now) || p.drawing >= p.config.Draws {
+	// All hosts of a lower rank are unavailable, so this host acts as the root.
+	if i > p.originLimit(now) || p.originInFlight >= p.config.OriginWindow {
 		return Source{}, "", false
 	}
-	source, reason := p.origin(ReasonTakeover)
+	source, reason := p.originSource(ReasonTakeover)
 	return source, reason, true
 }
 
-// passed reports whether chunk i's turn had come before this host came, so that
-// others may have taken it over, as when the root joined late or came back
-// empty: it asks a peer first. A root that is merely slow draws its chunks at
-// once, since nobody else does.
-func (p *Planner) passed(i int) bool { return i <= p.joined }
+// mayBeOnPeers reports whether the fetch of chunk i from the origin was already
+// due when this host started. Other hosts may then have taken the chunk over,
+// for example if the root joined late or restarted empty, so the root asks a
+// peer first. A root that is only slow fetches its chunks from the origin at
+// once, since no other host does.
+func (p *Planner) mayBeOnPeers(i int) bool { return i <= p.highestAtStart }
 
-// maxTakeovers bounds the times of patience after which any host may draw a
-// chunk itself.
-const maxTakeovers = 8
+// maxTakeoverRank limits the number of progress timeouts after which any host
+// may fetch a chunk from the origin.
+const maxTakeoverRank = 8
 
-// overdue reports whether chunk i made no progress for so many times of patience.
-func (p *Planner) overdue(i, times int, now time.Time) bool {
-	since := p.chunks[i].since
-	return !since.IsZero() && now.Sub(since) > p.patience()*time.Duration(times)
+// isStalled reports whether chunk i made no progress for the given number of
+// progress timeouts.
+func (p *Planner) isStalled(i, times int, now time.Time) bool {
+	since := p.chunks[i].lastProgress
+	return !since.IsZero() && now.Sub(since) > p.progressTimeout()*time.Duration(times)
 }
 
-// patience is how long a chunk asked for may take. Chunks of a full window
-// arrive one after the other, so it grows with the time between them.
-func (p *Planner) patience() time.Duration {
-	return max(p.config.Takeover, 2*time.Duration(p.config.Window)*p.interval)
+// progressTimeout returns how long a requested chunk may make no progress.
+// Chunks of a full window arrive one after the other, so the timeout grows with
+// the interval between them.
+func (p *Planner) progressTimeout() time.Duration {
+	return max(p.config.Takeover, 2*time.Duration(p.config.Window)*p.arrivalInterval)
 }
 
-func (p *Planner) straggles() bool {
-	return p.config.Stragglers && p.missing <= max(1, len(p.chunks)/stragglerShare)
+// isStraggling reports whether only the last few chunks are missing and may be
+// fetched from the origin.
+func (p *Planner) isStraggling() bool {
+	return p.config.Stragglers && p.missingCount <= max(1, len(p.chunks)/stragglerDivisor)
 }
 
-func (p *Planner) origin(reason Reason) (Source, Reason) {
+// originSource returns the origin or, after repeated failures, the store.
+func (p *Planner) originSource(reason Reason) (Source, Reason) {
 	origin := Source{Kind: SourceOrigin}
 	store := Source{Kind: SourceStore}
-	bad, ok := p.sources[origin]
-	if !ok || bad.failures < originFailures {
+	state, ok := p.sources[origin]
+	if !ok || state.failures < maxOriginFailures {
 		return origin, reason
 	}
-	// Alternate, so that the origin's return is noticed.
-	if s, ok := p.sources[store]; ok && s.failures >= bad.failures {
+	// Alternate between the two to detect the recovery of the origin.
+	if s, ok := p.sources[store]; ok && s.failures >= state.failures {
 		return origin, reason
 	}
-	return store, ReasonStore
+	return store, ReasonOriginUnavailable
 }
 
-// peer picks the nearest fit ancestor in the chunk's tree, else a fit host
-// that comes before this one and may have taken over for the root.
-func (p *Planner) peer(i int, at place, now time.Time) (Source, Reason, bool) {
+// peerSource picks the nearest available ancestor in the chunk's tree, or else
+// an available host of a lower rank, which may have taken over for the root.
+func (p *Planner) peerSource(i int, at node, now time.Time) (Source, Reason, bool) {
 	reason := ReasonParent
-	for up := at; !up.root(); {
-		up = p.tree.parent(up)
-		if source, ok := p.fitAt(up, i, now); ok {
+	for ancestor := at; !ancestor.isRoot(); {
+		ancestor = p.tree.parent(ancestor)
+		if source, ok := p.peerAt(ancestor, i, now); ok {
 			return source, reason, true
 		}
-		reason = ReasonAncestor
+		reason = ReasonParentUnavailable
 	}
-	for local := 1; local < min(at.local, maxTakeovers); local++ {
-		if source, ok := p.fitAt(place{site: at.site, local: local}, i, now); ok {
-			return source, ReasonAncestor, true
+	for local := 1; local < min(at.local, maxTakeoverRank); local++ {
+		if source, ok := p.peerAt(node{site: at.site, local: local}, i, now); ok {
+			return source, ReasonParentUnavailable, true
 		}
 	}
 	for site := 1; site < at.site; site++ {
-		if source, ok := p.fitAt(place{site: site}, i, now); ok {
-			return source, ReasonAncestor, true
+		if source, ok := p.peerAt(node{site: site}, i, now); ok {
+			return source, ReasonParentUnavailable, true
 		}
 	}
 	return Source{}, "", false
 }
 
-// fitAny picks a fit host for a root whose chunk is long past, to probe.
-func (p *Planner) fitAny(i int, now time.Time) (Source, Reason, bool) {
-	own := len(p.tree.sites[p.tree.spots[p.self].site])
-	for local := 1; local < min(own, maxTakeovers); local++ {
-		if source, ok := p.fitAt(place{local: local}, i, now); ok {
-			return source, ReasonAncestor, true
+// anyPeerSource picks an available host for the root of a chunk that other
+// hosts may have fetched. The root probes that host.
+func (p *Planner) anyPeerSource(i int, now time.Time) (Source, Reason, bool) {
+	siteSize := len(p.tree.sites[p.tree.indexes[p.self].site])
+	for local := 1; local < min(siteSize, maxTakeoverRank); local++ {
+		if source, ok := p.peerAt(node{local: local}, i, now); ok {
+			return source, ReasonParentUnavailable, true
 		}
 	}
 	for site := 1; site < len(p.tree.sites); site++ {
-		if source, ok := p.fitAt(place{site: site}, i, now); ok {
-			return source, ReasonAncestor, true
+		if source, ok := p.peerAt(node{site: site}, i, now); ok {
+			return source, ReasonParentUnavailable, true
 		}
 	}
 	return Source{}, "", false
 }
 
-func (p *Planner) fitAt(at place, i int, now time.Time) (Source, bool) {
-	source := Source{Kind: SourcePeer, Host: p.tree.at(at, i)}
-	return source, source.Host != p.self && p.fit(source, now)
+// peerAt returns the host at a node as the source of chunk i, and whether it is
+// an available peer.
+func (p *Planner) peerAt(at node, i int, now time.Time) (Source, bool) {
+	source := Source{Kind: SourcePeer, Host: p.tree.hostAt(at, i)}
+	return source, source.Host != p.self && p.isAvailable(source, now)
 }
 
-func (p *Planner) fit(source Source, now time.Time) bool {
+// isAvailable reports whether a source is not in backoff.
+func (p *Planner) isAvailable(source Source, now time.Time) bool {
 	state, ok := p.sources[source]
-	return !ok || !now.Before(state.avoidUntil)
+	return !ok || !now.Before(state.retryAt)
 }
--- a/internal/coordination/distribution/swarm_test.go
+++ b/internal/coordination/distribution/swarm_test.go
@@ -1,39 +1,39 @@
 package distribution_test
 
 import (
-	"slices"
-
 	"fmt"
+	"slices"
 	"time"
 
 	"github.com/filbertlever/filbertlever"
 	"github.com/filbertlever/filbertlever/internal/coordination/distribution"
 )
 
-// tick is the time in which a host's link carries one chunk, in and out.
+// tick is the time in which a host's link carries one chunk in each direction.
 const tick = 10 * time.Millisecond
 
-// longPoll is how many ticks a host keeps a peer waiting for a chunk.
+// longPoll is how many ticks a host holds a peer's request for a chunk that it
+// lacks.
 const longPoll = 50
 
 var epoch = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// swarm drives the planners of hosts over links that carry one chunk a tick,
-// and an origin that carries two.
+// swarm simulates hosts whose links carry one chunk per tick and an origin that
+// carries two.
 type swarm struct {
-	config  distribution.Config
-	chunks  int
-	now     time.Time
-	ticks   int
-	hosts   []*member
-	byID    map[filbertlever.HostID]*member
-	order   []distribution.Peer
-	origin  []*request
-	drawn   int
-	between int
-	// spoiled counts the corrupt chunks delivered.
-	spoiled int
-	// originDown refuses every draw.
+	config        distribution.Config
+	chunks        int
+	now           time.Time
+	ticks         int
+	hosts         []*member
+	byID          map[filbertlever.HostID]*member
+	order         []distribution.Peer
+	origin        []*request
+	originFetches int
+	crossSite     int
+	// corruptChunks counts the corrupt chunks delivered.
+	corruptChunks int
+	// originDown fails every fetch from the origin.
 	originDown bool
 }
 
@@ -42,22 +42,24 @@
 	peer    distribution.Peer
 	planner *distribution.Planner
 	holds   map[int]bool
-	// queue are the requests at this host, oldest first.
+	// queue holds the requests at this host, oldest first.
 	queue []*request
-	// dead refuses, silent takes requests and never answers, corrupt sends
-	// wrong bytes.
+	// A dead host refuses requests, a silent one accepts them and never
+	// answers, and a corrupt one sends wrong bytes.
 	dead, silent, corrupt bool
-	// cutOff has no way to the origin.
-	cutOff bool
-	doneAt int
+	// originUnreachable fails the host's fetches from the origin.
+	originUnreachable bool
+	doneAt            int
 }
 
+// request is a fetch in flight.
 type request struct {
 	from  *member
 	fetch distribution.Fetch
 	since int
 }
 
+// newSwarm returns hosts spread evenly over sites, none of which holds a chunk.
 func newSwarm(hosts, sites, chunks int) *swarm {
 	config := distribution.DefaultConfig()
 	config.Takeover = 20 * tick
@@ -72,22 +74,24 @@
 	return s
 }
 
-func (s *swarm) join(peer distribution.Peer, heard int) *member {
-	m := &member{peer: peer, planner: distribution.New(s.config, peer, s.chunks, s.order, heard, s.now), holds: map[int]bool{}}
+// join adds a host that knows the highest chunk fetched so far.
+func (s *swarm) join(peer distribution.Peer, highest int) *member {
+	m := &member{peer: peer, planner: distribution.New(s.config, peer, s.chunks, s.order, highest, s.now), holds: map[int]bool{}}
 	s.hosts = append(s.hosts, m)
 	s.byID[peer.ID] = m
 	return m
 }
 
-// run steps until every live host is complete or most ticks have passed, and
-// returns the ticks taken.
-func (s *swarm) run(most int) int {
-	for s.ticks = 0; s.ticks < most && !s.complete(); s.ticks++ {
+// run steps until every live host is complete or maxTicks have passed, and
+// returns the number of ticks.
+func (s *swarm) run(maxTicks int) int {
+	for s.ticks = 0; s.ticks < maxTicks && !s.complete(); s.ticks++ {
 		s.step()
 	}
 	return s.ticks
 }
 
+// complete reports whether every live host holds all chunks.
 func (s *swarm) complete() bool {
 	for _, m := range s.hosts {
 		if !m.dead && !m.silent && !m.planner.Complete() {
@@ -97,6 +101,7 @@
 	return true
 }
 
+// step advances the simulation by one tick.
 func (s *swarm) step() {
 	s.now = s.now.Add(tick)
 	for _, m := range s.hosts {
@@ -116,6 +121,7 @@
 	}
 }
 
+// start begins all fetches that a host's planner allows now.
 func (s *swarm) start(m *member) {
 	for {
 		fetch, ok, _ := m.planner.Next(s.now)
@@ -124,7 +130,7 @@
 		}
 		r := &request{from: m, fetch: fetch, since: s.ticks}
 		if fetch.Source.Kind != distribution.SourcePeer {
-			if s.originDown || m.cutOff || fetch.Source.Kind == distribution.SourceStore {
+			if s.originDown || m.originUnreachable || fetch.Source.Kind == distribution.SourceStore {
 				m.planner.Failed(fetch.Chunk, distribution.FailureError, s.now)
 				continue
 			}
@@ -141,6 +147,7 @@
 	}
 }
 
+// serveOrigin serves one request at the origin and returns the remaining ones.
 func (s *swarm) serveOrigin(queue []*request, received map[*member]bool) []*request {
 	for i, r := range queue {
 		if r.from.dead {
@@ -150,13 +157,14 @@
 			continue
 		}
 		received[r.from] = true
-		s.drawn++
+		s.originFetches++
 		s.deliver(r, false)
 		return append(queue[:i:i], queue[i+1:]...)
 	}
 	return queue
 }
 
+// serve sends at most one chunk from a host to a peer.
 func (s *swarm) serve(m *member, received map[*member]bool) {
 	uploads := distribution.Uploads{}
 	ready := map[uint64]*request{}
@@ -173,16 +181,17 @@
 	r := ready[next.ID]
 	received[r.from] = true
 	if m.peer.Site != r.from.peer.Site {
-		s.between++
+		s.crossSite++
 	}
 	r.from.planner.Heard(m.planner.Highest(), s.now)
 	m.queue = slices.Delete(m.queue, int(next.ID), int(next.ID)+1)
 	s.deliver(r, m.corrupt)
 }
 
+// deliver ends a request with the chunk or with corrupt bytes.
 func (s *swarm) deliver(r *request, corrupt bool) {
 	if corrupt {
-		s.spoiled++
+		s.corruptChunks++
 		r.from.planner.Failed(r.fetch.Chunk, distribution.FailureCorrupt, s.now)
 		return
 	}
@@ -193,10 +202,11 @@
 	}
 }
 
-// expire ends requests that have waited for long: "not yet" from a live host
-// that lacks the chunk, stalled at a silent one, an error at a dead one.
+// expire ends requests at dead hosts with an error, and those that waited for
+// too long: a live host that lacks the chunk reports it as unavailable, and a
+// silent one stalls.
 func (s *swarm) expire(m *member) []*request {
-	var kept []*request
+	var remaining []*request
 	for _, r := range m.queue {
 		switch {
 		case m.dead:
@@ -207,10 +217,11 @@
 			r.from.planner.Heard(m.planner.Highest(), s.now)
 			r.from.planner.Failed(r.fetch.Chunk, distribution.FailureNotYet, s.now)
 		default:
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 		}
 	}
-	return kept
+	return remaining
 }
 
-func (s *swarm) copies() float64 { return float64(s.drawn) / float64(s.chunks) }
+// copies returns how many times the set was fetched from the origin.
+func (s *swarm) copies() float64 { return float64(s.originFetches) / float64(s.chunks) }
--- a/internal/coordination/distribution/tree.go
+++ b/internal/coordination/distribution/tree.go
@@ -1,9 +1,9 @@
 // Package distribution decides which chunk of a set of weights a host fetches
-// next and from whom. Each chunk has a tree over the hosts: its root draws the
-// chunk from the origin, every other host fetches it from its parent. Between
-// sites a chunk travels once to each; within a site it has a tree of its own.
-// The trees differ with the chunk, so each host gives out about as much as it
-// takes in.
+// next and from which source. Each chunk has its own tree over the hosts: the
+// root fetches the chunk from the origin, and every other host fetches it from
+// its parent. A chunk is sent to each site once and is then distributed along a
+// tree within the site. The trees differ from chunk to chunk, so each host
+// uploads about as much as it downloads.
 package distribution
 
 import (
@@ -12,75 +12,77 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// Peer is a host that wants a set of weights.
+// Peer is a host that needs a set of weights.
 type Peer struct {
 	ID   filbertlever.HostID
 	Site string
 }
 
-// Shape is a form of the trees. Those but ShapePerChunk are there to be
-// measured against it.
+// Shape is the form of the trees. ShapePerChunk is the one in use. The others
+// exist to be compared with it in benchmarks.
 type Shape int
 
 // The shapes.
 const (
 	// ShapePerChunk gives each chunk a tree of its own.
 	ShapePerChunk Shape = iota
-	// ShapeOneTree has one tree for all chunks: half of the hosts send nothing.
+	// ShapeOneTree uses one tree for all chunks. Half of the hosts upload
+	// nothing.
 	ShapeOneTree
-	// ShapeChain hands all chunks from host to host.
+	// ShapeChain sends all chunks along one chain of hosts.
 	ShapeChain
-	// ShapeStar has every host draw everything from the origin.
+	// ShapeStar has every host fetch everything from the origin.
 	ShapeStar
 )
 
-// arity is how many children a host has in a tree.
+// arity is the number of children of an inner node.
 const arity = 2
 
-// goldenRatio spaces the positions of consecutive chunks so that a host's
-// turns as an inner node are spread evenly over time.
+// goldenRatio spaces the offsets of consecutive chunks so that the chunks for
+// which a host is an inner node are spread evenly over the transfer.
 const goldenRatio = 0.6180339887498949
 
-// tree gives the places of hosts in the trees of all chunks.
+// tree maps hosts to nodes in the trees of all chunks.
 type tree struct {
 	shape Shape
-	// sites are in order of their first host, each with its hosts in order.
-	sites [][]filbertlever.HostID
-	spots map[filbertlever.HostID]spot
+	// sites lists the hosts of each site. Sites are in the order of their first host.
+	sites   [][]filbertlever.HostID
+	indexes map[filbertlever.HostID]hostIndex
 }
 
-// spot is where a host stands in tree.sites.
-type spot struct {
-	site, rank int
+// hostIndex locates a host in tree.sites.
+type hostIndex struct {
+	site, host int
 }
 
-// place is where a host stands in the trees of one chunk: in its site's tree,
-// and its site in the tree of sites. The root of a chunk is at place 0, 0.
-type place struct {
+// node is a position in the tree of one chunk: local is the index in the tree
+// of the site, and site is the index of the site in the tree of sites. The root
+// of a chunk is the node 0, 0.
+type node struct {
 	site, local int
 }
 
 func newTree(shape Shape, order []Peer) *tree {
-	t := &tree{shape: shape, spots: make(map[filbertlever.HostID]spot, len(order))}
-	sites := map[string]int{}
+	t := &tree{shape: shape, indexes: make(map[filbertlever.HostID]hostIndex, len(order))}
+	siteIndexes := map[string]int{}
 	for _, peer := range order {
-		if _, ok := t.spots[peer.ID]; ok {
+		if _, ok := t.indexes[peer.ID]; ok {
 			continue
 		}
-		site, ok := sites[peer.Site]
+		site, ok := siteIndexes[peer.Site]
 		if !ok {
 			site = len(t.sites)
-			sites[peer.Site] = site
+			siteIndexes[peer.Site] = site
 			t.sites = append(t.sites, nil)
 		}
-		t.spots[peer.ID] = spot{site: site, rank: len(t.sites[site])}
+		t.indexes[peer.ID] = hostIndex{site: site, host: len(t.sites[site])}
 		t.sites[site] = append(t.sites[site], peer.ID)
 	}
 	return t
 }
 
-// shift spreads chunks over n places.
-func (t *tree) shift(chunk, n int) int {
+// offset returns by how many of n positions the tree of a chunk is rotated.
+func (t *tree) offset(chunk, n int) int {
 	if t.shape != ShapePerChunk {
 		return 0
 	}
@@ -88,72 +90,77 @@
 	return int(frac * float64(n))
 }
 
-// place returns a host's place for a chunk.
-func (t *tree) place(host filbertlever.HostID, chunk int) place {
+// nodeOf returns the node of a host in the tree of a chunk.
+func (t *tree) nodeOf(host filbertlever.HostID, chunk int) node {
 	if t.shape == ShapeStar {
-		return place{}
+		return node{}
 	}
-	at := t.spots[host]
-	sites, hosts := len(t.sites), len(t.sites[at.site])
-	return place{
-		site:  (at.site + sites - t.siteShift(chunk)) % sites,
-		local: (at.rank + hosts - t.shift(chunk, hosts)) % hosts,
+	index := t.indexes[host]
+	sites, hosts := len(t.sites), len(t.sites[index.site])
+	return node{
+		site:  (index.site + sites - t.siteOffset(chunk)) % sites,
+		local: (index.host + hosts - t.offset(chunk, hosts)) % hosts,
 	}
 }
 
-// siteShift moves the root from site to site in proportion to their hosts.
-func (t *tree) siteShift(chunk int) int {
-	at := t.shift(chunk, len(t.spots))
+// siteOffset returns the site that holds the root of a chunk. Sites are chosen
+// in proportion to their number of hosts.
+func (t *tree) siteOffset(chunk int) int {
+	remaining := t.offset(chunk, len(t.indexes))
 	for site, hosts := range t.sites {
-		if at < len(hosts) {
+		if remaining < len(hosts) {
 			return site
 		}
-		at -= len(hosts)
+		remaining -= len(hosts)
 	}
 	return 0
 }
 
-// at returns the host at a place for a chunk.
-func (t *tree) at(p place, chunk int) filbertlever.HostID {
-	hosts := t.sites[(p.site+t.siteShift(chunk))%len(t.sites)]
-	return hosts[(p.local+t.shift(chunk, len(hosts)))%len(hosts)]
+// hostAt returns the host at a node in the tree of a chunk.
+func (t *tree) hostAt(n node, chunk int) filbertlever.HostID {
+	hosts := t.sites[(n.site+t.siteOffset(chunk))%len(t.sites)]
+	return hosts[(n.local+t.offset(chunk, len(hosts)))%len(hosts)]
 }
 
-// parentOf returns the parent of a place other than 0 in a tree.
-func (t *tree) parentOf(place int) int {
+// parentIndex returns the index of the parent of an index other than 0.
+func (t *tree) parentIndex(index int) int {
 	if t.shape == ShapeChain {
-		return place - 1
+		return index - 1
 	}
-	return (place - 1) / arity
+	return (index - 1) / arity
 }
 
-// parent returns the place that a place fetches from; the root has none.
-func (t *tree) parent(p place) place {
-	if p.local > 0 {
-		return place{site: p.site, local: t.parentOf(p.local)}
+// parent returns the node that n fetches from. It must not be called for the
+// root.
+func (t *tree) parent(n node) node {
+	if n.local > 0 {
+		return node{site: n.site, local: t.parentIndex(n.local)}
 	}
-	return place{site: t.parentOf(p.site)}
+	return node{site: t.parentIndex(n.site)}
 }
 
-func (p place) root() bool { return p.site == 0 && p.local == 0 }
+func (n node) isRoot() bool { return n.site == 0 && n.local == 0 }
 
-// turns is how many others take over a chunk before the host at this place.
-func (p place) turns() int { return p.site + p.local }
+// takeoverRank returns how many other hosts may take over a chunk before the
+// host at this node.
+func (n node) takeoverRank() int { return n.site + n.local }
 
-// below returns about how many hosts are below a host in the tree of a chunk.
-func (t *tree) below(host filbertlever.HostID, chunk int) int {
-	at := t.place(host, chunk)
-	below := subtree(at.local, len(t.sites[t.spots[host].site]))
-	if at.local == 0 {
-		below += (subtree(at.site, len(t.sites)) - 1) * len(t.spots) / len(t.sites)
+// descendants returns the approximate number of hosts below a host in the tree
+// of a chunk.
+func (t *tree) descendants(host filbertlever.HostID, chunk int) int {
+	n := t.nodeOf(host, chunk)
+	size := subtreeSize(n.local, len(t.sites[t.indexes[host].site]))
+	if n.local == 0 {
+		size += (subtreeSize(n.site, len(t.sites)) - 1) * len(t.indexes) / len(t.sites)
 	}
-	return below - 1
+	return size - 1
 }
 
-// subtree returns the size of the tree below and with a place among n.
-func subtree(place, n int) int {
+// subtreeSize returns the size of the subtree rooted at an index in a tree of n
+// nodes.
+func subtreeSize(root, n int) int {
 	size := 0
-	for from, to := place, place; from < n; from, to = from*arity+1, to*arity+arity {
+	for from, to := root, root; from < n; from, to = from*arity+1, to*arity+arity {
 		size += min(to, n-1) - from + 1
 	}
 	return size
--- a/internal/coordination/distribution/uploads.go
+++ b/internal/coordination/distribution/uploads.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// Upload is a peer's wish for a chunk that is at hand.
+// Upload is a peer's request for a chunk that this host holds.
 type Upload struct {
 	// ID is unique among the uploads of a host.
 	ID uint64
-	// Chunk and Below are those of the peer's Fetch.
+	// Chunk and Descendants are those of the peer's Fetch.
 	Chunk int
 	Below int
 }
 
-// before reports whether a goes out before b. Chunks go out in their order,
-// but for every host below the peer in the chunk's tree the chunk counts as
-// one place earlier: a peer that many others wait for is served first.
-func before(a, b Upload) bool {
+// sendsBefore reports whether a is sent before b. Chunks are sent in their
+// order, but each descendant of the peer in the chunk's tree moves the chunk
+// one position forward. A peer that many other hosts depend on is served first.
+func sendsBefore(a, b Upload) bool {
 	if x, y := a.Chunk-a.Below, b.Chunk-b.Below; x != y {
 		return x < y
 	}
 	return a.ID < b.ID
 }
 
-// Uploads decides which chunks a host sends at a time. Sending to every peer
-// that asks would split the link among them and delay them all: few at a time
-// reach the peers that pass the chunk on sooner. It is not safe for concurrent
-// use.
+// UploadQueue limits how many chunks a host sends at once. Sending to every
+// peer that asks would split the link and delay all of them. With few uploads
+// at a time, the peers that pass the chunk on receive it sooner. It is not safe
+// for concurrent use.
 type Uploads struct {
 	// Slots is how many chunks are sent at once.
 	Slots   int
@@ -32,7 +32,7 @@
 	waiting []Upload
 }
 
-// Offer takes a wish and reports whether it may start now.
+// Submit adds an upload and reports whether it may start now.
 func (u *Uploads) Offer(upload Upload) bool {
 	if u.sending < u.Slots {
 		u.sending++
@@ -42,7 +42,7 @@
 	return false
 }
 
-// Done notes that a started upload ended, and returns the one to start next.
+// Done records the end of a started upload and returns the one to start next.
 func (u *Uploads) Done() (next Upload, ok bool) {
 	if len(u.waiting) == 0 {
 		u.sending--
@@ -50,7 +50,7 @@
 	}
 	best := 0
 	for i := range u.waiting {
-		if before(u.waiting[i], u.waiting[best]) {
+		if sendsBefore(u.waiting[i], u.waiting[best]) {
 			best = i
 		}
 	}
@@ -59,7 +59,7 @@
 	return next, true
 }
 
-// Withdraw takes back a waiting wish, and reports whether it was waiting.
+// Cancel removes a waiting upload and reports whether it was waiting.
 func (u *Uploads) Withdraw(id uint64) bool {
 	i := slices.IndexFunc(u.waiting, func(w Upload) bool { return w.ID == id })
 	if i < 0 {
--- a/internal/coordination/relays/handover.go
+++ b/internal/coordination/relays/handover.go
@@ -13,35 +13,35 @@
 // Turnover notes when entries of the origin's site were last lost: another one has drawn
 // since for each piece that the lost one had.
 type Turnover struct {
-	present map[filbertlever.HostID]bool
-	// lostAt is when one was last found to be gone; 0 if none was.
-	lostAt time.Duration
+	atOriginSite map[filbertlever.HostID]bool
+	// lastDeparture is when one was last found to be gone; 0 if none was.
+	lastDeparture time.Duration
 }
 
 // See takes the entries that are alive.
 func (t *Turnover) See(entries []Entry, originSite string, now time.Duration) {
-	present := make(map[filbertlever.HostID]bool, len(t.present))
+	present := make(map[filbertlever.HostID]bool, len(t.atOriginSite))
 	for _, entry := range entries {
 		if entry.Site == originSite {
 			present[entry.Host] = true
 		}
 	}
-	for host := range t.present {
+	for host := range t.atOriginSite {
 		if !present[host] {
-			t.lostAt = now
+			t.lastDeparture = now
 		}
 	}
-	t.present = present
+	t.atOriginSite = present
 }
 
 // Since reports whether pieces of a version may have been drawn by another entry: it was
 // named, at a time, before this one could hear of it, which is 0 then, or an entry was
 // lost since.
-func (t *Turnover) Since(named time.Duration) bool { return named == 0 || t.lostAt > named }
+func (t *Turnover) Since(named time.Duration) bool { return named == 0 || t.lastDeparture > named }
 
-// keepersMost bounds the entries that are asked for a piece before it is drawn from the
+// maxHomesQueried bounds the entries that are asked for a piece before it is drawn from the
 // origin: so many answers together take less than the piece takes on the origin's link.
-const keepersMost = 4
+const maxHomesQueried = 4
 
 // Keepers returns the entries to ask whether they have a piece that another one may have
 // drawn: its homes, that of the own site first, as they have what they asked it for.
@@ -59,7 +59,7 @@
 	var keepers []filbertlever.HostID
 	for _, site := range sites {
 		home := Home(entries, site, piece)
-		if home != self.Host && len(keepers) < keepersMost {
+		if home != self.Host && len(keepers) < maxHomesQueried {
 			keepers = append(keepers, home)
 		}
 	}
--- a/internal/coordination/relays/handover_test.go
+++ b/internal/coordination/relays/handover_test.go
@@ -42,7 +42,7 @@
 	for _, piece := range []string{"m/2/0", "m/2/1", "m/2/2", "m/2/3"} {
 		for _, self := range entries[:3] {
 			keepers := Keepers(self, entries, piece)
-			c.Assert(keepers, qt.HasLen, keepersMost)
+			c.Assert(keepers, qt.HasLen, maxHomesQueried)
 			if home := Home(entries, "a", piece); home != self.Host {
 				c.Check(keepers[0], qt.Equals, home)
 			}
--- a/internal/coordination/relays/holders.go
+++ b/internal/coordination/relays/holders.go
@@ -16,9 +16,9 @@
 	Address string
 }
 
-// holdersAsked bounds the holders that are asked for one piece: what lies beside a
+// maxHoldersQueried bounds the holders that are asked for one piece: what lies beside a
 // server may be of another version already, and then is so at most of them.
-const holdersAsked = 2
+const maxHoldersQueried = 2
 
 // HoldersOf returns the holders to ask for a piece, one after the other, by rendezvous
 // hashing, so that all give out about as much.
@@ -27,7 +27,7 @@
 	slices.SortFunc(ranked, func(a, b Holder) int {
 		return cmp.Or(cmp.Compare(holderScore(b, piece), holderScore(a, piece)), cmp.Compare(a.Backend, b.Backend))
 	})
-	return ranked[:min(len(ranked), holdersAsked)]
+	return ranked[:min(len(ranked), maxHoldersQueried)]
 }
 
 func holderScore(h Holder, piece string) uint64 {
--- a/internal/coordination/relays/holders_test.go
+++ b/internal/coordination/relays/holders_test.go
@@ -18,7 +18,7 @@
 	asked := map[string]int{}
 	for piece := range 96 {
 		ways := HoldersOf(holders, fmt.Sprint("drafter/1/", piece))
-		c.Assert(ways, qt.HasLen, holdersAsked)
+		c.Assert(ways, qt.HasLen, maxHoldersQueried)
 		asked[ways[0].Backend]++
 	}
 	for backend, n := range asked {
--- a/internal/coordination/relays/relays.go
+++ b/internal/coordination/relays/relays.go
@@ -30,7 +30,7 @@
 		if entry.Site != site {
 			continue
 		}
-		own := score(entry, piece)
+		own := entryScore(entry, piece)
 		if best == "" || cmp.Or(cmp.Compare(own, bestScore), cmp.Compare(entry.Host, best)) > 0 {
 			best, bestScore = entry.Host, own
 		}
@@ -50,25 +50,25 @@
 			far = append(far, entry)
 		}
 	}
-	ways := rank(near, piece)
-	ways = ways[:min(len(ways), waysNear)]
-	others := rank(far, piece)
-	return append(ways, others[:min(len(others), waysFar)]...)
+	ways := rankEntries(near, piece)
+	ways = ways[:min(len(ways), maxSameSiteCandidates)]
+	others := rankEntries(far, piece)
+	return append(ways, others[:min(len(others), maxOtherSiteCandidates)]...)
 }
 
 // waysNear and waysFar bound an agent's ways: hosts of one site fail together, and
 // bytes between sites are scarce.
 const (
-	waysNear = 3
-	waysFar  = 2
+	maxSameSiteCandidates  = 3
+	maxOtherSiteCandidates = 2
 )
 
-// rank orders entries for a piece, the home first.
-func rank(entries []Entry, piece string) []filbertlever.HostID {
+// rankEntries orders entries for a piece, the home first.
+func rankEntries(entries []Entry, piece string) []filbertlever.HostID {
 	scores := make(map[filbertlever.HostID]uint64, len(entries))
 	hosts := make([]filbertlever.HostID, 0, len(entries))
 	for _, entry := range entries {
-		scores[entry.Host] = score(entry, piece)
+		scores[entry.Host] = entryScore(entry, piece)
 		hosts = append(hosts, entry.Host)
 	}
 	slices.SortFunc(hosts, func(a, b filbertlever.HostID) int {
@@ -77,14 +77,14 @@
 	return hosts
 }
 
-func score(entry Entry, piece string) uint64 {
+func entryScore(entry Entry, piece string) uint64 {
 	return xxhash.Sum64String(piece + "\x00" + string(entry.Host))
 }
 
 // Turn returns the place of an entry in the order of a site's entries for a piece, 0 for its home.
 func Turn(self filbertlever.HostID, entries []Entry, site, piece string) int {
 	near := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.Site != site })
-	return slices.Index(rank(near, piece), self)
+	return slices.Index(rankEntries(near, piece), self)
 }
 
 // Role is what an entry is asked as for a piece.
@@ -100,10 +100,10 @@
 	RoleDrawer
 )
 
-// drawersMost is how many entries draw from the origin. More of them, each with
+// maxOriginFetchers is how many entries draw from the origin. More of them, each with
 // a part of the pieces, share the origin's thin link: while some still draw one
 // version, others have begun the next, and the first pieces come later.
-const drawersMost = 4
+const maxOriginFetchers = 4
 
 // Drawer returns the entry that draws a piece from the origin, one of a few at
 // the origin's site. It is empty if there is none.
@@ -117,7 +117,7 @@
 	slices.SortFunc(ranked, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(string(a.Host)), xxhash.Sum64String(string(b.Host))), cmp.Compare(a.Host, b.Host))
 	})
-	return Home(ranked[:min(len(ranked), drawersMost)], originSite, piece)
+	return Home(ranked[:min(len(ranked), maxOriginFetchers)], originSite, piece)
 }
 
 // RoleOf returns the role that an entry has for a piece whoever asks.
--- a/internal/coordination/relays/relays_test.go
+++ b/internal/coordination/relays/relays_test.go
@@ -83,7 +83,7 @@
 		pieces[Drawer(many, "a", key)]++
 		homes[Home(many, "a", key)] = true
 	}
-	c.Assert(len(pieces), qt.Equals, drawersMost)
+	c.Assert(len(pieces), qt.Equals, maxOriginFetchers)
 	for host, n := range pieces {
 		c.Check(n >= 8 && n <= 24, qt.IsTrue, qt.Commentf("%s draws %d of 64", host, n))
 	}
--- a/internal/coordination/relays/slots.go
+++ b/internal/coordination/relays/slots.go
@@ -11,7 +11,7 @@
 	// Last reports whether a waiter goes after all others for now; nil if none does.
 	Last    func(Waiter) bool
 	free    int
-	waiting []Waiter
+	waiters []Waiter
 }
 
 // Waiter is one who waits for a place.
@@ -29,22 +29,22 @@
 // Take takes a place for a version, or lets the waiter wait for one.
 func (s *Slots) Take(model string, version uint64) Waiter {
 	w := Waiter{Model: model, Version: version, Granted: make(chan struct{})}
-	s.waiting = append(s.waiting, w)
-	s.grant()
+	s.waiters = append(s.waiters, w)
+	s.grantFree()
 	return w
 }
 
 // OtherFirst reports whether one who waits for a place goes before a version.
 func (s *Slots) OtherFirst(model string, version uint64) bool {
 	asked := Waiter{Model: model, Version: version}
-	return slices.ContainsFunc(s.waiting, func(w Waiter) bool { return s.before(w, asked) })
+	return slices.ContainsFunc(s.waiters, func(w Waiter) bool { return s.precedes(w, asked) })
 }
 
-// before reports whether one goes before another who asked earlier.
+// precedes reports whether one goes before another who asked earlier.
 //
 // Guard: versions of two models are numbered each for itself, and the last pieces of one
 // waited behind the whole of another; only within a model is a lower number older.
-func (s *Slots) before(w, other Waiter) bool {
+func (s *Slots) precedes(w, other Waiter) bool {
 	if s.Last != nil {
 		if last := s.Last(w); last != s.Last(other) {
 			return !last
@@ -56,32 +56,32 @@
 // Give gives a place back.
 func (s *Slots) Give() {
 	s.free++
-	s.grant()
+	s.grantFree()
 }
 
 // Leave ends a waiter's wait; it returns false if it has a place already, which
 // it must give back.
 func (s *Slots) Leave(w Waiter) bool {
-	for i, other := range s.waiting {
+	for i, other := range s.waiters {
 		if other.Granted == w.Granted {
-			s.waiting = slices.Delete(s.waiting, i, i+1)
+			s.waiters = slices.Delete(s.waiters, i, i+1)
 			return true
 		}
 	}
 	return false
 }
 
-// grant gives free places to those who go first.
-func (s *Slots) grant() {
-	for s.free > 0 && len(s.waiting) > 0 {
+// grantFree gives free places to those who go first.
+func (s *Slots) grantFree() {
+	for s.free > 0 && len(s.waiters) > 0 {
 		first := 0
-		for i, w := range s.waiting {
-			if s.before(w, s.waiting[first]) {
+		for i, w := range s.waiters {
+			if s.precedes(w, s.waiters[first]) {
 				first = i
 			}
 		}
-		close(s.waiting[first].Granted)
-		s.waiting = slices.Delete(s.waiting, first, first+1)
+		close(s.waiters[first].Granted)
+		s.waiters = slices.Delete(s.waiters, first, first+1)
 		s.free--
 	}
 }
--- a/internal/coordination/switchover/fetch.go
+++ b/internal/coordination/switchover/fetch.go
@@ -20,9 +20,9 @@
 	if newest == nil || newest.Whole {
 		return 0, false
 	}
-	inTime := c.suffices(oldest, newest, now, each)
-	missed := c.missed(oldest, now, each)
-	if missed && c.sooner(oldest, newest, now, each) {
+	inTime := c.isNewestInTime(oldest, newest, now, each)
+	missed := c.missesDeadline(oldest, now, each)
+	if missed && c.oldestReducesDowntime(oldest, newest, now, each) {
 		return oldest.Version, true
 	}
 	if held == 0 || oldest.Whole || inTime || missed {
@@ -31,19 +31,19 @@
 	return oldest.Version, true
 }
 
-// suffices reports whether fetching the newest version alone leaves servers half of the turns that
+// isNewestInTime reports whether fetching the newest version alone leaves servers half of the turns that
 // they have before the bound of the oldest one.
-func (c Config) suffices(oldest, newest *Named, now, each time.Duration) bool {
-	return now+c.needs(newest, each) <= oldest.Since+(c.Ready+c.last())/2
+func (c Config) isNewestInTime(oldest, newest *Named, now, each time.Duration) bool {
+	return now+c.timeToServe(newest, each) <= oldest.Since+(c.PreparationTime+c.latestStart())/2
 }
 
-// begunShare is the part of a set from which on it is finished although a newer version suffices:
+// keepFetchingShare is the part of a set from which on it is finished although a newer version suffices:
 // should the source fail meanwhile, the servers have at least one of them before the bound.
-const begunShare = 0.25
+const keepFetchingShare = 0.25
 
-// begun reports whether so much of a version has come that it is finished.
-func (n *Named) begun() bool {
-	return n.Whole || n.Known && float64(n.Pieces-n.Left) >= begunShare*float64(n.Pieces)
+// isWellUnderway reports whether so much of a version has come that it is finished.
+func (n *Named) isWellUnderway() bool {
+	return n.Whole || n.Known && float64(n.Pieces-n.Left) >= keepFetchingShare*float64(n.Pieces)
 }
 
 // Skips reports whether a version is left out since the newest one alone suffices.
@@ -57,39 +57,39 @@
 		if n.Version != version || n == newest {
 			continue
 		}
-		return now >= newest.Since && !n.begun() && c.suffices(n, newest, now, each)
+		return now >= newest.Since && !n.isWellUnderway() && c.isNewestInTime(n, newest, now, each)
 	}
 	return false
 }
 
-// changeTime is what a server without requests takes to lay and load a version.
-const changeTime = 500 * time.Millisecond
+// switchTime is what a server without requests takes to lay and load a version.
+const switchTime = 500 * time.Millisecond
 
-// needs is how long it takes until a server serves a version that is fetched from
+// timeToServe is how long it takes until a server serves a version that is fetched from
 // now on, if each piece takes so long.
-func (c Config) needs(n *Named, each time.Duration) time.Duration {
+func (c Config) timeToServe(n *Named, each time.Duration) time.Duration {
 	switch {
 	case n.Whole:
-		return changeTime
+		return switchTime
 	case n.Known:
-		return time.Duration(n.Left)*each + changeTime
+		return time.Duration(n.Left)*each + switchTime
 	}
-	return c.Ready
+	return c.PreparationTime
 }
 
-// sooner reports whether fetching the older of two versions first leaves the server
+// oldestReducesDowntime reports whether fetching the older of two versions first leaves the server
 // without an answer for less time, until the newer one is served, than fetching the
 // newer one at once. Until the newer one's bound the older one may answer.
-func (c Config) sooner(oldest, newest *Named, now, each time.Duration) bool {
+func (c Config) oldestReducesDowntime(oldest, newest *Named, now, each time.Duration) bool {
 	if !oldest.Known || oldest.Whole || oldest == newest {
 		return false
 	}
-	served := now + c.needs(oldest, each)
+	served := now + c.timeToServe(oldest, each)
 	until := c.AnswersUntil(newest.Since)
 	if served >= until {
 		return false
 	}
-	direct := c.needs(newest, each)
+	direct := c.timeToServe(newest, each)
 	first := served - now + max(now+time.Duration(oldest.Left)*each+direct-until, 0)
 	return first < direct
 }
@@ -98,7 +98,7 @@
 // longer than fetching them puts off another one, which alone may answer from a time on.
 func Worth(left int, each, now, until time.Duration) bool {
 	takes := time.Duration(left) * each
-	return until-(now+takes+changeTime) > takes
+	return until-(now+takes+switchTime) > takes
 }
 
 // Abandons reports whether the fetching of a version is to be given up for the
@@ -112,13 +112,13 @@
 	for i := range named {
 		n := &named[i]
 		if n.Version == version && n != newest {
-			return c.Skips(version, named, now, each) || c.missed(n, now, each) && !c.sooner(n, newest, now, each)
+			return c.Skips(version, named, now, each) || c.missesDeadline(n, now, each) && !c.oldestReducesDowntime(n, newest, now, each)
 		}
 	}
 	return false
 }
 
-// missed reports whether a version that is fetched from now on misses its bound.
-func (c Config) missed(n *Named, now, each time.Duration) bool {
-	return now+c.needs(n, each) > n.Since+c.Bound
+// missesDeadline reports whether a version that is fetched from now on misses its bound.
+func (c Config) missesDeadline(n *Named, now, each time.Duration) bool {
+	return now+c.timeToServe(n, each) > n.Since+c.Bound
 }
--- a/internal/coordination/switchover/pace.go
+++ b/internal/coordination/switchover/pace.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// pieceTime is what one piece is taken to need while neither pieces nor the link's rate tell: twice
+// defaultPieceTime is what one piece is taken to need while neither pieces nor the link's rate tell: twice
 // the time over a thin link.
-const pieceTime = 88 * time.Millisecond
+const defaultPieceTime = 88 * time.Millisecond
 
 const (
-	// paceShare is the weight of the newest piece: half of the estimate is of the
+	// newestSampleWeight is the weight of the newest piece: half of the estimate is of the
 	// last ten.
-	paceShare = 0.07
-	// pauseLeast is a pause between two pieces that tells of a source that was away,
+	newestSampleWeight = 0.07
+	// minOutagePause is a pause between two pieces that tells of a source that was away,
 	// and not of its rate.
-	pauseLeast = 400 * time.Millisecond
+	minOutagePause = 400 * time.Millisecond
 )
 
 // Pace estimates what each piece of a set takes, from when pieces came. The zero
@@ -25,21 +25,21 @@
 // up.
 type Pace struct {
 	// First is the estimate until pieces have come; pieceTime if 0.
-	First time.Duration
-	last  time.Duration
-	each  time.Duration
+	First       time.Duration
+	lastPieceAt time.Duration
+	estimate    time.Duration
 }
 
 // Came notes that a piece has come.
 func (p *Pace) Came(now time.Duration) {
-	since := now - p.last
-	known := p.last != 0
-	p.last = now
-	if !known || since > pauseLeast {
+	since := now - p.lastPieceAt
+	known := p.lastPieceAt != 0
+	p.lastPieceAt = now
+	if !known || since > minOutagePause {
 		return
 	}
-	p.each = p.Each()
-	p.each += time.Duration(paceShare * float64(since-p.each))
+	p.estimate = p.Each()
+	p.estimate += time.Duration(newestSampleWeight * float64(since-p.estimate))
 }
 
 // PieceTime returns what a piece takes over a link of a rate in bytes a second; 0 if that is unknown.
@@ -52,5 +52,5 @@
 
 // Each returns what one piece takes.
 func (p *Pace) Each() time.Duration {
-	return cmp.Or(p.each, p.First, pieceTime)
+	return cmp.Or(p.estimate, p.First, defaultPieceTime)
 }
--- a/internal/coordination/switchover/switchover.go
+++ b/internal/coordination/switchover/switchover.go
@@ -10,18 +10,18 @@
 	// Bound is the time from the naming of a version to when no request may
 	// begin on an older one.
 	Bound time.Duration
-	// Ready is the time kept for every server to have the weights laid beside it
+	// PreparationTime is the time kept for every server to have the weights laid beside it
 	// and to have been quiet for Quiet.
-	Ready time.Duration
+	PreparationTime time.Duration
 	// Quiet is how long before its change a server gets no new requests, so that
 	// fewer answers have to go on elsewhere.
 	Quiet time.Duration
-	// Load is how long one server takes to change.
-	Load time.Duration
-	// Reserve is kept for delays before the bound.
-	Reserve time.Duration
-	// Queue is how long a request may wait in a server's queue before it begins.
-	Queue time.Duration
+	// LoadTime is how long one server takes to change.
+	LoadTime time.Duration
+	// Margin is kept for delays before the bound.
+	Margin time.Duration
+	// MaxQueueDelay is how long a request may wait in a server's queue before it begins.
+	MaxQueueDelay time.Duration
 	// Pass is the longest that an engine works without a look at what was taken back.
 	Pass time.Duration
 }
@@ -32,22 +32,22 @@
 	return c
 }
 
-// readyShare is the least part of a bound that is kept for fetching: thinner origins go with longer
+// minPreparationShare is the least part of a bound that is kept for fetching: thinner origins go with longer
 // bounds.
-const readyShare = 0.45
+const minPreparationShare = 0.45
 
-// queueMost is what a request waits in a server's queue at most, beside others that the entries
+// maxQueueDelay is what a request waits in a server's queue at most, beside others that the entries
 // have not yet heard of, and as much again for safety.
-const queueMost = 1500 * time.Millisecond
+const maxQueueDelay = 1500 * time.Millisecond
 
-// layTime is what it takes to lay a set beside its server and check it.
-const layTime = 200 * time.Millisecond
+// stagingTime is what it takes to lay a set beside its server and check it.
+const stagingTime = 200 * time.Millisecond
 
 // DefaultConfig returns the times for a bound.
 func DefaultConfig(bound time.Duration) Config {
 	const fetch, quiet = 2700 * time.Millisecond, 500 * time.Millisecond
-	ready := max(fetch+layTime+quiet, time.Duration(readyShare*float64(bound)))
-	return Config{Bound: bound, Ready: ready, Quiet: quiet, Load: 400 * time.Millisecond, Reserve: 200 * time.Millisecond, Queue: queueMost}
+	ready := max(fetch+stagingTime+quiet, time.Duration(minPreparationShare*float64(bound)))
+	return Config{Bound: bound, PreparationTime: ready, Quiet: quiet, LoadTime: 400 * time.Millisecond, Margin: 200 * time.Millisecond, MaxQueueDelay: maxQueueDelay}
 }
 
 // Named is a version that operators have named.
@@ -64,42 +64,42 @@
 	Known  bool
 }
 
-// last is how long after the naming a server may begin its change at the latest.
-func (c Config) last() time.Duration { return max(c.Bound-c.Reserve-c.Load, 0) }
+// latestStart is how long after the naming a server may begin its change at the latest.
+func (c Config) latestStart() time.Duration { return max(c.Bound-c.Margin-c.LoadTime, 0) }
 
-// Turn returns how long after the naming of a version the server at a place
+// StartOffset returns how long after the naming of a version the server at a place
 // among count servers begins its change. Turns are spread evenly over the time
 // between being ready and the latest begin.
-func (c Config) Turn(place, count int) time.Duration {
-	last := c.last()
-	if last <= c.Ready || count <= 1 {
-		return min(c.Ready, last)
+func (c Config) StartOffset(place, count int) time.Duration {
+	last := c.latestStart()
+	if last <= c.PreparationTime || count <= 1 {
+		return min(c.PreparationTime, last)
 	}
-	return c.Ready + (last-c.Ready)*time.Duration(place)/time.Duration(count-1)
+	return c.PreparationTime + (last-c.PreparationTime)*time.Duration(place)/time.Duration(count-1)
 }
 
 // Strict returns how long after the naming of a version requests are sent to servers
 // that hold it if there are any, and say so: the queue of another one would hold them
 // until they are taken back.
 func (c Config) Strict() time.Duration {
-	return max(c.Bound-max(c.Queue, hearing+c.Pass+closeWay+startLate+usualStart), 0)
+	return max(c.Bound-max(c.MaxQueueDelay, propagationDelay+c.Pass+closeDelay+startMargin+typicalStartDelay), 0)
 }
 
-// usualStart is what a request takes at most to begin at a server with a free place.
-const usualStart = 300 * time.Millisecond
+// typicalStartDelay is what a request takes at most to begin at a server with a free place.
+const typicalStartDelay = 300 * time.Millisecond
 
-// hearing is what an entry hears of a named version later than the store
+// propagationDelay is what an entry hears of a named version later than the store
 // acknowledged it while the store is sound, with room for relays on its way.
-const hearing = 150 * time.Millisecond
+const propagationDelay = 150 * time.Millisecond
 
-// startLate is how much later than predicted a request may begin without being taken
+// startMargin is how much later than predicted a request may begin without being taken
 // back: most are late by less. Each tenth of a second more leaves callers without an
 // answer for so much longer, each less has some more told that they may have run.
-const startLate = 100 * time.Millisecond
+const startMargin = 100 * time.Millisecond
 
-// closeWay is how long it takes until a server knows that a connection was closed, also by an entry
+// closeDelay is how long it takes until a server knows that a connection was closed, also by an entry
 // under load.
-const closeWay = 200 * time.Millisecond
+const closeDelay = 200 * time.Millisecond
 
 // MayBegin reports whether a request that is sent now to a server with a version
 // older than one named at since begins there before it would be taken back, if its
@@ -108,12 +108,12 @@
 // Gain: with the origin away while a version is named, no server holds it at its
 // bound. Until then the older one answers.
 func (c Config) MayBegin(since, now, predicted time.Duration) bool {
-	return now+predicted+startLate <= c.TakeBackAt(since)
+	return now+predicted+startMargin <= c.TakeBackAt(since)
 }
 
 // BeginBy returns when every request must have begun that is answered by a version
 // older than one named at since.
-func (c Config) BeginBy(since time.Duration) time.Duration { return since + c.Bound - hearing }
+func (c Config) BeginBy(since time.Duration) time.Duration { return since + c.Bound - propagationDelay }
 
 // TakeBackAt returns when requests that have not begun by then are taken back from
 // servers with a version older than one named at since.
@@ -123,13 +123,13 @@
 // same: requests that were taken back at the last moment began on old weights 50 to 190
 // ms after their bound. The close is on its way, and a whole pass is over, before it.
 func (c Config) TakeBackAt(since time.Duration) time.Duration {
-	return c.BeginBy(since) - c.Pass - closeWay
+	return c.BeginBy(since) - c.Pass - closeDelay
 }
 
 // AnswersUntil returns until when a version older than one named at since may be the
 // one to answer new requests.
 func (c Config) AnswersUntil(since time.Duration) time.Duration {
-	return c.TakeBackAt(since) - startLate
+	return c.TakeBackAt(since) - startMargin
 }
 
 // Next returns the version that a server at a place should change to, and when
@@ -157,22 +157,22 @@
 		}
 	}
 	if held != 0 && oldest != nil {
-		begin = c.begin(oldest.Since, wholeAt, place, count)
+		begin = c.startTime(oldest.Since, wholeAt, place, count)
 	}
 	return version, begin, ok
 }
 
-// begin returns when a server begins its change to a version named at since that
+// startTime returns when a server begins its change to a version named at since that
 // has been whole on the hosts since wholeAt: its turn in the time that is left, as all
 // hosts have the weights at about the same time.
 //
 // Guard: where the weights come late, as after an outage of the origin, turns that count from the
 // naming have passed; all servers would change at once and leave none for the answers under way.
-func (c Config) begin(since, wholeAt time.Duration, place, count int) time.Duration {
+func (c Config) startTime(since, wholeAt time.Duration, place, count int) time.Duration {
 	if wholeAt == 0 {
-		return since + c.Turn(place, count)
+		return since + c.StartOffset(place, count)
 	}
-	first, last := wholeAt+layTime+c.Quiet, since+c.last()
+	first, last := wholeAt+stagingTime+c.Quiet, since+c.latestStart()
 	if first >= last || count <= 1 {
 		return min(first, max(wholeAt, last))
 	}
@@ -194,9 +194,9 @@
 	return false
 }
 
-// reportAge is how much older than its asking a server's own report may be: some hundred
+// maxReportDelay is how much older than its asking a server's own report may be: some hundred
 // milliseconds, and the way of a request that was sent before.
-const reportAge = 500 * time.Millisecond
+const maxReportDelay = 500 * time.Millisecond
 
 // Still reports whether nothing waits or runs at a server that is idle: it holds nothing,
 // what was to be taken back has been, or its own report, the last of which without a
@@ -213,7 +213,7 @@
 		if n.Version <= held || c.Bound <= 0 {
 			continue
 		}
-		if now >= c.BeginBy(n.Since) || emptyAt >= c.AnswersUntil(n.Since)+reportAge {
+		if now >= c.BeginBy(n.Since) || emptyAt >= c.AnswersUntil(n.Since)+maxReportDelay {
 			return true
 		}
 	}
--- a/internal/coordination/switchover/switchover_test.go
+++ b/internal/coordination/switchover/switchover_test.go
@@ -17,10 +17,10 @@
 	const count = 27
 	away := 0
 	for place := range count {
-		turn := config.Turn(place, count)
-		c.Assert(turn >= config.Ready, qt.IsTrue)
-		c.Assert(turn+config.Load+config.Reserve <= bound, qt.IsTrue)
-		if turn < config.Ready+config.Load+config.Quiet {
+		turn := config.StartOffset(place, count)
+		c.Assert(turn >= config.PreparationTime, qt.IsTrue)
+		c.Assert(turn+config.LoadTime+config.Margin <= bound, qt.IsTrue)
+		if turn < config.PreparationTime+config.LoadTime+config.Quiet {
 			away++
 		}
 	}
@@ -37,7 +37,7 @@
 	version, begin, ok := config.Next(1, named, 26, 27)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(2))
-	c.Assert(begin, qt.Equals, config.Turn(26, 27))
+	c.Assert(begin, qt.Equals, config.StartOffset(26, 27))
 }
 
 // The same, but the third version is there when the turn comes: one change
@@ -48,7 +48,7 @@
 	named := []Named{{Version: 2, Since: 0, Whole: true}, {Version: 3, Since: time.Second, Whole: true}}
 	version, begin, _ := config.Next(1, named, 26, 27)
 	c.Assert(version, qt.Equals, uint64(3))
-	c.Assert(begin, qt.Equals, config.Turn(26, 27))
+	c.Assert(begin, qt.Equals, config.StartOffset(26, 27))
 	_, _, ok := config.Next(3, named, 26, 27)
 	c.Assert(ok, qt.IsFalse)
 }
@@ -69,7 +69,7 @@
 	c := qt.New(t)
 	config := DefaultConfig(bound)
 	named := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 500 * time.Millisecond}}
-	version, ok := config.Fetches(1, named, 500*time.Millisecond, pieceTime)
+	version, ok := config.Fetches(1, named, 500*time.Millisecond, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(3))
 }
@@ -80,11 +80,11 @@
 	c := qt.New(t)
 	config := DefaultConfig(bound)
 	named := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 3 * time.Second}}
-	version, ok := config.Fetches(1, named, 3*time.Second, pieceTime)
+	version, ok := config.Fetches(1, named, 3*time.Second, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(2))
 	named[0].Whole = true
-	version, ok = config.Fetches(1, named, 3*time.Second, pieceTime)
+	version, ok = config.Fetches(1, named, 3*time.Second, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(3))
 }
@@ -95,7 +95,7 @@
 	c := qt.New(t)
 	config := DefaultConfig(bound)
 	named := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 2 * time.Second}}
-	version, ok := config.Fetches(1, named, bound, pieceTime)
+	version, ok := config.Fetches(1, named, bound, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(3))
 }
@@ -108,7 +108,7 @@
 	for _, bound := range []time.Duration{bound, 10300 * time.Millisecond} {
 		config := DefaultConfig(bound)
 		c.Assert(config.Strict()+770*time.Millisecond < bound, qt.IsTrue)
-		c.Assert(config.Strict() > config.Ready, qt.IsTrue)
+		c.Assert(config.Strict() > config.PreparationTime, qt.IsTrue)
 	}
 }
 
@@ -134,13 +134,13 @@
 	}
 	for _, test := range tests {
 		test.left.Version, test.newer.Version = 2, 3
-		version, ok := config.Fetches(1, []Named{test.left, test.newer}, now, pieceTime)
+		version, ok := config.Fetches(1, []Named{test.left, test.newer}, now, defaultPieceTime)
 		c.Check(ok, qt.IsTrue)
 		c.Check(version, qt.Equals, test.want, qt.Commentf(test.name))
 		// What is being fetched is given up only for a better reason than time.
-		c.Check(config.Abandons(2, []Named{test.left, test.newer}, now, pieceTime), qt.Equals, test.want == 3, qt.Commentf(test.name))
-		c.Check(config.Abandons(3, []Named{test.left, test.newer}, now, pieceTime), qt.IsFalse)
-		c.Check(config.Abandons(2, []Named{test.left, test.newer}, 0, pieceTime), qt.IsFalse)
+		c.Check(config.Abandons(2, []Named{test.left, test.newer}, now, defaultPieceTime), qt.Equals, test.want == 3, qt.Commentf(test.name))
+		c.Check(config.Abandons(3, []Named{test.left, test.newer}, now, defaultPieceTime), qt.IsFalse)
+		c.Check(config.Abandons(2, []Named{test.left, test.newer}, 0, defaultPieceTime), qt.IsFalse)
 	}
 }
 
@@ -167,14 +167,14 @@
 	c := qt.New(t)
 	config := DefaultConfig(bound)
 	const since, usual = 3 * time.Second, 160 * time.Millisecond
-	refusedBefore := config.Queue
+	refusedBefore := config.MaxQueueDelay
 	last := since
 	for now := since; now < since+2*bound; now += 10 * time.Millisecond {
 		if config.MayBegin(since, now, usual) {
 			last = now
 		}
 	}
-	c.Assert(last+usual+290*time.Millisecond+hearing <= since+bound, qt.IsTrue)
+	c.Assert(last+usual+290*time.Millisecond+propagationDelay <= since+bound, qt.IsTrue)
 	c.Assert(since+bound-last < refusedBefore/2, qt.IsTrue, qt.Commentf("refused for %v", since+bound-last))
 	c.Assert(config.MayBegin(since, last, 500*time.Millisecond), qt.IsFalse)
 }
@@ -188,7 +188,7 @@
 	config := DefaultConfig(bound)
 	named := []Named{{Version: 2, Left: 4, Known: true}, {Version: 3, Since: 2 * time.Second, Left: 96, Known: true}}
 	const back = 8500 * time.Millisecond
-	version, _ := config.Fetches(1, named, back, pieceTime)
+	version, _ := config.Fetches(1, named, back, defaultPieceTime)
 	c.Assert(version, qt.Equals, uint64(3))
 	var pace Pace
 	now := time.Second
@@ -217,12 +217,12 @@
 	var begins []time.Duration
 	for place := range count {
 		_, begin, _ := config.Next(1, named, place, count)
-		c.Assert(begin >= wholeAt && begin <= config.last(), qt.IsTrue)
+		c.Assert(begin >= wholeAt && begin <= config.latestStart(), qt.IsTrue)
 		begins = append(begins, begin)
 	}
 	away := 0
 	for _, begin := range begins {
-		if begin < wholeAt+config.Load {
+		if begin < wholeAt+config.LoadTime {
 			away++
 		}
 	}
@@ -252,8 +252,8 @@
 		{held: 1, now: by - 1},
 		{held: 1, now: by, want: true},
 		// This report may not show what was sent last.
-		{held: 1, now: by - 1, emptyAt: until + reportAge - 1},
-		{held: 1, now: by - 1, emptyAt: until + reportAge, want: true},
+		{held: 1, now: by - 1, emptyAt: until + maxReportDelay - 1},
+		{held: 1, now: by - 1, emptyAt: until + maxReportDelay, want: true},
 		{held: 2, now: by + time.Hour, emptyAt: by + time.Hour},
 	}
 	for _, test := range tests {
