--- a/internal/coordination/relays/handover_test.go
+++ b/internal/coordination/relays/handover_test.go
@@ -13,7 +13,7 @@
 // The origin sends a version three times over its thin link: the entries that draw it are
 // stopped in turn, and each that follows draws what the one before had drawn. Only then
 // are others asked first; each call is time before a draw.
-func TestOthersMayHaveDrawnAfterALoss(t *testing.T) {
+func TestPieceMayBeOnPeersAfterEntryDeparted(t *testing.T) {
 	c := qt.New(t)
 	const named = 10 * time.Second
 	all := []Entry{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}}
@@ -31,7 +31,7 @@
 
 // A piece crosses as few borders as can be: the entry of the own site is asked first, and
 // all that may hold a piece are homes of it.
-func TestKeepersAreTheHomesTheOwnSiteFirst(t *testing.T) {
+func TestHomesToQueryStartWithOwnSite(t *testing.T) {
 	c := qt.New(t)
 	var entries []Entry
 	for _, site := range []string{"a", "b", "c", "d", "e", "f"} {
--- a/internal/coordination/relays/holders_test.go
+++ b/internal/coordination/relays/holders_test.go
@@ -9,7 +9,7 @@
 
 // Callers' answers share the thin link of each host that gives out pieces; one that
 // gave out most of a set would put off its own answers.
-func TestHoldersGiveOutAboutAsMuch(t *testing.T) {
+func TestUploadsAreBalancedAcrossHolders(t *testing.T) {
 	c := qt.New(t)
 	var holders []Holder
 	for n := range 4 {
--- a/internal/coordination/relays/reader_test.go
+++ b/internal/coordination/relays/reader_test.go
@@ -28,7 +28,7 @@
 }
 
 // Entries that know the same pick the same reader, in whichever order they know the others.
-func TestPickReaderIsTheSameInAnyOrder(t *testing.T) {
+func TestPickReaderIsIndependentOfOrder(t *testing.T) {
 	c := qt.New(t)
 	readers := []Reader{{Host: "e1"}, {Host: "e2"}, {Host: "e3"}}
 	c.Assert(PickReader("ra", []Reader{readers[2], readers[0], readers[1]}), qt.Equals, PickReader("ra", readers))
--- a/internal/coordination/relays/relays_test.go
+++ b/internal/coordination/relays/relays_test.go
@@ -15,7 +15,7 @@
 // The origin sends several copies of a version, whose link carries few. Each
 // piece must have one entry that draws it from the origin, one of each other
 // site that fetches it over the border, and no chain that ends nowhere.
-func TestEachPieceLeavesTheOriginAndCrossesEachBorderOnce(t *testing.T) {
+func TestEachPieceIsSentOncePerSite(t *testing.T) {
 	c := qt.New(t)
 	for piece := range 64 {
 		key := fmt.Sprint(piece)
@@ -47,7 +47,7 @@
 }
 
 // The loss of one entry must move only its pieces, or every relay draws anew.
-func TestLosingAnEntryMovesOnlyItsPieces(t *testing.T) {
+func TestRemovedEntryMovesOnlyItsPieces(t *testing.T) {
 	c := qt.New(t)
 	for piece := range 64 {
 		key := fmt.Sprint(piece)
@@ -60,7 +60,7 @@
 }
 
 // No entry lives at the origin's site: the others draw from the origin itself.
-func TestWithoutAnEntryAtTheOriginsSite(t *testing.T) {
+func TestNoEntryAtOriginSite(t *testing.T) {
 	c := qt.New(t)
 	far := []Entry{{"e4", "b"}}
 	source, _ := Source(far[0], far, "a", "1", RoleAny)
@@ -70,7 +70,7 @@
 // The origin came back while one version was nearly whole and the next was named.
 // Fourteen entries each drew a part: those that were done with the first version
 // took most of the link for the second. Few draw, so that each has some of both.
-func TestFewEntriesDrawFromTheOrigin(t *testing.T) {
+func TestFewEntriesFetchFromOrigin(t *testing.T) {
 	c := qt.New(t)
 	var many []Entry
 	for n := range 14 {
@@ -93,7 +93,7 @@
 
 // No server gets its weights: entries that do not agree on who lives send each
 // other round in a ring. Whatever each of them sees, three steps reach the origin.
-func TestEveryWayEndsAtTheOrigin(t *testing.T) {
+func TestEveryRouteEndsAtOrigin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		host := rapid.SampledFrom(entries)
 		key := fmt.Sprint(rapid.IntRange(0, 63).Draw(t, "piece"))
@@ -121,7 +121,7 @@
 }
 
 // Entries that read the store one after the other agree on their order, and its first is the home.
-func TestTurnsAreInOneOrder(t *testing.T) {
+func TestRanksAreConsistent(t *testing.T) {
 	c := qt.New(t)
 	entries := []Entry{{Host: "e1", Site: "a"}, {Host: "e2", Site: "a"}, {Host: "e3", Site: "b"}, {Host: "e4", Site: "a"}}
 	turns := map[int]bool{}
--- a/internal/coordination/relays/slots_test.go
+++ b/internal/coordination/relays/slots_test.go
@@ -18,7 +18,7 @@
 // No server answers until the first of two versions is whole, and its last pieces
 // lie behind many of the second. Whoever draws the older version goes first, in
 // the order of asking, however many wait.
-func TestTheOldestVersionIsDrawnFirst(t *testing.T) {
+func TestOldestVersionIsGrantedFirst(t *testing.T) {
 	c := qt.New(t)
 	s := NewSlots(1)
 	running := s.Take("drafter", 3)
@@ -34,7 +34,7 @@
 }
 
 // One who gives up waiting must not be granted a place that nobody gives back.
-func TestOneWhoLeavesTakesNoPlace(t *testing.T) {
+func TestCancelledWaiterIsNotGranted(t *testing.T) {
 	c := qt.New(t)
 	s := NewSlots(1)
 	s.Take("drafter", 1)
@@ -47,7 +47,7 @@
 
 // The last pieces of one model waited behind the whole of another one, whose versions had
 // lower numbers: numbers say which version is older within a model only.
-func TestAnotherModelsVersionIsNotOlder(t *testing.T) {
+func TestVersionsAreOrderedPerModel(t *testing.T) {
 	c := qt.New(t)
 	s := NewSlots(1)
 	s.Take("drafter", 9)
@@ -64,7 +64,7 @@
 
 // No server got a version while an older one was asked for that the origin had dropped:
 // what cannot be had goes after all others, and before nobody who can draw.
-func TestWhatCannotBeHadGoesLast(t *testing.T) {
+func TestDeferredWaiterIsGrantedLast(t *testing.T) {
 	c := qt.New(t)
 	s := NewSlots(1)
 	s.Last = func(w Waiter) bool { return w.Version == 2 }
--- a/internal/coordination/switchover/fetch.go
+++ b/internal/coordination/switchover/fetch.go
@@ -2,123 +2,133 @@
 
 import "time"
 
-// Fetches returns the version to fetch next. If versions follow each other
-// quickly, the newest alone will do as long as it can be there in time for the
-// bound of the oldest, or if that bound cannot be met any more; else the oldest
-// comes first. Each is what one piece takes at the present rate.
-func (c Config) Fetches(held uint64, named []Named, now, each time.Duration) (version uint64, ok bool) {
+// NextFetch returns the version to fetch next. If targets are set in quick
+// succession, only the newest is fetched, as long as it can be complete in time
+// for the deadline of the oldest, or if that deadline cannot be met any more.
+// Otherwise the oldest is fetched first. The time to fetch one piece at the
+// current rate is pieceTime.
+func (c Config) Fetches(held uint64, targets []Named, now, pieceTime time.Duration) (version uint64, ok bool) {
 	var oldest, newest *Named
-	for i := range named {
-		if named[i].Version <= held {
+	for i := range targets {
+		if targets[i].Version <= held {
 			continue
 		}
 		if oldest == nil {
-			oldest = &named[i]
+			oldest = &targets[i]
 		}
-		newest = &named[i]
+		newest = &targets[i]
 	}
 	if newest == nil || newest.Whole {
 		return 0, false
 	}
-	inTime := c.isNewestInTime(oldest, newest, now, each)
-	missed := c.missesDeadline(oldest, now, each)
-	if missed && c.oldestReducesDowntime(oldest, newest, now, each) {
+	newestInTime := c.isNewestInTime(oldest, newest, now, pieceTime)
+	tooLate := c.missesDeadline(oldest, now, pieceTime)
+	if tooLate && c.oldestReducesDowntime(oldest, newest, now, pieceTime) {
 		return oldest.Version, true
 	}
-	if held == 0 || oldest.Whole || inTime || missed {
+	if held == 0 || oldest.Whole || newestInTime || tooLate {
 		return newest.Version, true
 	}
 	return oldest.Version, true
 }
 
-// isNewestInTime reports whether fetching the newest version alone leaves servers half of the turns that
-// they have before the bound of the oldest one.
-func (c Config) isNewestInTime(oldest, newest *Named, now, each time.Duration) bool {
-	return now+c.timeToServe(newest, each) <= oldest.Since+(c.PreparationTime+c.latestStart())/2
+// isNewestInTime reports whether fetching only the newest target leaves servers
+// half of the period in which they start their changes before the deadline of
+// the oldest target.
+func (c Config) isNewestInTime(oldest, newest *Named, now, pieceTime time.Duration) bool {
+	return now+c.timeToServe(newest, pieceTime) <= oldest.Since+(c.PreparationTime+c.latestStart())/2
 }
 
-// keepFetchingShare is the part of a set from which on it is finished although a newer version suffices:
-// should the source fail meanwhile, the servers have at least one of them before the bound.
-const keepFetchingShare = 0.25
+// finishShare is the fraction of a set from which its fetch is finished
+// although a newer target suffices. If the source fails later, the servers have
+// at least one of the two before the deadline.
+const finishShare = 0.25
 
-// isWellUnderway reports whether so much of a version has come that it is finished.
-func (n *Named) isWellUnderway() bool {
-	return n.Whole || n.Known && float64(n.Pieces-n.Left) >= keepFetchingShare*float64(n.Pieces)
+// shouldFinish reports whether so much of a target has been fetched that its
+// fetch is finished.
+func (t *Named) shouldFinish() bool {
+	return t.Whole || t.Known && float64(t.Pieces-t.Left) >= finishShare*float64(t.Pieces)
 }
 
-// Skips reports whether a version is left out since the newest one alone suffices.
-func (c Config) Skips(version uint64, named []Named, now, each time.Duration) bool {
-	if c.Bound <= 0 || len(named) == 0 {
+// IsSuperseded reports whether a version is skipped since the newest target
+// alone suffices.
+func (c Config) Skips(version uint64, targets []Named, now, pieceTime time.Duration) bool {
+	if c.MaxStaleness <= 0 || len(targets) == 0 {
 		return false
 	}
-	newest := &named[len(named)-1]
-	for i := range named {
-		n := &named[i]
-		if n.Version != version || n == newest {
+	newest := &targets[len(targets)-1]
+	for i := range targets {
+		t := &targets[i]
+		if t.Version != version || t == newest {
 			continue
 		}
-		return now >= newest.Since && !n.isWellUnderway() && c.isNewestInTime(n, newest, now, each)
+		return now >= newest.Since && !t.shouldFinish() && c.isNewestInTime(t, newest, now, pieceTime)
 	}
 	return false
 }
 
-// switchTime is what a server without requests takes to lay and load a version.
+// switchTime is the time that a server without requests takes to stage and load
+// a version.
 const switchTime = 500 * time.Millisecond
 
-// timeToServe is how long it takes until a server serves a version that is fetched from
-// now on, if each piece takes so long.
-func (c Config) timeToServe(n *Named, each time.Duration) time.Duration {
+// timeToServe returns the time until a server serves a target that is fetched
+// from now on.
+func (c Config) timeToServe(t *Named, pieceTime time.Duration) time.Duration {
 	switch {
-	case n.Whole:
+	case t.Whole:
 		return switchTime
-	case n.Known:
-		return time.Duration(n.Left)*each + switchTime
+	case t.Known:
+		return time.Duration(t.Left)*pieceTime + switchTime
 	}
 	return c.PreparationTime
 }
 
-// oldestReducesDowntime reports whether fetching the older of two versions first leaves the server
-// without an answer for less time, until the newer one is served, than fetching the
-// newer one at once. Until the newer one's bound the older one may answer.
-func (c Config) oldestReducesDowntime(oldest, newest *Named, now, each time.Duration) bool {
+// oldestReducesDowntime reports whether fetching the oldest target first leaves
+// the server without responses for less time, until the newest one is served,
+// than fetching the newest one immediately. The oldest one may serve until the
+// deadline of the newest.
+func (c Config) oldestReducesDowntime(oldest, newest *Named, now, pieceTime time.Duration) bool {
 	if !oldest.Known || oldest.Whole || oldest == newest {
 		return false
 	}
-	served := now + c.timeToServe(oldest, each)
+	servedAt := now + c.timeToServe(oldest, pieceTime)
 	until := c.AnswersUntil(newest.Since)
-	if served >= until {
+	if servedAt >= until {
 		return false
 	}
-	direct := c.timeToServe(newest, each)
-	first := served - now + max(now+time.Duration(oldest.Left)*each+direct-until, 0)
-	return first < direct
+	newestOnly := c.timeToServe(newest, pieceTime)
+	oldestFirst := servedAt - now + max(now+time.Duration(oldest.Left)*pieceTime+newestOnly-until, 0)
+	return oldestFirst < newestOnly
 }
 
-// Worth reports whether a version of which so many pieces are missing serves for
-// longer than fetching them puts off another one, which alone may answer from a time on.
-func Worth(left int, each, now, until time.Duration) bool {
-	takes := time.Duration(left) * each
-	return until-(now+takes+switchTime) > takes
+// WorthFetching reports whether a version with the given number of missing
+// pieces serves for longer than its fetch delays that of a newer target, which
+// alone may serve after the time until.
+func Worth(missing int, pieceTime, now, until time.Duration) bool {
+	fetchTime := time.Duration(missing) * pieceTime
+	return until-(now+fetchTime+switchTime) > fetchTime
 }
 
-// Abandons reports whether the fetching of a version is to be given up for the
-// newest one: that one alone suffices, or the bound is missed, and the version could hardly
-// serve before only the newest may answer.
-func (c Config) Abandons(version uint64, named []Named, now, each time.Duration) bool {
-	if len(named) == 0 {
+// ShouldAbandon reports whether the fetch of a version is abandoned in favour
+// of the newest target. This is so if that one alone suffices, or if the
+// version misses its deadline and would hardly serve before the newest becomes
+// the only one that may.
+func (c Config) Abandons(version uint64, targets []Named, now, pieceTime time.Duration) bool {
+	if len(targets) == 0 {
 		return false
 	}
-	newest := &named[len(named)-1]
-	for i := range named {
-		n := &named[i]
-		if n.Version == version && n != newest {
-			return c.Skips(version, named, now, each) || c.missesDeadline(n, now, each) && !c.oldestReducesDowntime(n, newest, now, each)
+	newest := &targets[len(targets)-1]
+	for i := range targets {
+		t := &targets[i]
+		if t.Version == version && t != newest {
+			return c.Skips(version, targets, now, pieceTime) || c.missesDeadline(t, now, pieceTime) && !c.oldestReducesDowntime(t, newest, now, pieceTime)
 		}
 	}
 	return false
 }
 
-// missesDeadline reports whether a version that is fetched from now on misses its bound.
-func (c Config) missesDeadline(n *Named, now, each time.Duration) bool {
-	return now+c.timeToServe(n, each) > n.Since+c.Bound
+// missesDeadline reports whether a target that is fetched from now on misses
+// its deadline.
+func (c Config) missesDeadline(t *Named, now, pieceTime time.Duration) bool {
+	return now+c.timeToServe(t, pieceTime) > t.Since+c.MaxStaleness
 }
--- a/internal/coordination/switchover/fetch_test.go
+++ b/internal/coordination/switchover/fetch_test.go
@@ -7,34 +7,35 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A version whose fetch has just begun is fetched to its end although a newer one suffices.
-func TestAFetchJustBegunIsGivenUpForTheNewerVersion(t *testing.T) {
+// The fetch of a target that has just started must be abandoned when a newer
+// target suffices, and must not run to its end.
+func TestSupersededFetchIsAbandonedEarly(t *testing.T) {
 	c := qt.New(t)
 	config := DefaultConfig(13400 * time.Millisecond)
-	each := PieceTime(24576, 4.38e6/8)
-	c.Assert(each.Round(time.Millisecond), qt.Equals, 45*time.Millisecond)
+	pieceTime := PieceTime(24576, 4.38e6/8)
+	c.Assert(pieceTime.Round(time.Millisecond), qt.Equals, 45*time.Millisecond)
 	const pieces = 96
-	set := func(version uint64, since time.Duration, left int) Named {
-		return Named{Version: version, Since: since, Left: left, Pieces: pieces, Known: true}
+	target := func(version uint64, setAt time.Duration, missing int) Named {
+		return Named{Version: version, Since: setAt, Left: missing, Pieces: pieces, Known: true}
 	}
 	tests := []struct {
-		name    string
-		named   []Named
-		now     time.Duration
-		skipped bool
+		name       string
+		targets    []Named
+		now        time.Duration
+		superseded bool
 	}{
-		{"the set of the newer is not known", []Named{set(2, 0, 93), {Version: 3, Since: 150 * time.Millisecond}}, 150 * time.Millisecond, true},
-		{"it is known", []Named{set(2, 0, 93), set(3, 150*time.Millisecond, pieces)}, 300 * time.Millisecond, true},
-		{"a quarter has come", []Named{set(2, 0, 72), set(3, time.Second, pieces)}, time.Second, false},
-		{"all has come", []Named{{Version: 2, Whole: true}, set(3, time.Second, pieces)}, time.Second, false},
-		{"the newer one would be late for the bound", []Named{set(2, 0, 93), set(3, 6*time.Second, pieces)}, 6 * time.Second, false},
-		{"there is no newer one", []Named{set(2, 0, 93)}, time.Second, false},
-		{"the newest", []Named{set(1, 0, 0), set(2, time.Second, pieces)}, time.Second, false},
+		{"the size of the newer target is unknown", []Named{target(2, 0, 93), {Version: 3, Since: 150 * time.Millisecond}}, 150 * time.Millisecond, true},
+		{"the size of the newer target is known", []Named{target(2, 0, 93), target(3, 150*time.Millisecond, pieces)}, 300 * time.Millisecond, true},
+		{"a quarter is fetched", []Named{target(2, 0, 72), target(3, time.Second, pieces)}, time.Second, false},
+		{"all is fetched", []Named{{Version: 2, Whole: true}, target(3, time.Second, pieces)}, time.Second, false},
+		{"the newer target would miss the deadline", []Named{target(2, 0, 93), target(3, 6*time.Second, pieces)}, 6 * time.Second, false},
+		{"there is no newer target", []Named{target(2, 0, 93)}, time.Second, false},
+		{"the version is the newest target", []Named{target(1, 0, 0), target(2, time.Second, pieces)}, time.Second, false},
 	}
 	for _, test := range tests {
-		c.Check(config.Skips(2, test.named, test.now, each), qt.Equals, test.skipped, qt.Commentf(test.name))
-		c.Check(config.Abandons(2, test.named, test.now, each), qt.Equals, test.skipped, qt.Commentf(test.name))
+		c.Check(config.Skips(2, test.targets, test.now, pieceTime), qt.Equals, test.superseded, qt.Commentf(test.name))
+		c.Check(config.Abandons(2, test.targets, test.now, pieceTime), qt.Equals, test.superseded, qt.Commentf(test.name))
 	}
-	c.Check(DefaultConfig(0).Skips(2, tests[0].named, time.Second, each), qt.IsFalse)
+	c.Check(DefaultConfig(0).Skips(2, tests[0].targets, time.Second, pieceTime), qt.IsFalse)
 	c.Check(PieceTime(24576, 0), qt.Equals, time.Duration(0))
 }
--- a/internal/coordination/switchover/switchover.go
+++ b/internal/coordination/switchover/switchover.go
@@ -1,219 +1,242 @@
-// Package switchover decides when each backend server of a service changes to
-// a new version of its weights, so that only a part is away at a time and all
-// have changed within the bound.
+// Package switchover decides when each backend server of a service changes to a
+// new version of its weights. Only a part of the servers is unavailable at a
+// time, and all have changed before the deadline. A version of the weights that
+// operators want served is a target version.
 package switchover
 
 import "time"
 
-// Config holds the times of a switchover.
+// Config holds the durations of a switchover.
 type Config struct {
-	// Bound is the time from the naming of a version to when no request may
-	// begin on an older one.
-	Bound time.Duration
-	// PreparationTime is the time kept for every server to have the weights laid beside it
-	// and to have been quiet for Quiet.
+	// MaxStaleness is the maximum time after a target is set during which
+	// requests may still start on an older version.
+	MaxStaleness time.Duration
+	// PreparationTime is reserved for every server to stage the weights and to
+	// drain for DrainDuration.
 	PreparationTime time.Duration
-	// Quiet is how long before its change a server gets no new requests, so that
-	// fewer answers have to go on elsewhere.
+	// DrainDuration is how long before its change a server receives no new
+	// requests, so that fewer responses have to be resumed on another server.
 	Quiet time.Duration
-	// LoadTime is how long one server takes to change.
+	// LoadTime is the time that one server takes to change.
 	LoadTime time.Duration
-	// Margin is kept for delays before the bound.
+	// Margin is reserved for delays before the deadline.
 	Margin time.Duration
-	// MaxQueueDelay is how long a request may wait in a server's queue before it begins.
+	// MaxQueueDelay is the maximum time for which a request waits in a server's
+	// queue before it starts.
 	MaxQueueDelay time.Duration
-	// Pass is the longest that an engine works without a look at what was taken back.
+	// MaxPass is the duration of an engine's longest pass. The engine processes
+	// cancellations only between two passes.
 	Pass time.Duration
 }
 
-// WithPass returns the times for engines whose longest pass is known.
+// WithMaxPass returns a copy of c for engines with the given longest pass.
 func (c Config) WithPass(pass time.Duration) Config {
 	c.Pass = pass
 	return c
 }
 
-// minPreparationShare is the least part of a bound that is kept for fetching: thinner origins go with longer
-// bounds.
+// minPreparationShare is the minimum fraction of MaxStaleness that is reserved
+// for preparation. Slower origins are used with longer values of MaxStaleness.
 const minPreparationShare = 0.45
 
-// maxQueueDelay is what a request waits in a server's queue at most, beside others that the entries
-// have not yet heard of, and as much again for safety.
+// maxQueueDelay is the maximum time for which a request waits in a server's
+// queue because of other requests that its entry has not yet observed, doubled
+// as a safety margin.
 const maxQueueDelay = 1500 * time.Millisecond
 
-// stagingTime is what it takes to lay a set beside its server and check it.
+// stagingTime is the time it takes to stage a set of weights beside its server
+// and verify it.
 const stagingTime = 200 * time.Millisecond
 
-// DefaultConfig returns the times for a bound.
-func DefaultConfig(bound time.Duration) Config {
-	const fetch, quiet = 2700 * time.Millisecond, 500 * time.Millisecond
-	ready := max(fetch+stagingTime+quiet, time.Duration(minPreparationShare*float64(bound)))
-	return Config{Bound: bound, PreparationTime: ready, Quiet: quiet, LoadTime: 400 * time.Millisecond, Margin: 200 * time.Millisecond, MaxQueueDelay: maxQueueDelay}
+// DefaultConfig returns the durations for the given maximum staleness.
+func DefaultConfig(maxStaleness time.Duration) Config {
+	const fetch, drain = 2700 * time.Millisecond, 500 * time.Millisecond
+	preparation := max(fetch+stagingTime+drain, time.Duration(minPreparationShare*float64(maxStaleness)))
+	return Config{MaxStaleness: maxStaleness, PreparationTime: preparation, Quiet: drain, LoadTime: 400 * time.Millisecond, Margin: 200 * time.Millisecond, MaxQueueDelay: maxQueueDelay}
 }
 
-// Named is a version that operators have named.
+// TargetVersion is a version of the weights that operators want served.
 type Named struct {
 	Version uint64
-	// Since is when it was named, on the clock of the other times.
+	// SetAt is when the target was set, on the clock of all other times.
 	Since time.Duration
-	// Whole is true if all its pieces are on the host and verified, since WholeAt.
+	// Complete is true if all pieces are on the host and verified, which they
+	// have been since CompleteAt.
 	Whole   bool
 	WholeAt time.Duration
-	// Left is how many of its Pieces are missing, if Known; Pieces is at least Left.
+	// MissingPieces is how many of the TotalPieces are missing. Both are valid
+	// only if SizeKnown is true.
 	Left   int
 	Pieces int
 	Known  bool
 }
 
-// latestStart is how long after the naming a server may begin its change at the latest.
-func (c Config) latestStart() time.Duration { return max(c.Bound-c.Margin-c.LoadTime, 0) }
+// latestStart returns how long after a target is set a server may start its
+// change at the latest.
+func (c Config) latestStart() time.Duration { return max(c.MaxStaleness-c.Margin-c.LoadTime, 0) }
 
-// StartOffset returns how long after the naming of a version the server at a place
-// among count servers begins its change. Turns are spread evenly over the time
-// between being ready and the latest begin.
-func (c Config) StartOffset(place, count int) time.Duration {
+// StartOffset returns how long after a target is set the server at an index
+// among count servers starts its change. The offsets are spread evenly from the
+// end of the preparation to the latest start.
+func (c Config) StartOffset(index, count int) time.Duration {
 	last := c.latestStart()
 	if last <= c.PreparationTime || count <= 1 {
 		return min(c.PreparationTime, last)
 	}
-	return c.PreparationTime + (last-c.PreparationTime)*time.Duration(place)/time.Duration(count-1)
+	return c.PreparationTime + (last-c.PreparationTime)*time.Duration(index)/time.Duration(count-1)
 }
 
-// Strict returns how long after the naming of a version requests are sent to servers
-// that hold it if there are any, and say so: the queue of another one would hold them
-// until they are taken back.
+// TargetOnlyAfter returns how long after a target is set new requests go only
+// to servers that hold it, if there are any, and state the version that must
+// answer. Requests sent to another server would wait in its queue until they
+// are cancelled.
 func (c Config) Strict() time.Duration {
-	return max(c.Bound-max(c.MaxQueueDelay, propagationDelay+c.Pass+closeDelay+startMargin+typicalStartDelay), 0)
+	return max(c.MaxStaleness-max(c.MaxQueueDelay, propagationDelay+c.Pass+closeDelay+startMargin+typicalStartDelay), 0)
 }
 
-// typicalStartDelay is what a request takes at most to begin at a server with a free place.
+// typicalStartDelay is the maximum time that a request takes to start at a
+// server with a free slot.
 const typicalStartDelay = 300 * time.Millisecond
 
-// propagationDelay is what an entry hears of a named version later than the store
-// acknowledged it while the store is sound, with room for relays on its way.
+// propagationDelay is the time from the store's acknowledgement of a target
+// until an entry observes it while the store is healthy. It includes a margin
+// for relays.
 const propagationDelay = 150 * time.Millisecond
 
-// startMargin is how much later than predicted a request may begin without being taken
-// back: most are late by less. Each tenth of a second more leaves callers without an
-// answer for so much longer, each less has some more told that they may have run.
+// startMargin is by how much a request may start later than predicted without
+// being cancelled. Most are late by less. Each additional 100 ms leaves callers
+// without a response for as long, and each reduction causes more callers to be
+// told that their request may have run.
 const startMargin = 100 * time.Millisecond
 
-// closeDelay is how long it takes until a server knows that a connection was closed, also by an entry
-// under load.
+// closeDelay is the time until a server observes that a connection was closed,
+// including by an entry under load.
 const closeDelay = 200 * time.Millisecond
 
-// MayBegin reports whether a request that is sent now to a server with a version
-// older than one named at since begins there before it would be taken back, if its
-// first event is predicted so.
+// MayStartOnOlder reports whether a request that is sent now to a server with a
+// version older than the target set at setAt starts there before it would be
+// cancelled. Its first event is expected after the predicted delay.
 //
-// Gain: with the origin away while a version is named, no server holds it at its
-// bound. Until then the older one answers.
-func (c Config) MayBegin(since, now, predicted time.Duration) bool {
-	return now+predicted+startMargin <= c.TakeBackAt(since)
+// If the origin is unavailable when a target is set, no server holds the target
+// by its deadline. The older version serves requests until then.
+func (c Config) MayBegin(setAt, now, predicted time.Duration) bool {
+	return now+predicted+startMargin <= c.TakeBackAt(setAt)
 }
 
-// BeginBy returns when every request must have begun that is answered by a version
-// older than one named at since.
-func (c Config) BeginBy(since time.Duration) time.Duration { return since + c.Bound - propagationDelay }
+// StartDeadline returns the time by which requests to a version older than the
+// target set at setAt must have started.
+func (c Config) BeginBy(setAt time.Duration) time.Duration {
+	return setAt + c.MaxStaleness - propagationDelay
+}
 
-// TakeBackAt returns when requests that have not begun by then are taken back from
-// servers with a version older than one named at since.
+// CancelAt returns when requests that have not started are cancelled on servers
+// with a version older than the target set at setAt.
 //
-// Guard: a request is taken back by closing its connection, which the engine notices
-// between two passes. One whose prompt is being read begins at the pass's end all the
-// same: requests that were taken back at the last moment began on old weights 50 to 190
-// ms after their bound. The close is on its way, and a whole pass is over, before it.
-func (c Config) TakeBackAt(since time.Duration) time.Duration {
-	return c.BeginBy(since) - c.Pass - closeDelay
+// A request is cancelled by closing its connection, which the engine notices
+// between two passes. A request whose prompt is being processed still starts at
+// the end of the pass. Requests cancelled at the last moment started on old
+// weights 50 to 190 ms after the deadline. The delay of the close and a whole
+// pass must therefore end before the deadline.
+func (c Config) TakeBackAt(setAt time.Duration) time.Duration {
+	return c.BeginBy(setAt) - c.Pass - closeDelay
 }
 
-// AnswersUntil returns until when a version older than one named at since may be the
-// one to answer new requests.
-func (c Config) AnswersUntil(since time.Duration) time.Duration {
-	return c.TakeBackAt(since) - startMargin
+// OlderUsableUntil returns until when new requests may be sent to a version
+// older than the target set at setAt.
+func (c Config) AnswersUntil(setAt time.Duration) time.Duration {
+	return c.TakeBackAt(setAt) - startMargin
 }
 
-// Next returns the version that a server at a place should change to, and when
-// it begins. Named is in order of versions; ok is false if there is nothing to
-// change to yet. A server's turn is that of the oldest version that it lacks,
-// whose bound comes first; it then takes the newest that is there, so that one
-// change serves several versions. An empty server serves nothing that could
-// suffer and changes at once.
-func (c Config) Next(held uint64, named []Named, place, count int) (version uint64, begin time.Duration, ok bool) {
+// NextChange returns the version that the server at an index among count
+// servers should change to, and when it starts the change. Targets must be in
+// order of versions. It returns false if no newer version is complete.
+//
+// The start is that of the oldest target that the server lacks, whose deadline
+// comes first. The server then changes to the newest complete target, so that
+// one change covers several targets. A server without weights serves no
+// requests and changes immediately.
+func (c Config) Next(held uint64, targets []Named, index, count int) (version uint64, start time.Duration, ok bool) {
 	var oldest *Named
-	wholeAt := time.Duration(0)
-	for i := range named {
-		n := &named[i]
-		if n.Version <= held {
+	completeAt := time.Duration(0)
+	for i := range targets {
+		t := &targets[i]
+		if t.Version <= held {
 			continue
 		}
 		if oldest == nil {
-			oldest = n
+			oldest = t
 		}
-		if n.Whole {
+		if t.Whole {
 			if !ok {
-				wholeAt = n.WholeAt
+				completeAt = t.WholeAt
 			}
-			version, ok = n.Version, true
+			version, ok = t.Version, true
 		}
 	}
 	if held != 0 && oldest != nil {
-		begin = c.startTime(oldest.Since, wholeAt, place, count)
+		start = c.startTime(oldest.Since, completeAt, index, count)
 	}
-	return version, begin, ok
+	return version, start, ok
 }
 
-// startTime returns when a server begins its change to a version named at since that
-// has been whole on the hosts since wholeAt: its turn in the time that is left, as all
-// hosts have the weights at about the same time.
+// startTime returns when a server starts its change to a target that was set at
+// setAt and is complete on the hosts since completeAt. All hosts have the
+// weights at about the same time, so the starts are spread over the remaining
+// time.
 //
-// Guard: where the weights come late, as after an outage of the origin, turns that count from the
-// naming have passed; all servers would change at once and leave none for the answers under way.
-func (c Config) startTime(since, wholeAt time.Duration, place, count int) time.Duration {
-	if wholeAt == 0 {
-		return since + c.StartOffset(place, count)
+// If the weights arrive late, for example after an outage of the origin, start
+// times counted from setAt have already passed. All servers would change at
+// once, and none would be left for the responses in flight.
+func (c Config) startTime(setAt, completeAt time.Duration, index, count int) time.Duration {
+	if completeAt == 0 {
+		return setAt + c.StartOffset(index, count)
 	}
-	first, last := wholeAt+stagingTime+c.Quiet, since+c.latestStart()
+	first, last := completeAt+stagingTime+c.Quiet, setAt+c.latestStart()
 	if first >= last || count <= 1 {
-		return min(first, max(wholeAt, last))
+		return min(first, max(completeAt, last))
 	}
-	return first + (last-first)*time.Duration(place)/time.Duration(count-1)
+	return first + (last-first)*time.Duration(index)/time.Duration(count-1)
 }
 
-// Idle reports whether a server gets no requests: it holds nothing, or a version
-// that it lacks is the only one to answer by now. Nothing has to be kept from it
-// before its change.
-func (c Config) Idle(held uint64, named []Named, now time.Duration) bool {
+// Idle reports whether a server receives no new requests, because it holds no
+// version or because a newer target is the only version that may serve by now.
+// Such a server needs no draining before its change.
+func (c Config) Idle(held uint64, targets []Named, now time.Duration) bool {
 	if held == 0 {
 		return true
 	}
-	for _, n := range named {
-		if n.Version > held && c.Bound > 0 && !c.MayBegin(n.Since, now, 0) {
+	for _, t := range targets {
+		if t.Version > held && c.MaxStaleness > 0 && !c.MayBegin(t.Since, now, 0) {
 			return true
 		}
 	}
 	return false
 }
 
-// maxReportDelay is how much older than its asking a server's own report may be: some hundred
-// milliseconds, and the way of a request that was sent before.
+// maxReportDelay is how much older a server's report may be than the time at
+// which it was requested: some hundred milliseconds, plus the delay of a
+// request that was sent before.
 const maxReportDelay = 500 * time.Millisecond
 
-// Still reports whether nothing waits or runs at a server that is idle: it holds nothing,
-// what was to be taken back has been, or its own report, the last of which without a
-// request was asked for at emptyAt (0 if it shows some), shows none since no more are sent.
+// IsDrained reports whether no requests wait or run on an idle server. This
+// holds if the server has no weights, if all requests to cancel have been
+// cancelled, or if a recent report of the server shows no requests. The last
+// report without requests was requested at emptyReportAt, or emptyReportAt is 0
+// if the last report shows some.
 //
-// Guard: a server gets no new requests from a while before the connections of those that
-// wait there are closed. Its link was filled from then on, the closes lay for half a
-// second behind sixteen pieces, and requests that were taken back began on old weights.
-func (c Config) Still(held uint64, named []Named, now, emptyAt time.Duration) bool {
+// A server receives no new requests for a while before the connections of its
+// queued requests are closed. When the transfer of weights filled its link
+// during that time, the closes waited for half a second behind sixteen pieces,
+// and cancelled requests started on old weights.
+func (c Config) Still(held uint64, targets []Named, now, emptyReportAt time.Duration) bool {
 	if held == 0 {
 		return true
 	}
-	for _, n := range named {
-		if n.Version <= held || c.Bound <= 0 {
+	for _, t := range targets {
+		if t.Version <= held || c.MaxStaleness <= 0 {
 			continue
 		}
-		if now >= c.BeginBy(n.Since) || emptyAt >= c.AnswersUntil(n.Since)+maxReportDelay {
+		if now >= c.BeginBy(t.Since) || emptyReportAt >= c.AnswersUntil(t.Since)+maxReportDelay {
 			return true
 		}
 	}
--- a/internal/coordination/switchover/switchover_test.go
+++ b/internal/coordination/switchover/switchover_test.go
@@ -7,257 +7,252 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const bound = 8 * time.Second
+const maxStaleness = 8 * time.Second
 
-// Callers wait while every server of a service loads at once. Turns must be
-// spread, and the last server must have changed before the bound.
-func TestTurnsAreSpreadAndEndBeforeTheBound(t *testing.T) {
+// Callers wait if all servers of a service load at once. The changes must be
+// staggered, and the last one must end before the deadline.
+func TestChangesAreStaggeredBeforeDeadline(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
+	config := DefaultConfig(maxStaleness)
 	const count = 27
-	away := 0
-	for place := range count {
-		turn := config.StartOffset(place, count)
-		c.Assert(turn >= config.PreparationTime, qt.IsTrue)
-		c.Assert(turn+config.LoadTime+config.Margin <= bound, qt.IsTrue)
-		if turn < config.PreparationTime+config.LoadTime+config.Quiet {
-			away++
+	unavailable := 0
+	for index := range count {
+		offset := config.StartOffset(index, count)
+		c.Assert(offset >= config.PreparationTime, qt.IsTrue)
+		c.Assert(offset+config.LoadTime+config.Margin <= maxStaleness, qt.IsTrue)
+		if offset < config.PreparationTime+config.LoadTime+config.Quiet {
+			unavailable++
 		}
 	}
-	c.Assert(away <= count/3, qt.IsTrue, qt.Commentf("%d of %d servers are away at once", away, count))
+	c.Assert(unavailable <= count/3, qt.IsTrue, qt.Commentf("%d of %d servers are unavailable at once", unavailable, count))
 }
 
-// A request begins on version 1 after the bound of version 2 has passed. A
-// third version is named meanwhile; a server that waits for its turn for the
-// third misses the second one's bound.
-func TestAVersionNamedLaterDoesNotPutOffTheFirst(t *testing.T) {
+// A later target must not postpone the change to an earlier one. Otherwise
+// requests start on old weights after the deadline of the earlier target.
+func TestLaterTargetDoesNotDelayEarlierOne(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	named := []Named{{Version: 2, Since: 0, Whole: true}, {Version: 3, Since: 3 * time.Second}}
-	version, begin, ok := config.Next(1, named, 26, 27)
+	config := DefaultConfig(maxStaleness)
+	targets := []Named{{Version: 2, Since: 0, Whole: true}, {Version: 3, Since: 3 * time.Second}}
+	version, start, ok := config.Next(1, targets, 26, 27)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(2))
-	c.Assert(begin, qt.Equals, config.StartOffset(26, 27))
+	c.Assert(start, qt.Equals, config.StartOffset(26, 27))
 }
 
-// The same, but the third version is there when the turn comes: one change
-// takes the server to it.
-func TestOneChangeServesTwoVersions(t *testing.T) {
+// A server whose change starts when a third version is complete must change to
+// that version directly.
+func TestOneChangeCoversTwoTargets(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	named := []Named{{Version: 2, Since: 0, Whole: true}, {Version: 3, Since: time.Second, Whole: true}}
-	version, begin, _ := config.Next(1, named, 26, 27)
+	config := DefaultConfig(maxStaleness)
+	targets := []Named{{Version: 2, Since: 0, Whole: true}, {Version: 3, Since: time.Second, Whole: true}}
+	version, start, _ := config.Next(1, targets, 26, 27)
 	c.Assert(version, qt.Equals, uint64(3))
-	c.Assert(begin, qt.Equals, config.StartOffset(26, 27))
-	_, _, ok := config.Next(3, named, 26, 27)
+	c.Assert(start, qt.Equals, config.StartOffset(26, 27))
+	_, _, ok := config.Next(3, targets, 26, 27)
 	c.Assert(ok, qt.IsFalse)
 }
 
-// An added server stays empty for seconds though its weights are there. It has
-// no requests that a change could disturb.
-func TestAnEmptyServerDoesNotWaitForItsTurn(t *testing.T) {
+// A new server without weights has no requests that a change could disturb, so
+// it must not wait for its start time.
+func TestEmptyServerChangesAtOnce(t *testing.T) {
 	c := qt.New(t)
-	version, begin, ok := DefaultConfig(bound).Next(0, []Named{{Version: 2, Since: time.Minute, Whole: true}}, 20, 27)
+	version, start, ok := DefaultConfig(maxStaleness).Next(0, []Named{{Version: 2, Since: time.Minute, Whole: true}}, 20, 27)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(2))
-	c.Assert(begin, qt.Equals, time.Duration(0))
+	c.Assert(start, qt.Equals, time.Duration(0))
 }
 
-// Two versions half a second apart: fetching both in turn would take the time
-// of the link twice, and the second alone is enough.
-func TestASupersededVersionIsNotFetched(t *testing.T) {
+// With two targets half a second apart, fetching both would take the link twice
+// as long, and the newest alone suffices.
+func TestSupersededTargetIsNotFetched(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	named := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 500 * time.Millisecond}}
-	version, ok := config.Fetches(1, named, 500*time.Millisecond, defaultPieceTime)
+	config := DefaultConfig(maxStaleness)
+	targets := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 500 * time.Millisecond}}
+	version, ok := config.Fetches(1, targets, 500*time.Millisecond, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(3))
 }
 
-// A version named two seconds later would come too late for the first one's
-// bound, which is fetched to its end.
-func TestAVersionCloseToItsBoundIsFetchedFirst(t *testing.T) {
+// A target must be fetched to its end if a newer one would be complete too late
+// for its deadline.
+func TestTargetNearItsDeadlineIsFetchedFirst(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	named := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 3 * time.Second}}
-	version, ok := config.Fetches(1, named, 3*time.Second, defaultPieceTime)
+	config := DefaultConfig(maxStaleness)
+	targets := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 3 * time.Second}}
+	version, ok := config.Fetches(1, targets, 3*time.Second, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(2))
-	named[0].Whole = true
-	version, ok = config.Fetches(1, named, 3*time.Second, defaultPieceTime)
+	targets[0].Whole = true
+	version, ok = config.Fetches(1, targets, 3*time.Second, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(3))
 }
 
-// The origin was down past the bound of a version, and another one was named
-// meanwhile. Fetching the first would only put off the second.
-func TestAVersionWhoseBoundIsPastIsNotFetched(t *testing.T) {
+// After an outage of the origin beyond a target's deadline, fetching that
+// target would only delay the newer one.
+func TestTargetPastItsDeadlineIsNotFetched(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	named := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 2 * time.Second}}
-	version, ok := config.Fetches(1, named, bound, defaultPieceTime)
+	config := DefaultConfig(maxStaleness)
+	targets := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 2 * time.Second}}
+	version, ok := config.Fetches(1, targets, maxStaleness, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(3))
 }
 
-// A request began on the older version 46 ms after the bound. It was sent 0.71 s
-// before it, while that version was still allowed, and waited 0.77 s in the
-// server's queue. From then on only servers with the new version may be sent to.
-func TestARequestThatWaitsInAQueueDoesNotBeginTooLate(t *testing.T) {
+// A request was sent to the older version 0.71 s before the deadline, waited
+// 0.77 s in the queue and started 46 ms late. New requests must go only to
+// servers with the newer version early enough to prevent that.
+func TestQueuedRequestDoesNotStartAfterDeadline(t *testing.T) {
 	c := qt.New(t)
-	for _, bound := range []time.Duration{bound, 10300 * time.Millisecond} {
-		config := DefaultConfig(bound)
-		c.Assert(config.Strict()+770*time.Millisecond < bound, qt.IsTrue)
+	for _, maxStaleness := range []time.Duration{maxStaleness, 10300 * time.Millisecond} {
+		config := DefaultConfig(maxStaleness)
+		c.Assert(config.Strict()+770*time.Millisecond < maxStaleness, qt.IsTrue)
 		c.Assert(config.Strict() > config.PreparationTime, qt.IsTrue)
 	}
 }
 
-// The origin comes back after two bounds have passed or nearly so. Servers gave
-// up a version of which an eighth was missing for a whole set of the next one, and
+// The origin recovered around the deadlines of two targets. Servers abandoned a
+// target that lacked an eighth of its pieces for a whole newer set, and
 // answered nothing for 2.5 s more.
-func TestANearlyWholeVersionIsFinishedFirst(t *testing.T) {
+func TestNearlyCompleteTargetIsFetchedFirst(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	now := bound + 500*time.Millisecond
+	config := DefaultConfig(maxStaleness)
+	now := maxStaleness + 500*time.Millisecond
 	tests := []struct {
-		name        string
-		left, newer Named
-		want        uint64
+		name         string
+		older, newer Named
+		want         uint64
 	}{
 		{"an eighth is missing", Named{Left: 8, Known: true}, Named{Since: 4 * time.Second, Left: 64, Known: true}, 2},
-		{"the newer set is not known", Named{Left: 8, Known: true}, Named{Since: 4 * time.Second}, 2},
-		{"it would serve for less than it takes", Named{Left: 28, Known: true}, Named{Since: 3 * time.Second, Left: 64, Known: true}, 3},
+		{"the size of the newer target is unknown", Named{Left: 8, Known: true}, Named{Since: 4 * time.Second}, 2},
+		{"the older target would serve for less time than its fetch takes", Named{Left: 28, Known: true}, Named{Since: 3 * time.Second, Left: 64, Known: true}, 3},
 		{"most is missing", Named{Left: 48, Known: true}, Named{Since: 4 * time.Second, Left: 64, Known: true}, 3},
-		{"the newer one is nearer", Named{Left: 8, Known: true}, Named{Since: 4 * time.Second, Left: 4, Known: true}, 3},
-		{"the newer one is the only one to answer soon", Named{Left: 8, Known: true}, Named{Since: time.Second, Left: 64, Known: true}, 3},
-		{"nothing was begun", Named{}, Named{Since: 4 * time.Second}, 3},
+		{"the newer target is nearer to completion", Named{Left: 8, Known: true}, Named{Since: 4 * time.Second, Left: 4, Known: true}, 3},
+		{"the newer target is soon the only one that may serve", Named{Left: 8, Known: true}, Named{Since: time.Second, Left: 64, Known: true}, 3},
+		{"no fetch has started", Named{}, Named{Since: 4 * time.Second}, 3},
 	}
 	for _, test := range tests {
-		test.left.Version, test.newer.Version = 2, 3
-		version, ok := config.Fetches(1, []Named{test.left, test.newer}, now, defaultPieceTime)
+		test.older.Version, test.newer.Version = 2, 3
+		version, ok := config.Fetches(1, []Named{test.older, test.newer}, now, defaultPieceTime)
 		c.Check(ok, qt.IsTrue)
 		c.Check(version, qt.Equals, test.want, qt.Commentf(test.name))
-		// What is being fetched is given up only for a better reason than time.
-		c.Check(config.Abandons(2, []Named{test.left, test.newer}, now, defaultPieceTime), qt.Equals, test.want == 3, qt.Commentf(test.name))
-		c.Check(config.Abandons(3, []Named{test.left, test.newer}, now, defaultPieceTime), qt.IsFalse)
-		c.Check(config.Abandons(2, []Named{test.left, test.newer}, 0, defaultPieceTime), qt.IsFalse)
+		// A fetch in flight is abandoned only if the newer target should be fetched first.
+		c.Check(config.Abandons(2, []Named{test.older, test.newer}, now, defaultPieceTime), qt.Equals, test.want == 3, qt.Commentf(test.name))
+		c.Check(config.Abandons(3, []Named{test.older, test.newer}, now, defaultPieceTime), qt.IsFalse)
+		c.Check(config.Abandons(2, []Named{test.older, test.newer}, 0, defaultPieceTime), qt.IsFalse)
 	}
 }
 
-// A version came after its bound. Every server was kept free of requests for half
-// a second before it changed, though none could get any.
-func TestAServerWithoutRequestsIsIdle(t *testing.T) {
+// When a target was complete only after its deadline, each server was drained
+// for half a second before its change, although none could receive requests.
+func TestServerWithoutRequestsIsIdle(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	named := []Named{{Version: 2, Since: 0}}
-	c.Assert(config.Idle(0, named, 0), qt.IsTrue)
-	// Until a request would begin too late it may still get some.
-	last := config.AnswersUntil(0)
-	c.Assert(config.Idle(1, named, last), qt.IsFalse)
-	c.Assert(config.Idle(1, named, last+1), qt.IsTrue)
-	c.Assert(config.Idle(2, named, last+1), qt.IsFalse)
-	c.Assert(DefaultConfig(0).Idle(1, named, time.Hour), qt.IsFalse)
+	config := DefaultConfig(maxStaleness)
+	targets := []Named{{Version: 2, Since: 0}}
+	c.Assert(config.Idle(0, targets, 0), qt.IsTrue)
+	// The server receives requests as long as they would start in time.
+	lastSend := config.AnswersUntil(0)
+	c.Assert(config.Idle(1, targets, lastSend), qt.IsFalse)
+	c.Assert(config.Idle(1, targets, lastSend+1), qt.IsTrue)
+	c.Assert(config.Idle(2, targets, lastSend+1), qt.IsFalse)
+	c.Assert(DefaultConfig(0).Idle(1, targets, time.Hour), qt.IsFalse)
 }
 
-// The origin was away while a version was named, and no server holds it at the end
-// of its bound. Callers were refused for the last 1.5 s of it, though servers with a
-// free place would have begun their requests in time. A request that may begin after
-// the bound, late by what one in a hundred is, must not be sent.
-func TestOlderWeightsAnswerUntilTheyWouldBeginTooLate(t *testing.T) {
+// With the origin unavailable, callers were refused for the last 1.5 s although
+// requests would have started in time on free servers. Requests that may start
+// late, as late as one in a hundred does, must not be sent.
+func TestOlderVersionServesUntilDeadline(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	const since, usual = 3 * time.Second, 160 * time.Millisecond
-	refusedBefore := config.MaxQueueDelay
-	last := since
-	for now := since; now < since+2*bound; now += 10 * time.Millisecond {
-		if config.MayBegin(since, now, usual) {
-			last = now
+	config := DefaultConfig(maxStaleness)
+	const setAt, startDelay = 3 * time.Second, 160 * time.Millisecond
+	formerRefusal := config.MaxQueueDelay
+	lastSend := setAt
+	for now := setAt; now < setAt+2*maxStaleness; now += 10 * time.Millisecond {
+		if config.MayBegin(setAt, now, startDelay) {
+			lastSend = now
 		}
 	}
-	c.Assert(last+usual+290*time.Millisecond+propagationDelay <= since+bound, qt.IsTrue)
-	c.Assert(since+bound-last < refusedBefore/2, qt.IsTrue, qt.Commentf("refused for %v", since+bound-last))
-	c.Assert(config.MayBegin(since, last, 500*time.Millisecond), qt.IsFalse)
+	c.Assert(lastSend+startDelay+290*time.Millisecond+propagationDelay <= setAt+maxStaleness, qt.IsTrue)
+	c.Assert(setAt+maxStaleness-lastSend < formerRefusal/2, qt.IsTrue, qt.Commentf("refused for %v", setAt+maxStaleness-lastSend))
+	c.Assert(config.MayBegin(setAt, lastSend, 500*time.Millisecond), qt.IsFalse)
 }
 
-// The origin was away for 6 s while two versions were named 2 s apart; 4 of the
-// first one's 96 pieces were missing, 27 ms each. By a constant of 88 ms it seemed
-// of no use and was given up, and no server had anything to answer with until the
-// second one was whole 3 s later.
-func TestTheRateThatIsSeenDecidesWhatIsFinished(t *testing.T) {
+// After an outage of 6 s, 4 of 96 pieces of the first of two targets were
+// missing, at 27 ms each. An assumed 88 ms per piece abandoned its fetch, and
+// no server could answer until the second was complete 3 s later.
+func TestObservedRateDecidesWhichFetchIsFinished(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	named := []Named{{Version: 2, Left: 4, Known: true}, {Version: 3, Since: 2 * time.Second, Left: 96, Known: true}}
-	const back = 8500 * time.Millisecond
-	version, _ := config.Fetches(1, named, back, defaultPieceTime)
+	config := DefaultConfig(maxStaleness)
+	targets := []Named{{Version: 2, Left: 4, Known: true}, {Version: 3, Since: 2 * time.Second, Left: 96, Known: true}}
+	const recovery = 8500 * time.Millisecond
+	version, _ := config.Fetches(1, targets, recovery, defaultPieceTime)
 	c.Assert(version, qt.Equals, uint64(3))
-	var pace Pace
+	var estimator Pace
 	now := time.Second
 	for range 92 {
 		now += 27 * time.Millisecond
-		pace.Came(now)
+		estimator.Came(now)
 	}
-	pace.Came(back)
-	c.Assert(pace.Each() < 30*time.Millisecond, qt.IsTrue, qt.Commentf("%v", pace.Each()))
-	version, _ = config.Fetches(1, named, back, pace.Each())
+	estimator.Came(recovery)
+	c.Assert(estimator.Each() < 30*time.Millisecond, qt.IsTrue, qt.Commentf("%v", estimator.Each()))
+	version, _ = config.Fetches(1, targets, recovery, estimator.Each())
 	c.Assert(version, qt.Equals, uint64(2))
-	c.Assert(config.Abandons(2, named, back, pace.Each()), qt.IsFalse)
-	c.Assert(config.Abandons(2, named, back+time.Second, pace.Each()), qt.IsTrue)
-	c.Assert(Worth(4, pace.Each(), back, config.AnswersUntil(named[1].Since)), qt.IsTrue)
+	c.Assert(config.Abandons(2, targets, recovery, estimator.Each()), qt.IsFalse)
+	c.Assert(config.Abandons(2, targets, recovery+time.Second, estimator.Each()), qt.IsTrue)
+	c.Assert(Worth(4, estimator.Each(), recovery, config.AnswersUntil(targets[1].Since)), qt.IsTrue)
 }
 
-// The origin was away while a version was named, and all servers had it at the same
-// late moment, when the turns of most had passed. All changed at once, and every
-// answer broke off with no server to go on at. Their turns must be spread over what
-// is left of the bound.
-func TestTurnsThatHavePassedAreSpreadAnew(t *testing.T) {
+// The weights arrived after most start times had passed. All servers changed at
+// once, and no response could be resumed elsewhere. The changes must be
+// staggered over the time left until the deadline.
+func TestLateChangesAreStaggered(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound)
-	const count, wholeAt = 19, 5500 * time.Millisecond
-	named := []Named{{Version: 2, Whole: true, WholeAt: wholeAt}}
-	var begins []time.Duration
-	for place := range count {
-		_, begin, _ := config.Next(1, named, place, count)
-		c.Assert(begin >= wholeAt && begin <= config.latestStart(), qt.IsTrue)
-		begins = append(begins, begin)
+	config := DefaultConfig(maxStaleness)
+	const count, completeAt = 19, 5500 * time.Millisecond
+	targets := []Named{{Version: 2, Whole: true, WholeAt: completeAt}}
+	var starts []time.Duration
+	for index := range count {
+		_, start, _ := config.Next(1, targets, index, count)
+		c.Assert(start >= completeAt && start <= config.latestStart(), qt.IsTrue)
+		starts = append(starts, start)
 	}
-	away := 0
-	for _, begin := range begins {
-		if begin < wholeAt+config.LoadTime {
-			away++
+	unavailable := 0
+	for _, start := range starts {
+		if start < completeAt+config.LoadTime {
+			unavailable++
 		}
 	}
-	c.Assert(away <= count/3, qt.IsTrue, qt.Commentf("%d of %d servers are away at once", away, count))
-	// Too late for turns: a server that waits answers nobody.
-	named[0].WholeAt = bound
-	_, begin, _ := config.Next(1, named, count-1, count)
-	c.Assert(begin, qt.Equals, bound)
+	c.Assert(unavailable <= count/3, qt.IsTrue, qt.Commentf("%d of %d servers are unavailable at once", unavailable, count))
+	// After the deadline a server changes at once, since it may not serve while it waits.
+	targets[0].WholeAt = maxStaleness
+	_, start, _ := config.Next(1, targets, count-1, count)
+	c.Assert(start, qt.Equals, maxStaleness)
 }
 
-// Requests began on weights whose bound had passed: their connections were closed behind
-// what the server was being brought at the full rate of its link. It is still only once
-// all that was to be taken back has been, or once it says that it has none, in a report
-// that is young enough to count those that were sent last.
-func TestAServerThatGetsNoRequestsIsNotStillYet(t *testing.T) {
+// Requests started late since their connections were closed behind a transfer
+// of weights. A server is drained only once all are cancelled, or once a report
+// recent enough to include the last requests shows none.
+func TestIdleServerIsNotDrainedImmediately(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(bound).WithPass(550 * time.Millisecond)
-	named := []Named{{Version: 2, Since: time.Minute}}
-	until, by := config.AnswersUntil(time.Minute), config.BeginBy(time.Minute)
+	config := DefaultConfig(maxStaleness).WithPass(550 * time.Millisecond)
+	targets := []Named{{Version: 2, Since: time.Minute}}
+	usableUntil, deadline := config.AnswersUntil(time.Minute), config.BeginBy(time.Minute)
 	tests := []struct {
-		held         uint64
-		now, emptyAt time.Duration
-		want         bool
+		held               uint64
+		now, emptyReportAt time.Duration
+		want               bool
 	}{
-		{held: 0, now: until, want: true},
-		{held: 1, now: until + 1},
-		{held: 1, now: by - 1},
-		{held: 1, now: by, want: true},
-		// This report may not show what was sent last.
-		{held: 1, now: by - 1, emptyAt: until + maxReportDelay - 1},
-		{held: 1, now: by - 1, emptyAt: until + maxReportDelay, want: true},
-		{held: 2, now: by + time.Hour, emptyAt: by + time.Hour},
+		{held: 0, now: usableUntil, want: true},
+		{held: 1, now: usableUntil + 1},
+		{held: 1, now: deadline - 1},
+		{held: 1, now: deadline, want: true},
+		// This report may not include the last requests sent.
+		{held: 1, now: deadline - 1, emptyReportAt: usableUntil + maxReportDelay - 1},
+		{held: 1, now: deadline - 1, emptyReportAt: usableUntil + maxReportDelay, want: true},
+		{held: 2, now: deadline + time.Hour, emptyReportAt: deadline + time.Hour},
 	}
 	for _, test := range tests {
-		c.Check(config.Still(test.held, named, test.now, test.emptyAt), qt.Equals, test.want, qt.Commentf("%+v", test))
+		c.Check(config.Still(test.held, targets, test.now, test.emptyReportAt), qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
-	c.Check(DefaultConfig(0).Still(1, named, time.Hour, time.Hour), qt.IsFalse)
+	c.Check(DefaultConfig(0).Still(1, targets, time.Hour, time.Hour), qt.IsFalse)
 }
