--- a/internal/coordination/relays/holders.go
+++ b/internal/coordination/relays/holders.go
@@ -7,21 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Holder is a host whose backend server holds a version, and whose agent gives out
-// the pieces that lie beside it.
+// Holder is a host whose backend server holds a version and whose agent serves
+// the pieces staged beside it.
 type Holder struct {
-	// Backend is the server's life.
+	// Backend identifies one boot of the server.
 	Backend string
 	// Address is where the agent serves pieces.
 	Address string
 }
 
-// maxHoldersQueried bounds the holders that are asked for one piece: what lies beside a
-// server may be of another version already, and then is so at most of them.
+// maxHoldersQueried limits the holders that are asked for one piece. The pieces
+// staged beside a server may already be those of another version, and if so,
+// this is the case at most holders.
 const maxHoldersQueried = 2
 
-// HoldersOf returns the holders to ask for a piece, one after the other, by rendezvous
-// hashing, so that all give out about as much.
+// HoldersToQuery returns the holders to ask for a piece, in order. It uses
+// rendezvous hashing, so that all holders upload about as much.
 func HoldersOf(holders []Holder, piece string) []Holder {
 	ranked := slices.Clone(holders)
 	slices.SortFunc(ranked, func(a, b Holder) int {
@@ -30,6 +31,7 @@
 	return ranked[:min(len(ranked), maxHoldersQueried)]
 }
 
+// holderScore returns the rendezvous hash of a holder for a piece.
 func holderScore(h Holder, piece string) uint64 {
 	return xxhash.Sum64String(piece + "\x00" + h.Backend)
 }
--- a/internal/coordination/relays/holders_test.go
+++ b/internal/coordination/relays/holders_test.go
@@ -7,22 +7,22 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Callers' answers share the thin link of each host that gives out pieces; one that
-// gave out most of a set would put off its own answers.
+// Uploads share the slow link of each holder with responses to callers. A
+// holder that uploaded most of a set would delay its own responses.
 func TestUploadsAreBalancedAcrossHolders(t *testing.T) {
 	c := qt.New(t)
 	var holders []Holder
 	for n := range 4 {
 		holders = append(holders, Holder{Backend: fmt.Sprint("i-", n)})
 	}
-	asked := map[string]int{}
+	requests := map[string]int{}
 	for piece := range 96 {
-		ways := HoldersOf(holders, fmt.Sprint("drafter/1/", piece))
-		c.Assert(ways, qt.HasLen, maxHoldersQueried)
-		asked[ways[0].Backend]++
+		selected := HoldersOf(holders, fmt.Sprint("drafter/1/", piece))
+		c.Assert(selected, qt.HasLen, maxHoldersQueried)
+		requests[selected[0].Backend]++
 	}
-	for backend, n := range asked {
-		c.Check(n < 40, qt.IsTrue, qt.Commentf("%s gives out %d of 96", backend, n))
+	for backend, n := range requests {
+		c.Check(n < 40, qt.IsTrue, qt.Commentf("%s uploads %d of 96", backend, n))
 	}
 	c.Assert(HoldersOf(nil, "drafter/1/0"), qt.HasLen, 0)
 }
--- a/internal/coordination/relays/reader.go
+++ b/internal/coordination/relays/reader.go
@@ -2,30 +2,34 @@
 
 import "github.com/filbertlever/filbertlever"
 
-// Reader is an entry that may read the store for the others of its region.
+// Reader is an entry that may read the store on behalf of the other entries of
+// its region.
 type Reader struct {
 	Host filbertlever.HostID
-	// Lost is true if the store lately turned the entry away, or the entry is not ready.
+	// Unavailable is true if the store recently refused the entry, or if the
+	// entry is not ready.
 	Lost bool
-	// Answered is true if the store has answered the entry lately.
+	// StoreAnswered is true if the store recently answered the entry.
 	Answered bool
 }
 
-// PickReader returns the entry that reads the store for a region: one that the store has
-// answered lately, else one that it has not turned away, else any, which tries for all.
+// PickReader returns the entry that reads the store for a region. It prefers
+// one that the store recently answered, then one that the store did not refuse,
+// then any, which tries on behalf of all.
 func PickReader(region string, readers []Reader) filbertlever.HostID {
-	best, rank := []Entry(nil), -1
+	best, bestRank := []Entry(nil), -1
 	for _, r := range readers {
-		switch at := r.rank(); {
-		case at > rank:
-			best, rank = []Entry{{Host: r.Host, Site: region}}, at
-		case at == rank:
+		switch rank := r.rank(); {
+		case rank > bestRank:
+			best, bestRank = []Entry{{Host: r.Host, Site: region}}, rank
+		case rank == bestRank:
 			best = append(best, Entry{Host: r.Host, Site: region})
 		}
 	}
 	return Home(best, region, "reader")
 }
 
+// rank returns the preference for a reader. Higher is better.
 func (r Reader) rank() int {
 	switch {
 	case r.Lost:
--- a/internal/coordination/relays/reader_test.go
+++ b/internal/coordination/relays/reader_test.go
@@ -8,17 +8,19 @@
 	"github.com/filbertlever/filbertlever"
 )
 
+// The reader of a region must be an entry that the store answers, if there is
+// one.
 func TestPickReader(t *testing.T) {
-	answered, unknown, lost := Reader{Host: "e1", Answered: true}, Reader{Host: "e2"}, Reader{Host: "e3", Lost: true}
+	answered, unknown, unavailable := Reader{Host: "e1", Answered: true}, Reader{Host: "e2"}, Reader{Host: "e3", Lost: true}
 	tests := []struct {
 		name    string
 		readers []Reader
 		want    filbertlever.HostID
 	}{
-		{"one that the store has answered", []Reader{lost, unknown, answered}, "e1"},
-		{"one that it has not turned away", []Reader{lost, unknown}, "e2"},
-		{"one that tries for all", []Reader{lost}, "e3"},
-		{"one that was turned away since its last answer", []Reader{{Host: "e4", Answered: true, Lost: true}, unknown}, "e2"},
+		{"an entry that the store answered", []Reader{unavailable, unknown, answered}, "e1"},
+		{"an entry that the store did not refuse", []Reader{unavailable, unknown}, "e2"},
+		{"any entry, on behalf of all", []Reader{unavailable}, "e3"},
+		{"an entry refused after its last answer", []Reader{{Host: "e4", Answered: true, Lost: true}, unknown}, "e2"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -27,7 +29,8 @@
 	}
 }
 
-// Entries that know the same pick the same reader, in whichever order they know the others.
+// Entries with the same view must pick the same reader, in whichever order they
+// list the others.
 func TestPickReaderIsIndependentOfOrder(t *testing.T) {
 	c := qt.New(t)
 	readers := []Reader{{Host: "e1"}, {Host: "e2"}, {Host: "e3"}}
--- a/internal/coordination/relays/relays.go
+++ b/internal/coordination/relays/relays.go
@@ -1,8 +1,9 @@
-// Package relays decides from where an entry draws a piece of a set of weights.
-// Each piece has a home among the entries of every site, and a drawer among a few
-// at the origin's site. The drawer has it from the origin, homes from the drawer,
-// and all others from the home of their own site. So a piece leaves the origin
-// once and crosses each border once.
+// Package relays decides from which source an entry fetches a piece of a set of
+// weights. By rendezvous hashing, each piece has a home entry at every site and
+// an origin fetcher among a few entries at the origin's site. The origin
+// fetcher fetches the piece from the origin, home entries fetch it from the
+// origin fetcher, and all other entries from the home entry of their own site.
+// A piece is therefore sent once by the origin and once to each other site.
 package relays
 
 import (
@@ -20,9 +21,9 @@
 	Site string
 }
 
-// Home returns the entry of a site that a piece belongs to, by rendezvous
-// hashing, so that the loss of one entry moves only its pieces. It is empty if
-// the site has no entry.
+// Home returns the home entry of a piece at a site, or an empty ID if the site
+// has no entry. It uses rendezvous hashing, so that the removal of one entry
+// moves only the pieces of that entry.
 func Home(entries []Entry, site, piece string) filbertlever.HostID {
 	var best filbertlever.HostID
 	var bestScore uint64
@@ -30,40 +31,40 @@
 		if entry.Site != site {
 			continue
 		}
-		own := entryScore(entry, piece)
-		if best == "" || cmp.Or(cmp.Compare(own, bestScore), cmp.Compare(entry.Host, best)) > 0 {
-			best, bestScore = entry.Host, own
+		hash := entryScore(entry, piece)
+		if best == "" || cmp.Or(cmp.Compare(hash, bestScore), cmp.Compare(entry.Host, best)) > 0 {
+			best, bestScore = entry.Host, hash
 		}
 	}
 	return best
 }
 
-// Ways are the entries that an agent of a site asks for a piece, one after the
-// other: the piece's home, the next ones of its site, and a few elsewhere. Whoever
-// lives among them leads to the same drawer.
+// CandidatesFor returns the entries that an agent of a site asks for a piece,
+// in order: the home entry, the next ones of its site, and a few at other
+// sites. All live candidates fetch the piece from the same origin fetcher.
 func Ways(entries []Entry, site, piece string) []filbertlever.HostID {
-	var near, far []Entry
+	var sameSite, otherSites []Entry
 	for _, entry := range entries {
 		if entry.Site == site {
-			near = append(near, entry)
+			sameSite = append(sameSite, entry)
 		} else {
-			far = append(far, entry)
+			otherSites = append(otherSites, entry)
 		}
 	}
-	ways := rankEntries(near, piece)
-	ways = ways[:min(len(ways), maxSameSiteCandidates)]
-	others := rankEntries(far, piece)
-	return append(ways, others[:min(len(others), maxOtherSiteCandidates)]...)
+	candidates := rankEntries(sameSite, piece)
+	candidates = candidates[:min(len(candidates), maxSameSiteCandidates)]
+	others := rankEntries(otherSites, piece)
+	return append(candidates, others[:min(len(others), maxOtherSiteCandidates)]...)
 }
 
-// waysNear and waysFar bound an agent's ways: hosts of one site fail together, and
-// bytes between sites are scarce.
+// The limits of an agent's candidates. Hosts of one site fail together, and
+// bandwidth between sites is scarce.
 const (
 	maxSameSiteCandidates  = 3
 	maxOtherSiteCandidates = 2
 )
 
-// rankEntries orders entries for a piece, the home first.
+// rankEntries orders entries for a piece, starting with the home entry.
 func rankEntries(entries []Entry, piece string) []filbertlever.HostID {
 	scores := make(map[filbertlever.HostID]uint64, len(entries))
 	hosts := make([]filbertlever.HostID, 0, len(entries))
@@ -77,50 +78,56 @@
 	return hosts
 }
 
+// entryScore returns the rendezvous hash of an entry for a piece.
 func entryScore(entry Entry, piece string) uint64 {
 	return xxhash.Sum64String(piece + "\x00" + string(entry.Host))
 }
 
-// Turn returns the place of an entry in the order of a site's entries for a piece, 0 for its home.
+// Rank returns the position of an entry in the order of a site's entries for a
+// piece. It is 0 for the home entry, and -1 for an entry of another site.
 func Turn(self filbertlever.HostID, entries []Entry, site, piece string) int {
-	near := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.Site != site })
-	return slices.Index(rankEntries(near, piece), self)
+	sameSite := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.Site != site })
+	return slices.Index(rankEntries(sameSite, piece), self)
 }
 
-// Role is what an entry is asked as for a piece.
+// Role is the role in which an entry is asked for a piece.
 type Role int
 
-// The roles. Whoever asks an entry says what it takes it for.
+// The roles. An entry is asked in the role that the asking process expects it to
+// have. The values increase along each route to the origin.
 const (
-	// RoleAny means that an agent asks: any entry will do.
+	// RoleAny means that an agent asks. Any entry can serve it.
 	RoleAny Role = iota
-	// RoleHome is that of the entry of a site that a piece belongs to.
+	// RoleHome is the role of a piece's home entry at a site.
 	RoleHome
-	// RoleDrawer is that of the entry that draws a piece from the origin.
+	// RoleOriginFetcher is the role of the entry that fetches a piece from the
+	// origin.
 	RoleDrawer
 )
 
-// maxOriginFetchers is how many entries draw from the origin. More of them, each with
-// a part of the pieces, share the origin's thin link: while some still draw one
-// version, others have begun the next, and the first pieces come later.
+// maxOriginFetchers limits the entries that fetch from the origin. With more of
+// them, each with a part of the pieces, some would start on the next version
+// and share the origin's slow link with those still fetching the previous one.
+// The first pieces would then arrive later.
 const maxOriginFetchers = 4
 
-// Drawer returns the entry that draws a piece from the origin, one of a few at
-// the origin's site. It is empty if there is none.
+// OriginFetcher returns the entry that fetches a piece from the origin, which
+// is one of a few at the origin's site. It returns an empty ID if there is
+// none.
 func Drawer(entries []Entry, originSite, piece string) filbertlever.HostID {
-	var ranked []Entry
+	var candidates []Entry
 	for _, entry := range entries {
 		if entry.Site == originSite {
-			ranked = append(ranked, entry)
+			candidates = append(candidates, entry)
 		}
 	}
-	slices.SortFunc(ranked, func(a, b Entry) int {
+	slices.SortFunc(candidates, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(string(a.Host)), xxhash.Sum64String(string(b.Host))), cmp.Compare(a.Host, b.Host))
 	})
-	return Home(ranked[:min(len(ranked), maxOriginFetchers)], originSite, piece)
+	return Home(candidates[:min(len(candidates), maxOriginFetchers)], originSite, piece)
 }
 
-// RoleOf returns the role that an entry has for a piece whoever asks.
+// RoleOf returns the role of an entry for a piece, regardless of who asks.
 func RoleOf(self Entry, entries []Entry, originSite, piece string) Role {
 	switch {
 	case self.Site == originSite && Drawer(entries, originSite, piece) == self.Host:
@@ -131,12 +138,13 @@
 	return RoleAny
 }
 
-// Source returns from which entry self draws a piece when asked in a role, and
-// what it asks that entry as; an empty one means the origin.
+// Source returns the entry from which self fetches a piece when asked in a
+// role, and the role in which self asks that entry. An empty ID means the
+// origin.
 //
-// Guard: two entries whose views of the living ones differ may each take the other
-// for a piece's home, and wait for each other; the role grows with each step, so
-// that every way ends at the origin.
+// Two entries with different views of the live entries may each consider the
+// other the home of a piece and wait for each other. The role increases with
+// each step, so that every route ends at the origin.
 func Source(self Entry, entries []Entry, originSite, piece string, asked Role) (filbertlever.HostID, Role) {
 	role := max(asked, RoleOf(self, entries, originSite, piece))
 	if role == RoleAny {
@@ -147,9 +155,9 @@
 	if role == RoleDrawer {
 		return "", RoleDrawer
 	}
-	drawer := Drawer(entries, originSite, piece)
-	if drawer == self.Host {
+	fetcher := Drawer(entries, originSite, piece)
+	if fetcher == self.Host {
 		return "", RoleDrawer
 	}
-	return drawer, RoleDrawer
+	return fetcher, RoleDrawer
 }
--- a/internal/coordination/relays/relays_test.go
+++ b/internal/coordination/relays/relays_test.go
@@ -12,14 +12,14 @@
 
 var entries = []Entry{{"e1", "a"}, {"e2", "a"}, {"e3", "a"}, {"e4", "b"}, {"e5", "b"}, {"e6", "c"}}
 
-// The origin sends several copies of a version, whose link carries few. Each
-// piece must have one entry that draws it from the origin, one of each other
-// site that fetches it over the border, and no chain that ends nowhere.
+// The origin's slow link must carry each piece once. One entry fetches a piece
+// from the origin, one of each other site fetches it across the site boundary,
+// and every route ends at the origin.
 func TestEachPieceIsSentOncePerSite(t *testing.T) {
 	c := qt.New(t)
 	for piece := range 64 {
 		key := fmt.Sprint(piece)
-		fromOrigin, overBorder := 0, map[string]int{}
+		fromOrigin, acrossSites := 0, map[string]int{}
 		for _, entry := range entries {
 			source, ask := Source(entry, entries, "a", key, RoleAny)
 			switch {
@@ -27,16 +27,17 @@
 				fromOrigin++
 				c.Assert(entry.Site, qt.Equals, "a")
 			case siteOf(source) != entry.Site:
-				overBorder[entry.Site]++
-				next, _ := Source(Entry{Host: source, Site: siteOf(source)}, entries, "a", key, ask)
-				c.Assert(next, qt.Equals, filbertlever.HostID(""))
+				acrossSites[entry.Site]++
+				nextSource, _ := Source(Entry{Host: source, Site: siteOf(source)}, entries, "a", key, ask)
+				c.Assert(nextSource, qt.Equals, filbertlever.HostID(""))
 			}
 		}
 		c.Assert(fromOrigin, qt.Equals, 1)
-		c.Assert(overBorder, qt.DeepEquals, map[string]int{"b": 1, "c": 1})
+		c.Assert(acrossSites, qt.DeepEquals, map[string]int{"b": 1, "c": 1})
 	}
 }
 
+// siteOf returns the site of a host in entries.
 func siteOf(host filbertlever.HostID) string {
 	for _, entry := range entries {
 		if entry.Host == host {
@@ -46,7 +47,8 @@
 	return ""
 }
 
-// The loss of one entry must move only its pieces, or every relay draws anew.
+// The removal of an entry must move only its own pieces. Otherwise every relay
+// would fetch its pieces again.
 func TestRemovedEntryMovesOnlyItsPieces(t *testing.T) {
 	c := qt.New(t)
 	for piece := range 64 {
@@ -59,53 +61,55 @@
 	}
 }
 
-// No entry lives at the origin's site: the others draw from the origin itself.
+// Without an entry at the origin's site, the others must fetch from the origin
+// directly.
 func TestNoEntryAtOriginSite(t *testing.T) {
 	c := qt.New(t)
-	far := []Entry{{"e4", "b"}}
-	source, _ := Source(far[0], far, "a", "1", RoleAny)
+	remote := []Entry{{"e4", "b"}}
+	source, _ := Source(remote[0], remote, "a", "1", RoleAny)
 	c.Assert(source, qt.Equals, filbertlever.HostID(""))
 }
 
-// The origin came back while one version was nearly whole and the next was named.
-// Fourteen entries each drew a part: those that were done with the first version
-// took most of the link for the second. Few draw, so that each has some of both.
+// When fourteen entries each fetched a part, those that had finished one
+// version took most of the origin's link for the next. With few fetchers, each
+// has pieces of both versions.
 func TestFewEntriesFetchFromOrigin(t *testing.T) {
 	c := qt.New(t)
-	var many []Entry
+	var all []Entry
 	for n := range 14 {
-		many = append(many, Entry{Host: filbertlever.HostID(fmt.Sprint("e", n)), Site: "a"})
+		all = append(all, Entry{Host: filbertlever.HostID(fmt.Sprint("e", n)), Site: "a"})
 	}
 	pieces := map[filbertlever.HostID]int{}
 	homes := map[filbertlever.HostID]bool{}
 	for piece := range 64 {
 		key := fmt.Sprint(piece)
-		pieces[Drawer(many, "a", key)]++
-		homes[Home(many, "a", key)] = true
+		pieces[Drawer(all, "a", key)]++
+		homes[Home(all, "a", key)] = true
 	}
 	c.Assert(len(pieces), qt.Equals, maxOriginFetchers)
 	for host, n := range pieces {
-		c.Check(n >= 8 && n <= 24, qt.IsTrue, qt.Commentf("%s draws %d of 64", host, n))
+		c.Check(n >= 8 && n <= 24, qt.IsTrue, qt.Commentf("%s fetches %d of 64", host, n))
 	}
-	// Agents are served by all.
-	c.Assert(len(homes), qt.Equals, len(many))
+	// All entries serve agents.
+	c.Assert(len(homes), qt.Equals, len(all))
 }
 
-// No server gets its weights: entries that do not agree on who lives send each
-// other round in a ring. Whatever each of them sees, three steps reach the origin.
+// Entries with different views of the live entries must not wait for each other
+// in a cycle. Whatever each of them observes, three steps must reach the
+// origin.
 func TestEveryRouteEndsAtOrigin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		host := rapid.SampledFrom(entries)
 		key := fmt.Sprint(rapid.IntRange(0, 63).Draw(t, "piece"))
 		self, asked := host.Draw(t, "first"), RoleAny
 		for range 3 {
-			seen := []Entry{self}
+			live := []Entry{self}
 			for _, other := range entries {
 				if other != self && rapid.Bool().Draw(t, "seen") {
-					seen = append(seen, other)
+					live = append(live, other)
 				}
 			}
-			source, ask := Source(self, seen, "a", key, asked)
+			source, ask := Source(self, live, "a", key, asked)
 			if source == "" {
 				return
 			}
@@ -115,20 +119,21 @@
 			self, asked = Entry{Host: source, Site: siteOf(source)}, ask
 		}
 		if source, _ := Source(self, entries, "a", key, asked); source != "" {
-			t.Fatal("the way goes on")
+			t.Fatal("the route does not end at the origin")
 		}
 	})
 }
 
-// Entries that read the store one after the other agree on their order, and its first is the home.
+// Entries that read the store in turn must agree on their order, which starts
+// with the home entry.
 func TestRanksAreConsistent(t *testing.T) {
 	c := qt.New(t)
 	entries := []Entry{{Host: "e1", Site: "a"}, {Host: "e2", Site: "a"}, {Host: "e3", Site: "b"}, {Host: "e4", Site: "a"}}
-	turns := map[int]bool{}
+	ranks := map[int]bool{}
 	for _, host := range []filbertlever.HostID{"e1", "e2", "e4"} {
-		turns[Turn(host, entries, "a", "reader")] = true
+		ranks[Turn(host, entries, "a", "reader")] = true
 	}
-	c.Assert(turns, qt.DeepEquals, map[int]bool{0: true, 1: true, 2: true})
+	c.Assert(ranks, qt.DeepEquals, map[int]bool{0: true, 1: true, 2: true})
 	c.Assert(Turn(Home(entries, "a", "reader"), entries, "a", "reader"), qt.Equals, 0)
 	c.Assert(Turn("e3", entries, "a", "reader"), qt.Equals, -1)
 }
--- a/internal/coordination/relays/slots_test.go
+++ b/internal/coordination/relays/semaphore_test.go
@@ -6,6 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// granted reports whether a waiter has a slot.
 func granted(w Waiter) bool {
 	select {
 	case <-w.Granted:
@@ -15,16 +16,16 @@
 	}
 }
 
-// No server answers until the first of two versions is whole, and its last pieces
-// lie behind many of the second. Whoever draws the older version goes first, in
-// the order of asking, however many wait.
+// No server serves the first of two versions until its last pieces arrive. They
+// must not wait behind many pieces of the second, so waiters for the older
+// version are granted first, in order of arrival.
 func TestOldestVersionIsGrantedFirst(t *testing.T) {
 	c := qt.New(t)
 	s := NewSlots(1)
-	running := s.Take("drafter", 3)
-	c.Assert(granted(running), qt.IsTrue)
-	newer, older, oldest := s.Take("drafter", 3), s.Take("drafter", 2), s.Take("drafter", 2)
-	for _, want := range []Waiter{older, oldest, newer} {
+	holder := s.Take("drafter", 3)
+	c.Assert(granted(holder), qt.IsTrue)
+	newer, older1, older2 := s.Take("drafter", 3), s.Take("drafter", 2), s.Take("drafter", 2)
+	for _, want := range []Waiter{older1, older2, newer} {
 		c.Assert(granted(want), qt.IsFalse)
 		s.Give()
 		c.Assert(granted(want), qt.IsTrue)
@@ -33,20 +34,20 @@
 	c.Assert(granted(s.Take("drafter", 9)), qt.IsTrue)
 }
 
-// One who gives up waiting must not be granted a place that nobody gives back.
+// A cancelled waiter must not be granted a slot, since nobody would release it.
 func TestCancelledWaiterIsNotGranted(t *testing.T) {
 	c := qt.New(t)
 	s := NewSlots(1)
 	s.Take("drafter", 1)
-	gone, stays := s.Take("drafter", 1), s.Take("drafter", 2)
-	c.Assert(s.Leave(gone), qt.IsTrue)
+	cancelled, remaining := s.Take("drafter", 1), s.Take("drafter", 2)
+	c.Assert(s.Leave(cancelled), qt.IsTrue)
 	s.Give()
-	c.Assert(granted(stays), qt.IsTrue)
-	c.Assert(s.Leave(stays), qt.IsFalse)
+	c.Assert(granted(remaining), qt.IsTrue)
+	c.Assert(s.Leave(remaining), qt.IsFalse)
 }
 
-// The last pieces of one model waited behind the whole of another one, whose versions had
-// lower numbers: numbers say which version is older within a model only.
+// The last pieces of one model waited behind a whole set of another, whose
+// versions had lower numbers. The numbers order versions only within a model.
 func TestVersionsAreOrderedPerModel(t *testing.T) {
 	c := qt.New(t)
 	s := NewSlots(1)
@@ -62,17 +63,17 @@
 	}
 }
 
-// No server got a version while an older one was asked for that the origin had dropped:
-// what cannot be had goes after all others, and before nobody who can draw.
+// No server received a version while an older one was requested that the origin
+// had removed. Waiters for an unavailable version must go after all others.
 func TestDeferredWaiterIsGrantedLast(t *testing.T) {
 	c := qt.New(t)
 	s := NewSlots(1)
 	s.Last = func(w Waiter) bool { return w.Version == 2 }
 	s.Take("drafter", 2)
-	gone, newest, newer := s.Take("drafter", 2), s.Take("drafter", 4), s.Take("drafter", 3)
+	deferred, newest, newer := s.Take("drafter", 2), s.Take("drafter", 4), s.Take("drafter", 3)
 	c.Assert(s.OtherFirst("drafter", 2), qt.IsTrue)
 	c.Assert(s.OtherFirst("drafter", 3), qt.IsFalse)
-	for _, want := range []Waiter{newer, newest, gone} {
+	for _, want := range []Waiter{newer, newest, deferred} {
 		c.Assert(granted(want), qt.IsFalse)
 		s.Give()
 		c.Assert(granted(want), qt.IsTrue)
