--- a/internal/coordination/distribution/planner.go
+++ b/internal/coordination/distribution/planner.go
@@ -76,8 +76,8 @@
 type Config struct {
 	// Shape is the form of the trees. The zero value is used in production.
 	Shape Shape
-	// Window limits fetches from peers: none starts while this many fetches are in
-	// flight.
+	// Window limits fetches from peers: none starts while this many fetches are
+	// in flight.
 	Window int
 	// OriginWindow is how many chunks all hosts together fetch from the origin
 	// at about the same time: the root of chunk c waits until chunk
@@ -165,8 +165,8 @@
 
 // New returns the planner of host self for a set of chunks that all hosts in
 // order need. The order should be the same on every host. Differences cost time
-// but do not affect correctness. The highest chunk already known to exist
-// outside the origin is highest, or -1 if there is none.
+// but do not affect correctness. The parameter highest is the highest chunk
+// already known to exist outside the origin, or -1 if there is none.
 func New(config Config, self Peer, chunks int, order []Peer, highest int, now time.Time) *Planner {
 	t := newTree(config.Shape, append(slices.Clone(order), self))
 	p := &Planner{
--- a/internal/coordination/distribution/sources.go
+++ b/internal/coordination/distribution/sources.go
@@ -56,9 +56,9 @@
 
 // isStalled reports whether chunk i made no progress for the given number of
 // progress timeouts.
-func (p *Planner) isStalled(i, times int, now time.Time) bool {
-	since := p.chunks[i].lastProgress
-	return !since.IsZero() && now.Sub(since) > p.progressTimeout()*time.Duration(times)
+func (p *Planner) isStalled(i, timeouts int, now time.Time) bool {
+	lastProgress := p.chunks[i].lastProgress
+	return !lastProgress.IsZero() && now.Sub(lastProgress) > p.progressTimeout()*time.Duration(timeouts)
 }
 
 // progressTimeout returns how long a requested chunk may make no progress.
--- a/internal/coordination/distribution/swarm_test.go
+++ b/internal/coordination/distribution/swarm_test.go
@@ -56,7 +56,8 @@
 type request struct {
 	from  *member
 	fetch distribution.Fetch
-	since int
+	// start is the tick in which the fetch began.
+	start int
 }
 
 // newSwarm returns hosts spread evenly over sites, none of which holds a chunk.
@@ -128,7 +129,7 @@
 		if !ok {
 			return
 		}
-		r := &request{from: m, fetch: fetch, since: s.ticks}
+		r := &request{from: m, fetch: fetch, start: s.ticks}
 		if fetch.Source.Kind != distribution.SourcePeer {
 			if s.originDown || m.originUnreachable || fetch.Source.Kind == distribution.SourceStore {
 				m.planner.Failed(fetch.Chunk, distribution.FailureError, s.now)
@@ -211,9 +212,9 @@
 		switch {
 		case m.dead:
 			r.from.planner.Failed(r.fetch.Chunk, distribution.FailureError, s.now)
-		case m.silent && s.ticks-r.since > longPoll:
+		case m.silent && s.ticks-r.start > longPoll:
 			r.from.planner.Failed(r.fetch.Chunk, distribution.FailureStalled, s.now)
-		case !m.silent && s.ticks-r.since > longPoll && !m.holds[r.fetch.Chunk]:
+		case !m.silent && s.ticks-r.start > longPoll && !m.holds[r.fetch.Chunk]:
 			r.from.planner.Heard(m.planner.Highest(), s.now)
 			r.from.planner.Failed(r.fetch.Chunk, distribution.FailureNotYet, s.now)
 		default:
--- a/internal/coordination/distribution/tree.go
+++ b/internal/coordination/distribution/tree.go
@@ -45,7 +45,8 @@
 // tree maps hosts to nodes in the trees of all chunks.
 type tree struct {
 	shape Shape
-	// sites lists the hosts of each site. Sites are in the order of their first host.
+	// sites lists the hosts of each site in order. Sites are in the order of
+	// their first host.
 	sites   [][]filbertlever.HostID
 	indexes map[filbertlever.HostID]hostIndex
 }
--- a/internal/coordination/switchover/switchover.go
+++ b/internal/coordination/switchover/switchover.go
@@ -9,7 +9,8 @@
 // Config holds the durations of a switchover.
 type Config struct {
 	// MaxStaleness is the maximum time after a target is set during which
-	// requests may still start on an older version.
+	// requests may still start on an older version. It ends at the deadline of
+	// the target.
 	MaxStaleness time.Duration
 	// PreparationTime is reserved for every server to stage the weights and to
 	// drain for DrainDuration.
