--- /dev/null
+++ b/internal/coordination/drain/closedetector.go
@@ -0,0 +1,26 @@
+package drain
+
+// CloseDetector detects from a server's responses that the server is draining. A draining
+// server closes the connection after each response. Other servers close it occasionally, or
+// always. The zero value is a server that has not responded yet.
+type Closing struct {
+	// keptAlive is true once the server has kept a connection open.
+	keptAlive bool
+	// consecutive is the number of latest responses in a row that closed their connection.
+	consecutive int
+}
+
+// minConsecutiveCloses is how many responses in a row must close their connections.
+const minConsecutiveCloses = 3
+
+// Observe records whether the next response closed its connection.
+func (c *Closing) Observe(closes bool) {
+	if !closes {
+		c.keptAlive, c.consecutive = true, 0
+		return
+	}
+	c.consecutive = min(c.consecutive+1, minConsecutiveCloses)
+}
+
+// Draining reports whether the server is draining.
+func (c *Closing) Leaving() bool { return c.keptAlive && c.consecutive >= minConsecutiveCloses }
--- a/internal/coordination/drain/closing_test.go
+++ b/internal/coordination/drain/closedetector_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestClosing(t *testing.T) {
+func TestCloseDetector(t *testing.T) {
 	tests := []struct {
 		name   string
 		closes []bool
@@ -21,11 +21,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var closing Closing
+			var detector Closing
 			for _, closes := range test.closes {
-				closing.Observe(closes)
+				detector.Observe(closes)
 			}
-			qt.Assert(t, closing.Leaving(), qt.Equals, test.want)
+			qt.Assert(t, detector.Leaving(), qt.Equals, test.want)
 		})
 	}
 }
--- a/internal/coordination/drain/drain.go
+++ b/internal/coordination/drain/drain.go
@@ -1,84 +1,87 @@
-// Package drain decides how a process leaves: it announces the stop, takes
-// new work for a moment while others learn of it, refuses from then on, and
-// exits once what it began has ended.
+// Package drain controls the planned stop of a process. The process announces
+// the stop, accepts new work for a grace period while other processes receive
+// the announcement, refuses new work afterwards, and exits when its work in
+// flight has ended.
 package drain
 
 import "time"
 
-// Config holds the times of a planned stop.
+// Config holds the timing settings of a planned stop.
 type Config struct {
-	// Grace is how long new work is still taken after the announcement.
+	// GracePeriod is how long new work is accepted after the announcement.
 	Grace time.Duration
-	// Move is when running streams are moved to other hosts, counted from the
-	// announcement. Orders are never moved.
+	// MoveStreamsAfter is the time from the announcement to moving running
+	// streams to other hosts. Orders are never moved.
 	Move time.Duration
 }
 
-// DefaultConfig returns the times used in production.
+// DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
 	return Config{Grace: 2 * time.Second, Move: 30 * time.Second}
 }
 
-// Phase is how far a stop has come.
+// Phase is the progress of a planned stop.
 type Phase int
 
-// The phases, in order; a stop never goes back.
+// The phases in order. A stop never returns to an earlier phase.
 const (
 	PhaseLive Phase = iota
-	// PhaseAnnounced takes new work, but tells everybody to go elsewhere.
+	// PhaseAnnounced accepts new work, but announces that it should be sent to
+	// other hosts.
 	PhaseAnnounced
-	// PhaseRefusing takes no new work.
+	// PhaseRefusing accepts no new work.
 	PhaseRefusing
-	// PhaseMoving also ends running streams so that they go on elsewhere.
+	// PhaseMoving also ends running streams so that they continue on other
+	// hosts.
 	PhaseMoving
-	// PhaseDone has nothing left to do.
+	// PhaseDone has no work in flight.
 	PhaseDone
 )
 
-// Stop is the planned stop of one process.
+// Stop is the state machine of one process's planned stop.
 type Stop struct {
-	config    Config
-	announced time.Time
-	phase     Phase
+	config      Config
+	announcedAt time.Time
+	phase       Phase
 }
 
-// New returns a stop that has not begun.
+// New returns a stop that has not been announced.
 func New(config Config) *Stop {
 	return &Stop{config: config}
 }
 
-// Announce begins the stop; a second call changes nothing.
+// Announce starts the stop. Further calls have no effect.
 func (s *Stop) Announce(now time.Time) {
 	if s.phase == PhaseLive {
 		s.phase = PhaseAnnounced
-		s.announced = now
+		s.announcedAt = now
 	}
 }
 
-// Advance returns the phase at now with work requests still running.
+// Advance returns the phase at now, given the number of requests in flight.
 //
-// Guard: a request may arrive between the last look at the count and the exit
-// and would be cut off; PhaseDone is reached only from a phase in which new
-// work is refused, so the count cannot rise again.
-func (s *Stop) Advance(now time.Time, work int) Phase {
+// A request that arrived after the last check of this number and before the
+// exit would be cut off. PhaseDone is therefore reached only from a phase in
+// which new work is refused, so that the number cannot rise again.
+func (s *Stop) Advance(now time.Time, inFlight int) Phase {
 	if s.phase == PhaseLive || s.phase == PhaseDone {
 		return s.phase
 	}
-	since := now.Sub(s.announced)
-	if s.phase == PhaseAnnounced && since >= s.config.Grace {
+	elapsed := now.Sub(s.announcedAt)
+	if s.phase == PhaseAnnounced && elapsed >= s.config.Grace {
 		s.phase = PhaseRefusing
 	}
-	if s.phase == PhaseRefusing && since >= s.config.Move {
+	if s.phase == PhaseRefusing && elapsed >= s.config.Move {
 		s.phase = PhaseMoving
 	}
-	if s.phase >= PhaseRefusing && work == 0 {
+	if s.phase >= PhaseRefusing && inFlight == 0 {
 		s.phase = PhaseDone
 	}
 	return s.phase
 }
 
-// Leaving reports whether the stop has been announced.
+// Announced reports whether the stop has been announced.
 func (s *Stop) Leaving() bool { return s.phase != PhaseLive }
 
-// Accepts reports whether new work is taken.
+// Accepts reports whether new work is accepted.
 func (s *Stop) Accepts() bool { return s.phase <= PhaseAnnounced }
--- a/internal/coordination/drain/drain_test.go
+++ b/internal/coordination/drain/drain_test.go
@@ -11,16 +11,16 @@
 
 var epoch = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-func TestPhasesOfAStop(t *testing.T) {
+func TestPhasesOfAPlannedStop(t *testing.T) {
 	c := qt.New(t)
 	s := drain.New(drain.DefaultConfig())
 	c.Assert(s.Advance(epoch, 0), qt.Equals, drain.PhaseLive)
 	s.Announce(epoch)
 	for _, step := range []struct {
-		after   time.Duration
-		work    int
-		phase   drain.Phase
-		accepts bool
+		after    time.Duration
+		inFlight int
+		phase    drain.Phase
+		accepts  bool
 	}{
 		{0, 3, drain.PhaseAnnounced, true},
 		{time.Second, 0, drain.PhaseAnnounced, true},
@@ -30,14 +30,14 @@
 		{31 * time.Second, 0, drain.PhaseDone, false},
 		{32 * time.Second, 5, drain.PhaseDone, false},
 	} {
-		c.Assert(s.Advance(epoch.Add(step.after), step.work), qt.Equals, step.phase, qt.Commentf("after %s", step.after))
+		c.Assert(s.Advance(epoch.Add(step.after), step.inFlight), qt.Equals, step.phase, qt.Commentf("after %s", step.after))
 		c.Assert(s.Accepts(), qt.Equals, step.accepts)
 	}
 }
 
-// A caller's request is cut off by a planned stop: the host is idle for a
-// moment right after the announcement, exits, and the request arrives then.
-func TestNoExitWhileNewWorkIsTaken(t *testing.T) {
+// A host that is idle right after the announcement must not exit, because a
+// request that arrives within the grace period would be cut off.
+func TestNoExitWhileNewWorkIsAccepted(t *testing.T) {
 	c := qt.New(t)
 	s := drain.New(drain.DefaultConfig())
 	s.Announce(epoch)
@@ -45,8 +45,9 @@
 	c.Assert(s.Accepts(), qt.IsTrue)
 }
 
-// A leaving host goes on taking work for as long as it has some.
-func TestNewWorkIsRefusedAfterAFewSeconds(t *testing.T) {
+// A stopping host must refuse new work after the grace period, also while it
+// still has work in flight.
+func TestNewWorkIsRefusedAfterTheGracePeriod(t *testing.T) {
 	c := qt.New(t)
 	s := drain.New(drain.DefaultConfig())
 	s.Announce(epoch)
--- a/internal/coordination/knowledge/knowledge.go
+++ b/internal/coordination/knowledge/knowledge.go
@@ -1,6 +1,6 @@
-// Package knowledge merges what spreads from process to process: the accepted
-// head, the platform's host list and the planned stops. Each has a number that
-// only grows, so messages may come late, twice or out of order.
+// Package knowledge merges the state that processes gossip: the accepted head,
+// the platform's host list and the planned stops. Each has a version that only
+// grows, so messages may arrive late, twice or out of order.
 package knowledge
 
 import (
@@ -19,27 +19,27 @@
 	From time.Time
 }
 
-// Facts is what one process tells another. Hosts and Stops may be left out;
-// the revisions then say only what the teller knows.
+// Facts is a gossip message. Hosts and Stops may be omitted. The revisions are
+// then those of the sender's own lists.
 type Facts struct {
 	Head          state.Head
 	HostsRevision uint64
 	Hosts         []filbertlever.Host `json:",omitempty"`
 	StopsRevision uint64
-	// StopsKnown is true if Stops is the whole list at StopsRevision.
+	// StopsKnown is true if Stops is the complete list at StopsRevision.
 	StopsKnown bool   `json:",omitempty"`
 	Stops      []Stop `json:",omitempty"`
 }
 
-// News says which facts were new.
-type News struct {
+// Changes lists which parts of a message were newer than the local state.
+type Changes struct {
 	Head, Hosts, Stops bool
 }
 
-// Any reports whether anything was new.
-func (n News) Any() bool { return n.Head || n.Hosts || n.Stops }
+// Any reports whether any part was newer.
+func (c Changes) Any() bool { return c.Head || c.Hosts || c.Stops }
 
-// Base is what one process knows. It is not safe for concurrent use.
+// Base is the gossiped state of one process. It is not safe for concurrent use.
 type Base struct {
 	Tracker rollout.Tracker
 	Members *membership.Table
@@ -49,34 +49,35 @@
 	stopsRevision uint64
 }
 
-// New returns a base that knows nothing.
+// New returns an empty base.
 func New(members *membership.Table) *Base {
 	return &Base{Members: members}
 }
 
-// Learn takes facts from the platform or a peer.
-func (b *Base) Learn(facts Facts, now time.Time) (News, error) {
-	var news News
+// Merge adds the newer parts of a message from the platform or a peer.
+func (b *Base) Learn(facts Facts, now time.Time) (Changes, error) {
+	var changes Changes
 	head, err := b.Tracker.Learn(facts.Head)
-	news.Head = head
+	changes.Head = head
 	if facts.StopsKnown && facts.StopsRevision > b.stopsRevision {
 		b.stopsRevision = facts.StopsRevision
 		b.stops = slices.Clone(facts.Stops)
-		news.Stops = true
+		changes.Stops = true
 	}
 	if len(facts.Hosts) > 0 && b.Members.ApplyList(facts.HostsRevision, facts.Hosts, now) {
 		b.hosts = slices.Clone(facts.Hosts)
-		news.Hosts = true
+		changes.Hosts = true
 	}
-	return news, err
+	return changes, err
 }
 
-// Digest returns the numbers of what is known, without the lists.
+// Digest returns the head and the revisions without the lists.
 func (b *Base) Digest() Facts {
 	return Facts{Head: b.Tracker.Known(), HostsRevision: b.Members.Revision(), StopsRevision: b.stopsRevision}
 }
 
-// Newer returns the digest, with the lists that a process with digest other lacks.
+// Delta returns the digest and those lists that are newer than the ones of the
+// process that sent the digest other.
 func (b *Base) Newer(other Facts) Facts {
 	facts := b.Digest()
 	if facts.HostsRevision > other.HostsRevision {
@@ -89,25 +90,26 @@
 	return facts
 }
 
-// Behind reports whether a process with digest other lacks something.
+// AheadOf reports whether any part is newer than in the digest other.
 func (b *Base) Behind(other Facts) bool {
-	mine := b.Digest()
-	return other.Head.Version < mine.Head.Version ||
-		other.HostsRevision < mine.HostsRevision ||
-		other.StopsRevision < mine.StopsRevision
+	own := b.Digest()
+	return other.Head.Version < own.Head.Version ||
+		other.HostsRevision < own.HostsRevision ||
+		other.StopsRevision < own.StopsRevision
 }
 
-// Stopping reports whether a stop of the host is planned.
+// HasPlannedStop reports whether a stop of the host is planned.
 func (b *Base) Stopping(host filbertlever.HostID) bool {
 	return slices.ContainsFunc(b.stops, func(s Stop) bool { return s.Host == host })
 }
 
-// Usable reports whether new work may go to a host.
+// Usable reports whether new work may be sent to the host.
 func (b *Base) Usable(host filbertlever.HostID, now time.Time) bool {
 	return b.Members.Usable(host, now) && !b.Stopping(host)
 }
 
-// UsableHosts returns the hosts of a role that new work may go to, by name.
+// UsableHosts returns the hosts of a role that new work may be sent to, sorted
+// by ID.
 func (b *Base) UsableHosts(role filbertlever.Role, now time.Time) []filbertlever.Host {
 	hosts := b.Members.UsableHosts(role, now)
 	return slices.DeleteFunc(hosts, func(h filbertlever.Host) bool { return b.Stopping(h.ID) })
--- a/internal/coordination/knowledge/knowledge_test.go
+++ b/internal/coordination/knowledge/knowledge_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// Processes that heard the platform at different times tell each other in any
-// order, late and twice; one of them goes back to what it knew before.
-func TestKnowledgeOnlyGrowsAndConverges(t *testing.T) {
+// Messages that arrive late, twice or out of order must not bring a process back
+// to an older version, and all processes must end with the same state.
+func TestVersionsNeverDecreaseAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bases := make([]*knowledge.Base, 5)
 		for i := range bases {
@@ -46,24 +46,24 @@
 			before := to.Digest()
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				learn(t, to, facts(uint64(rapid.IntRange(1, 9).Draw(t, "version"))))
+				merge(t, to, facts(uint64(rapid.IntRange(1, 9).Draw(t, "version"))))
 			case 1:
 				message := pick().Newer(to.Digest())
 				sent = append(sent, message)
-				learn(t, to, message)
+				merge(t, to, message)
 			case 2:
 				if len(sent) > 0 {
-					learn(t, to, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "message")])
+					merge(t, to, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "message")])
 				}
 			}
 			after := to.Digest()
 			if after.Head.Version < before.Head.Version || after.HostsRevision < before.HostsRevision || after.StopsRevision < before.StopsRevision {
-				t.Fatalf("went back from %+v to %+v", before, after)
+				t.Fatalf("versions decreased from %+v to %+v", before, after)
 			}
 		}
 		for range bases {
 			for i, base := range bases {
-				learn(t, base, bases[(i+1)%len(bases)].Newer(base.Digest()))
+				merge(t, base, bases[(i+1)%len(bases)].Newer(base.Digest()))
 			}
 		}
 		for _, base := range bases {
@@ -74,15 +74,15 @@
 	})
 }
 
-func learn(t *rapid.T, base *knowledge.Base, facts knowledge.Facts) {
+func merge(t *rapid.T, base *knowledge.Base, facts knowledge.Facts) {
 	if _, err := base.Learn(facts, epoch); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A host whose stop is planned goes on getting work, because the host list
-// still names it as live.
-func TestPlannedStopTakesAHostOutOfUse(t *testing.T) {
+// A host with a planned stop must not get new work, although the host list still
+// contains it as live.
+func TestHostWithAPlannedStopIsNotUsable(t *testing.T) {
 	c := qt.New(t)
 	base := newBase()
 	_, err := base.Learn(facts(3), epoch)
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease decides who may give orders to a model engine. Each life of
-// an agent takes the next fencing number from a row of the platform; whoever
-// is acted on refuses lower numbers.
+// Package lease decides which agent may send orders to a model engine. Each
+// incarnation of an agent takes the next fencing number from a row of the
+// platform, and the receiver of an order rejects lower numbers.
 package lease
 
 import (
@@ -16,49 +16,48 @@
 	Fence uint64
 }
 
-// Lease is one holder's view of its lease.
+// Lease is the state of a lease as its holder sees it.
 type Lease struct {
 	self filbertlever.Incarnation
-	// ttl is how long a confirmation is good for.
+	// ttl is how long a confirmation is valid.
 	ttl time.Duration
 	// fence is 0 until the lease is acquired.
 	fence uint64
-	// confirmed is when the last read or write that showed this holder in the
-	// row was *sent*.
-	confirmed time.Time
-	lost      bool
-	// acquired is when this holder took the lease.
-	acquired time.Time
-	// ticked is the last time that the holder was known to run.
-	ticked time.Time
-	// paused is true if the holder stood still since the last confirmation.
+	// confirmedAt is when the last read or write that showed this holder in
+	// the row was *sent*.
+	confirmedAt time.Time
+	lost        bool
+	// acquiredAt is when this holder acquired the lease.
+	acquiredAt time.Time
+	// lastTick is the time of the last call of Tick.
+	lastTick time.Time
+	// paused is true if the process was paused since the last confirmation.
 	paused bool
 }
 
-// New returns a lease not yet acquired.
+// New returns a lease that is not acquired yet.
 func New(self filbertlever.Incarnation, ttl time.Duration) *Lease {
 	return &Lease{self: self, ttl: ttl}
 }
 
-// Next returns the record to write over current, on the condition that the
-// row has not changed.
+// Next returns the record that replaces current. The write must be conditional
+// on the row being unchanged.
 func (l *Lease) Next(current Record) Record {
 	return Record{Holder: l.self, Fence: current.Fence + 1}
 }
 
-// Saw takes the row as a call sent at sent showed it, after a write that was
-// applied as well as after a read.
+// Observe updates the lease from the row as returned by a read or an applied
+// write. The parameter sent is when the request was sent.
 //
-// Guard: the row may have changed hands while the answer was on its way, or
-// while this process was paused; validity therefore counts from before the
-// call was sent.
+// The row may have changed hands before the response arrived, or while this
+// process was paused. Validity therefore counts from when the request was sent.
 func (l *Lease) Saw(record Record, sent time.Time) {
 	if record.Holder == l.self {
 		if l.fence == 0 {
-			l.acquired = sent
+			l.acquiredAt = sent
 		}
 		l.fence = record.Fence
-		l.confirmed = sent
+		l.confirmedAt = sent
 		l.paused = false
 		return
 	}
@@ -67,62 +66,65 @@
 	}
 }
 
-// Fence returns the fencing number, 0 if the lease was never acquired.
+// Fence returns the fencing number, or 0 if the lease was never acquired.
 func (l *Lease) Fence() uint64 { return l.fence }
 
-// Lost reports whether another holder has been seen. A lost lease stays lost.
+// Lost reports whether another holder has been observed. A lost lease cannot be
+// regained.
 func (l *Lease) Lost() bool { return l.lost }
 
-// Valid reports whether the holder may act at now without asking again. It
-// must be asked before an effect and again after it returned: a holder that
-// was paused in between acted on a lease that may have lapsed, and must not
-// build on the effect.
+// Valid reports whether the holder may act at now without asking the platform
+// again. Call it before an operation and again after the operation returned: a
+// holder that was paused in between acted on a lease that may have expired, and
+// must not rely on the result.
 func (l *Lease) Valid(now time.Time) bool {
-	return l.fence != 0 && !l.lost && now.Sub(l.confirmed) < l.ttl
+	return l.fence != 0 && !l.lost && now.Sub(l.confirmedAt) < l.ttl
 }
 
-// Pause returns how long this holder must wait before its first order.
+// HandoverDelay returns how long this holder must wait before its first order.
 //
-// Guard: the holder before may have confirmed its lease just before it was
-// replaced, and acts on that for as long as a confirmation is good. An engine
-// that ignores fencing numbers would carry the order out after the new
-// holder's; so the new holder lets that time pass. A first holder has nobody
-// before it, and an engine that checks refuses the old number.
+// The previous holder may have confirmed its lease just before it was replaced,
+// and acts on that confirmation until the TTL is over. An engine that ignores
+// fencing numbers would execute that holder's order after an order of the new
+// one, so the new holder waits for the TTL. The first holder has no predecessor,
+// and an engine that checks fencing numbers rejects the old one.
 func (l *Lease) Pause(now time.Time, engineChecks bool) time.Duration {
 	if engineChecks || l.fence <= 1 {
 		return 0
 	}
-	return max(l.ttl-now.Sub(l.acquired), 0)
+	return max(l.ttl-now.Sub(l.acquiredAt), 0)
 }
 
-// Tick notes that the holder runs; it must be called several times in pause.
-func (l *Lease) Tick(now time.Time, pause time.Duration) {
-	if !l.ticked.IsZero() && now.Sub(l.ticked) > pause {
+// Tick records that the process is running. A gap of more than maxGap between
+// two calls counts as a pause of the process, so call it several times in maxGap.
+func (l *Lease) Tick(now time.Time, maxGap time.Duration) {
+	if !l.lastTick.IsZero() && now.Sub(l.lastTick) > maxGap {
 		l.paused = true
 	}
-	l.ticked = now
+	l.lastTick = now
 }
 
-// MayActAlone reports whether the holder may act although its lease is no
-// longer valid and the platform cannot be asked.
+// MayActUnconfirmed reports whether the holder may act although its lease has
+// expired and the platform is unreachable.
 //
-// Guard: an engine that checks fencing numbers refuses a stale one itself. For
-// one that ignores them the agent is the guard: another life can take the
-// host's slot only while this one stands still, so after a pause it must not
-// act until the platform has confirmed the lease.
+// An engine that checks fencing numbers rejects a stale one itself. For an
+// engine that ignores them the agent has to check: another incarnation can take
+// over the host's slot only while this process is paused, so after a pause it
+// must not act until the platform has confirmed the lease.
 func (l *Lease) MayActAlone(engineChecks bool) bool {
 	return l.fence != 0 && !l.lost && (engineChecks || !l.paused)
 }
 
-// Keeper keeps the highest fencing number seen by whoever is acted on.
+// FenceChecker tracks the highest fencing number that the receiver of orders
+// has seen.
 type Keeper struct {
 	highest uint64
 }
 
-// Admit reports whether an order with this number may be carried out.
+// Admit reports whether an order with this fencing number may be executed.
 //
-// Guard: a holder that was paused wakes and acts with its old number after
-// another one acted with a higher; the lower number is refused.
+// A holder that resumes after a pause may send its old number after another
+// holder has acted with a higher one. The lower number is rejected.
 func (k *Keeper) Admit(fence uint64) bool {
 	if fence < k.highest {
 		return false
@@ -131,5 +133,5 @@
 	return true
 }
 
-// Highest returns the highest number admitted.
+// Highest returns the highest fencing number admitted.
 func (k *Keeper) Highest() uint64 { return k.highest }
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -13,7 +13,7 @@
 
 const ttl = 5 * time.Second
 
-func acquired(c *qt.C) *lease.Lease {
+func acquiredLease(c *qt.C) *lease.Lease {
 	l := lease.New("life-1", ttl)
 	record := l.Next(lease.Record{Holder: "life-0", Fence: 6})
 	c.Assert(record, qt.Equals, lease.Record{Holder: "life-1", Fence: 7})
@@ -21,37 +21,39 @@
 	return l
 }
 
-// An agent believes in its lease for longer than the platform does, because it
-// counts from when the slow answer came.
-func TestValidityCountsFromBeforeTheCall(t *testing.T) {
+// A slow response must not extend the lease: if validity counted from its
+// arrival, the agent would consider the lease valid for longer than the platform
+// does.
+func TestValidityStartsWhenTheRequestIsSent(t *testing.T) {
 	c := qt.New(t)
-	l := acquired(c)
+	l := acquiredLease(c)
 	c.Assert(l.Valid(epoch.Add(ttl-time.Millisecond)), qt.IsTrue)
 	c.Assert(l.Valid(epoch.Add(ttl)), qt.IsFalse)
 }
 
-// A replaced agent wakes from a pause and loads last week's model.
-func TestPausedHolderIsNotValidWhenItWakes(t *testing.T) {
+// An agent that was replaced while it was paused must not load an old model
+// after it resumes.
+func TestHolderIsNotValidAfterAPause(t *testing.T) {
 	c := qt.New(t)
-	l := acquired(c)
+	l := acquiredLease(c)
 	l.Tick(epoch, time.Second)
-	wake := epoch.Add(time.Hour)
-	l.Tick(wake, time.Second)
-	c.Assert(l.Valid(wake), qt.IsFalse)
+	resumed := epoch.Add(time.Hour)
+	l.Tick(resumed, time.Second)
+	c.Assert(l.Valid(resumed), qt.IsFalse)
 	c.Assert(l.MayActAlone(false), qt.IsFalse)
 	c.Assert(l.MayActAlone(true), qt.IsTrue)
-	l.Saw(lease.Record{Holder: "life-2", Fence: 8}, wake)
+	l.Saw(lease.Record{Holder: "life-2", Fence: 8}, resumed)
 	c.Assert(l.Lost(), qt.IsTrue)
 	c.Assert(l.MayActAlone(true), qt.IsFalse)
-	l.Saw(lease.Record{Holder: "life-1", Fence: 7}, wake)
-	c.Assert(l.Valid(wake), qt.IsFalse)
+	l.Saw(lease.Record{Holder: "life-1", Fence: 7}, resumed)
+	c.Assert(l.Valid(resumed), qt.IsFalse)
 }
 
-// During an outage of the platform an accepted model is not loaded, although
-// the agent ran all the time and nobody can have taken its place.
-func TestHolderThatRanOnMayActAlone(t *testing.T) {
+// An agent that ran without a pause cannot have been replaced, so it may load an
+// accepted model during an outage of the platform.
+func TestHolderThatWasNotPausedMayActUnconfirmed(t *testing.T) {
 	c := qt.New(t)
-	l := acquired(c)
+	l := acquiredLease(c)
 	for i := range 100 {
 		l.Tick(epoch.Add(time.Duration(i)*500*time.Millisecond), time.Second)
 	}
@@ -59,21 +61,22 @@
 	c.Assert(l.MayActAlone(false), qt.IsTrue)
 }
 
-// An engine carries out the order of a holder that has been replaced.
-func TestKeeperRefusesAnOldNumber(t *testing.T) {
+// An engine must not execute the order of a holder that has been replaced.
+func TestStaleFenceIsRejected(t *testing.T) {
 	c := qt.New(t)
-	var keeper lease.Keeper
-	c.Assert(keeper.Admit(7), qt.IsTrue)
-	c.Assert(keeper.Admit(8), qt.IsTrue)
-	c.Assert(keeper.Admit(7), qt.IsFalse)
-	c.Assert(keeper.Admit(8), qt.IsTrue)
+	var checker lease.Keeper
+	c.Assert(checker.Admit(7), qt.IsTrue)
+	c.Assert(checker.Admit(8), qt.IsTrue)
+	c.Assert(checker.Admit(7), qt.IsFalse)
+	c.Assert(checker.Admit(8), qt.IsTrue)
 }
 
-// A replaced agent's last order, confirmed just before it was replaced,
-// reaches an engine that ignores fencing numbers after its successor's.
-func TestNewHolderWaitsWhereTheEngineDoesNotCheck(t *testing.T) {
+// An agent that confirmed its lease just before it was replaced may still send
+// an order. An engine that ignores fencing numbers would execute it after an
+// order of the new holder.
+func TestNewHolderWaitsIfTheEngineIgnoresFences(t *testing.T) {
 	c := qt.New(t)
-	l := acquired(c)
+	l := acquiredLease(c)
 	c.Assert(l.Pause(epoch.Add(time.Second), false), qt.Equals, ttl-time.Second)
 	c.Assert(l.Pause(epoch.Add(ttl), false), qt.Equals, time.Duration(0))
 	c.Assert(l.Pause(epoch, true), qt.Equals, time.Duration(0))
--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -1,5 +1,6 @@
-// Package membership decides which hosts are fit for work, from the
-// platform's list, which lags, and from what this process sees itself.
+// Package membership decides which hosts may get new work. It combines the
+// platform's host list, which is updated with a delay, with the contacts and
+// failures that this process observes itself.
 package membership
 
 import (
@@ -10,24 +11,24 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// Config holds the times of a Table.
+// Config holds the timing settings of a Table.
 type Config struct {
-	// Suspect is how long the first failure keeps a host out of use; it
-	// doubles with each further failure up to SuspectMost.
-	Suspect     time.Duration
-	SuspectMost time.Duration
-	// Provisional is how long a host that the list lacks stays known after it
-	// last made contact.
-	Provisional time.Duration
+	// SuspectDuration is how long the first failure keeps a host out of use. It
+	// doubles with each further failure, up to MaxSuspectDuration.
+	SuspectDuration    time.Duration
+	MaxSuspectDuration time.Duration
+	// UnlistedTTL is how long a host that is not on the list remains a member
+	// after its last contact.
+	UnlistedTTL time.Duration
 }
 
-// DefaultConfig returns the times used in production.
+// DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
-	return Config{Suspect: 500 * time.Millisecond, SuspectMost: 10 * time.Second, Provisional: time.Minute}
+	return Config{SuspectDuration: 500 * time.Millisecond, MaxSuspectDuration: 10 * time.Second, UnlistedTTL: time.Minute}
 }
 
-// Table is what one process believes of the other hosts. It is not safe for
-// concurrent use.
+// Table holds the state of the other hosts as one process observes it. It is
+// not safe for concurrent use.
 type Table struct {
 	config   Config
 	revision uint64
@@ -37,30 +38,31 @@
 type member struct {
 	host   filbertlever.Host
 	listed bool
-	// seen is the last direct contact.
-	seen time.Time
-	// incarnation is the latest that the host told of itself.
+	// lastContact is the time of the last direct contact.
+	lastContact time.Time
+	// incarnation is the latest that the host reported.
 	incarnation filbertlever.Incarnation
-	// left is the incarnation that announced its stop. The mark is final for
-	// that incarnation.
-	left filbertlever.Incarnation
-	// suspectUntil ends the present suspicion.
+	// stopped is the incarnation that announced its stop. The announcement is
+	// final for that incarnation.
+	stopped filbertlever.Incarnation
+	// suspectUntil is when the current suspicion ends.
 	suspectUntil time.Time
 	failures     int
 }
 
-// New returns a table that knows no host.
+// New returns a table without hosts.
 func New(config Config) *Table {
 	return &Table{config: config, members: map[filbertlever.HostID]*member{}}
 }
 
-// Revision returns the revision of the platform's list last applied.
+// Revision returns the revision of the platform's host list last applied.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// ApplyList takes the platform's list and reports whether it was newer.
+// ApplyList applies the platform's host list and reports whether it was newer
+// than the last one applied.
 //
-// Guard: lists reach a process on several ways and out of order; an older one
-// would bring replaced hosts back, so only a higher revision is applied.
+// Lists reach a process by several paths and out of order. An older list would
+// restore hosts that have been replaced, so only a higher revision is applied.
 func (t *Table) ApplyList(revision uint64, hosts []filbertlever.Host, now time.Time) bool {
 	if revision <= t.revision {
 		return false
@@ -75,15 +77,16 @@
 		m.listed = true
 	}
 	for id, m := range t.members {
-		if !m.listed && now.Sub(m.seen) > t.config.Provisional {
+		if !m.listed && now.Sub(m.lastContact) > t.config.UnlistedTTL {
 			delete(t.members, id)
 		}
 	}
 	return true
 }
 
-// Contact notes that host itself made contact. A live host that the list
-// lacks is known from then on, until it has been silent for a while.
+// RecordContact records that the host itself contacted this process. A live
+// host that is not on the list becomes a member until UnlistedTTL passes without
+// contact.
 func (t *Table) Contact(host filbertlever.Host, incarnation filbertlever.Incarnation, now time.Time) {
 	m := t.member(host.ID)
 	if !m.listed {
@@ -92,36 +95,36 @@
 	if incarnation != "" {
 		m.incarnation = incarnation
 	}
-	m.seen = now
+	m.lastContact = now
 	m.failures = 0
 	m.suspectUntil = time.Time{}
 }
 
-// Failed notes that a connection to the host failed or went silent.
+// RecordFailure records that a connection to the host failed or timed out.
 func (t *Table) Failed(id filbertlever.HostID, now time.Time) {
 	m, ok := t.members[id]
 	if !ok {
 		return
 	}
-	pause := t.config.SuspectMost
+	backoff := t.config.MaxSuspectDuration
 	if m.failures < 16 {
-		pause = min(t.config.Suspect<<m.failures, t.config.SuspectMost)
+		backoff = min(t.config.SuspectDuration<<m.failures, t.config.MaxSuspectDuration)
 	}
 	m.failures++
-	m.suspectUntil = now.Add(pause)
+	m.suspectUntil = now.Add(backoff)
 }
 
-// Answered notes that the host answered a call.
+// RecordAnswer records that the host answered a call.
 func (t *Table) Answered(id filbertlever.HostID, now time.Time) {
 	if m, ok := t.members[id]; ok {
-		m.seen = now
+		m.lastContact = now
 		m.failures = 0
 		m.suspectUntil = time.Time{}
 	}
 }
 
-// Restarted notes that another process runs at the host: what the one before failed at
-// tells nothing of it.
+// RecordRestart records that a new process runs on the host. Failures of the
+// previous process do not apply to it.
 func (t *Table) Restarted(id filbertlever.HostID) {
 	if m, ok := t.members[id]; ok {
 		m.failures = 0
@@ -129,20 +132,20 @@
 	}
 }
 
-// Left notes that an incarnation of the host announced its stop.
+// RecordStop records that an incarnation of the host announced its stop.
 func (t *Table) Left(id filbertlever.HostID, incarnation filbertlever.Incarnation) {
 	m := t.member(id)
-	m.left = incarnation
+	m.stopped = incarnation
 	m.incarnation = incarnation
 }
 
-// Usable reports whether new work may go to the host.
+// Usable reports whether new work may be sent to the host.
 func (t *Table) Usable(id filbertlever.HostID, now time.Time) bool {
 	m, ok := t.members[id]
 	return ok && t.usable(m, now)
 }
 
-// Incarnation returns the latest incarnation the host told of itself, or "".
+// Incarnation returns the latest incarnation that the host reported, or "".
 func (t *Table) Incarnation(id filbertlever.HostID) filbertlever.Incarnation {
 	if m, ok := t.members[id]; ok {
 		return m.incarnation
@@ -150,7 +153,7 @@
 	return ""
 }
 
-// Host returns what is known of a host.
+// Host returns a host's record. It returns false if there is none.
 func (t *Table) Host(id filbertlever.HostID) (filbertlever.Host, bool) {
 	m, ok := t.members[id]
 	if !ok || m.host.ID == "" {
@@ -159,40 +162,41 @@
 	return m.host, true
 }
 
-// Hosts returns the hosts of a role that are known, fit or not, by name.
+// Hosts returns all hosts of a role, usable or not, sorted by ID.
 func (t *Table) Hosts(role filbertlever.Role) []filbertlever.Host {
-	return t.pick(func(m *member) bool { return m.host.Role == role })
+	return t.filter(func(m *member) bool { return m.host.Role == role })
 }
 
-// UsableHosts returns the hosts of a role that new work may go to, by name.
+// UsableHosts returns the hosts of a role that new work may be sent to, sorted
+// by ID.
 func (t *Table) UsableHosts(role filbertlever.Role, now time.Time) []filbertlever.Host {
-	return t.pick(func(m *member) bool { return m.host.Role == role && t.usable(m, now) })
+	return t.filter(func(m *member) bool { return m.host.Role == role && t.usable(m, now) })
 }
 
-// Fit reports whether the host would be usable but for a suspicion.
+// Eligible reports whether the host is usable when suspicion is ignored.
 func (t *Table) Fit(id filbertlever.HostID, now time.Time) bool {
 	m, ok := t.members[id]
-	return ok && t.fit(m, now)
+	return ok && t.eligible(m, now)
 }
 
 func (t *Table) usable(m *member, now time.Time) bool {
-	return t.fit(m, now) && !now.Before(m.suspectUntil)
+	return t.eligible(m, now) && !now.Before(m.suspectUntil)
 }
 
-func (t *Table) fit(m *member, now time.Time) bool {
+func (t *Table) eligible(m *member, now time.Time) bool {
 	if m.host.ID == "" || m.host.Leaving {
 		return false
 	}
-	if m.left != "" && m.left == m.incarnation {
+	if m.stopped != "" && m.stopped == m.incarnation {
 		return false
 	}
-	return m.listed || now.Sub(m.seen) <= t.config.Provisional
+	return m.listed || now.Sub(m.lastContact) <= t.config.UnlistedTTL
 }
 
-func (t *Table) pick(want func(*member) bool) []filbertlever.Host {
+func (t *Table) filter(match func(*member) bool) []filbertlever.Host {
 	var hosts []filbertlever.Host
 	for _, m := range t.members {
-		if m.host.ID != "" && want(m) {
+		if m.host.ID != "" && match(m) {
 			hosts = append(hosts, m.host)
 		}
 	}
--- a/internal/coordination/membership/membership_test.go
+++ b/internal/coordination/membership/membership_test.go
@@ -18,8 +18,9 @@
 
 func newTable() *membership.Table { return membership.New(membership.DefaultConfig()) }
 
-// Requests go to a host that died, for as long as the lagging list names it.
-func TestListNamesADeadHost(t *testing.T) {
+// A host that fails must not get requests while the host list, which is updated
+// with a delay, still contains it.
+func TestFailedHostOnTheListIsNotUsable(t *testing.T) {
 	c := qt.New(t)
 	table := newTable()
 	table.ApplyList(1, []filbertlever.Host{one, two}, epoch)
@@ -28,8 +29,9 @@
 	c.Assert(table.UsableHosts(filbertlever.RoleAgent, epoch), qt.DeepEquals, []filbertlever.Host{two})
 }
 
-// A host that failed once is never used again.
-func TestSuspicionExpiresAndGrows(t *testing.T) {
+// A host must become usable again after a failure. A second failure doubles the
+// time until then.
+func TestSuspicionExpiresAndDoubles(t *testing.T) {
 	c := qt.New(t)
 	table := newTable()
 	table.ApplyList(1, []filbertlever.Host{one}, epoch)
@@ -41,8 +43,9 @@
 	c.Assert(table.Usable("model-1", epoch), qt.IsTrue)
 }
 
-// A new host stands idle until the list, which lags, names it.
-func TestListLacksALiveHost(t *testing.T) {
+// A new host must get requests before the host list, which is updated with a
+// delay, contains it.
+func TestUnlistedHostIsUsableAfterContact(t *testing.T) {
 	c := qt.New(t)
 	table := newTable()
 	table.ApplyList(1, []filbertlever.Host{one}, epoch)
@@ -53,8 +56,7 @@
 	c.Assert(table.Usable("model-2", epoch.Add(2*time.Minute)), qt.IsFalse)
 }
 
-// A host list that was read earlier arrives later and brings a replaced host
-// back.
+// An older host list that arrives late must not restore a replaced host.
 func TestOlderListIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	table := newTable()
@@ -63,9 +65,9 @@
 	c.Assert(table.Usable("model-1", epoch.Add(time.Hour)), qt.IsFalse)
 }
 
-// A leaving host gets new work again when a late message of it arrives; or
-// its successor gets none.
-func TestLeavingIsFinalForTheIncarnation(t *testing.T) {
+// A late message of a host that announced its stop must not make it usable
+// again. Its next incarnation is usable.
+func TestAnnouncedStopIsFinalForTheIncarnation(t *testing.T) {
 	c := qt.New(t)
 	table := newTable()
 	table.ApplyList(1, []filbertlever.Host{one}, epoch)
--- a/internal/coordination/uptime/uptime.go
+++ b/internal/coordination/uptime/uptime.go
@@ -1,64 +1,65 @@
-// Package uptime keeps for how long the platform's store has answered without an outage, as
-// far as one process can know: from its own calls and from what other processes report.
+// Package uptime tracks how long the platform's store has answered without an outage, as one
+// process can observe it: from its own calls and from the reports of other processes.
 package uptime
 
 import "time"
 
-// OutageLeast is the time without an answer to anybody that counts as an outage: less than
-// the shortest one in which the row of a live server lapses, and more than a host that follows
-// the store waits for an answer.
+// MinOutage is how long the store must answer no process for that to count as an outage. It
+// is shorter than the shortest outage in which the row of a live server expires, and longer
+// than a host that watches the store waits for an answer.
 const OutageLeast = 2 * time.Second
 
-// Span is a stretch of time in which the store answered, with no outage between two answers.
-// Times are of one steady clock.
+// Span is a period in which the store answered, with no outage between two answers. Times
+// are read from one monotonic clock.
 type Span struct {
-	// First and Last are the times of the first and the last answer; First <= Last.
+	// First and Last are the times of the first and the last answer. First <= Last.
 	First, Last time.Duration
 }
 
-// joins reports whether no outage lies between two spans.
-func (s Span) joins(other Span) bool {
+// adjoins reports whether there is no outage between the two spans.
+func (s Span) adjoins(other Span) bool {
 	return s.First-other.Last < OutageLeast && other.First-s.Last < OutageLeast
 }
 
-// join returns the span from the first answer of both to the last.
-func (s Span) join(other Span) Span {
+// union returns the span from the first to the last answer of both spans.
+func (s Span) union(other Span) Span {
 	return Span{First: min(s.First, other.First), Last: max(s.Last, other.Last)}
 }
 
-// Uptime is what one process knows. It is not safe for concurrent use. The zero value knows
-// of no answer.
+// Uptime is the uptime of the store as one process observes it. It is not safe for
+// concurrent use. The zero value has no answers.
 type Uptime struct {
-	// spans are the latest one, and the one before it if an outage lies between them; the
-	// earlier one first.
+	// spans holds the latest span, preceded by the one before the last outage if there was
+	// one.
 	spans []Span
 }
 
-// spansMost is how many spans are kept: reports are at most seconds old.
-const spansMost = 2
+// maxSpans is how many spans are kept. Two are enough because reports are at most seconds
+// old.
+const maxSpans = 2
 
-// Answered notes that the store answered this process at a time.
-func (u *Uptime) Answered(at time.Duration) { u.Report(Span{First: at, Last: at}) }
+// RecordAnswer records that the store answered this process at the given time.
+func (u *Uptime) RecordAnswer(at time.Duration) { u.Report(Span{First: at, Last: at}) }
 
-// Report takes a span that another process knows of. Reports may come late and in any order.
+// Merge adds a span that another process reported. Reports may arrive late and in any order.
 func (u *Uptime) Report(span Span) {
-	var apart []Span
+	var separate []Span
 	for _, known := range u.spans {
-		if known.joins(span) {
-			span = span.join(known)
+		if known.adjoins(span) {
+			span = span.union(known)
 			continue
 		}
-		apart = append(apart, known)
+		separate = append(separate, known)
 	}
 	at := 0
-	for at < len(apart) && apart[at].Last < span.First {
+	for at < len(separate) && separate[at].Last < span.First {
 		at++
 	}
-	u.spans = append(apart[:at:at], append([]Span{span}, apart[at:]...)...)
-	u.spans = u.spans[max(len(u.spans)-spansMost, 0):]
+	u.spans = append(separate[:at:at], append([]Span{span}, separate[at:]...)...)
+	u.spans = u.spans[max(len(u.spans)-maxSpans, 0):]
 }
 
-// Latest returns the latest span; false if no answer is known.
+// Latest returns the latest span. It returns false if there have been no answers.
 func (u *Uptime) Latest() (Span, bool) {
 	if len(u.spans) == 0 {
 		return Span{}, false
@@ -66,9 +67,9 @@
 	return u.spans[len(u.spans)-1], true
 }
 
-// OutageEnd returns when the last outage ended; false if none is known.
+// OutageEnd returns when the last outage ended. It returns false if no outage is known.
 func (u *Uptime) OutageEnd() (time.Duration, bool) {
-	if len(u.spans) < spansMost {
+	if len(u.spans) < maxSpans {
 		return 0, false
 	}
 	return u.spans[len(u.spans)-1].First, true
--- a/internal/coordination/uptime/uptime_test.go
+++ b/internal/coordination/uptime/uptime_test.go
@@ -12,7 +12,7 @@
 	return Span{First: time.Duration(first) * time.Second, Last: time.Duration(last) * time.Second}
 }
 
-func TestReport(t *testing.T) {
+func TestMergedReports(t *testing.T) {
 	tests := []struct {
 		name    string
 		reports []Span
@@ -45,37 +45,37 @@
 	}
 }
 
-// An outage was taken for uptime, or an absence of some processes for an outage that others
-// knew better.
-func TestReportsInAnyOrder(t *testing.T) {
+// The merged span must not include an outage, and an absence of one process must not count
+// as an outage of the store if another process got answers in that time.
+func TestReportsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const processes = 4
 		var all [processes]Uptime
-		var truth Uptime
+		var expected Uptime
 		now := time.Duration(0)
 		process := func(what string) int { return rapid.IntRange(0, processes-1).Draw(t, what) }
 		for range rapid.IntRange(2, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond
-			all[process("answered")].Answered(now)
-			truth.Answered(now)
+			all[process("answered")].RecordAnswer(now)
+			expected.RecordAnswer(now)
 			if span, ok := all[process("from")].Latest(); ok {
 				all[process("to")].Report(span)
 			}
-			whole, _ := truth.Latest()
+			whole, _ := expected.Latest()
 			for i := range all {
 				span, ok := all[i].Latest()
 				if ok && span.Last >= whole.First && span.First < whole.First {
-					t.Fatalf("process %d knows %v, the store answered %v", i, span, whole)
+					t.Fatalf("process %d has the span %v, but the store answered in %v", i, span, whole)
 				}
 			}
 		}
-		// Whoever hears of an answer in time from another one knows of no outage.
-		last, _ := truth.Latest()
-		hearer := &all[process("hearer")]
-		before, known := hearer.Latest()
-		hearer.Report(last)
-		if after, _ := hearer.Latest(); known && before.joins(last) && after.First > last.First {
-			t.Fatalf("%v was reported, %v is known", last, after)
+		// A process that receives a report in time must not assume an outage.
+		last, _ := expected.Latest()
+		receiver := &all[process("hearer")]
+		before, known := receiver.Latest()
+		receiver.Report(last)
+		if after, _ := receiver.Latest(); known && before.adjoins(last) && after.First > last.First {
+			t.Fatalf("span %v was reported, but the latest span is %v", last, after)
 		}
 	})
 }
