--- a/internal/coordination/quarantine/answers.go
+++ b/internal/coordination/quarantine/answers.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// answers is when requests were last answered, of the latest ones.
-type answers struct {
+// answerLog holds when requests were last answered, for a bounded number of requests.
+type answerLog struct {
 	times map[Fingerprint]time.Duration
-	// order has the requests by when they were first noted, from next on.
+	// order is a ring buffer of the requests by when they were first recorded. The oldest
+	// one is at next.
 	order []Fingerprint
 	next  int
 }
 
-func newAnswers(most int) answers {
-	return answers{times: make(map[Fingerprint]time.Duration, most), order: make([]Fingerprint, most)}
+func newAnswerLog(maxEntries int) answerLog {
+	return answerLog{times: make(map[Fingerprint]time.Duration, maxEntries), order: make([]Fingerprint, maxEntries)}
 }
 
-// at returns when a request was last answered; false if that is not known.
-func (a *answers) at(request Fingerprint) (time.Duration, bool) {
-	at, ok := a.times[request]
+// last returns when a request was last answered. It returns false if that is not recorded.
+func (l *answerLog) last(request Fingerprint) (time.Duration, bool) {
+	at, ok := l.times[request]
 	return at, ok
 }
 
-// note notes an answer, and forgets the request that was noted first.
-func (a *answers) note(request Fingerprint, at time.Duration) {
-	if old, ok := a.times[request]; ok {
-		a.times[request] = max(old, at)
+// record records an answer. A new request replaces the one that was recorded first.
+func (l *answerLog) record(request Fingerprint, at time.Duration) {
+	if old, ok := l.times[request]; ok {
+		l.times[request] = max(old, at)
 		return
 	}
-	delete(a.times, a.order[a.next])
-	a.times[request], a.order[a.next] = at, request
-	a.next = (a.next + 1) % len(a.order)
+	delete(l.times, l.order[l.next])
+	l.times[request], l.order[l.next] = at, request
+	l.next = (l.next + 1) % len(l.order)
 }
--- a/internal/coordination/quarantine/config.go
+++ b/internal/coordination/quarantine/config.go
@@ -4,46 +4,51 @@
 	"time"
 )
 
-// Config holds the bounds of a Table.
+// Config holds the thresholds and timing settings of a Table.
 type Config struct {
-	// Ends is how many processes must have ended under a request until it is held, and
-	// Certain how many are enough even if another request was under way at each of them.
-	Ends    int
-	Certain int
-	// Settle is how long after the end of a process all entries have told what they had
-	// under way there.
-	Settle time.Duration
-	// Together is how far apart the last answers of one process break off.
-	Together time.Duration
-	// Evidence is how long an attempt that broke off waits for a sign that its process
-	// has ended, and one process's end is told from the next one's under the same name.
-	Evidence time.Duration
-	// Trust is how long an answer speaks for a request: of one that was answered no longer
-	// ago, only ends that lie Together apart count, and none before its latest answer.
-	Trust time.Duration
-	// Hold is how long a request is held first; it doubles each time, up to HoldMost.
-	Hold     time.Duration
-	HoldMost time.Duration
-	// Remember is how long a request that is not held is suspected after the last end.
-	Remember time.Duration
-	// Most bounds the requests that are remembered: those suspected, and those answered.
-	Most int
+	// MinCrashes is how many processes must have crashed under a request before it is held.
+	// CertainCrashes are enough even if another request was in flight at each of them.
+	MinCrashes     int
+	CertainCrashes int
+	// PropagationDelay is the time after a crash within which all entries have reported the
+	// requests that they had in flight there.
+	PropagationDelay time.Duration
+	// CorrelationWindow is the maximum time between the failures of one process's last
+	// answers.
+	CorrelationWindow time.Duration
+	// DetectionTimeout is how long after a failed attempt the crash of its process can be
+	// detected. It is also the minimum time between two crashes of processes with the same
+	// name.
+	DetectionTimeout time.Duration
+	// AnswerTTL is how long an answer counts in favour of a request. For a request that was
+	// answered within this time, crashes within CorrelationWindow count once and crashes
+	// before its latest answer do not count.
+	AnswerTTL time.Duration
+	// HoldDuration is how long a request is held the first time. It doubles with each further
+	// hold, up to MaxHoldDuration.
+	HoldDuration    time.Duration
+	MaxHoldDuration time.Duration
+	// SuspectTTL is how long after its last crash a request is suspected that was never held.
+	SuspectTTL time.Duration
+	// MaxEntries bounds the number of suspects, and the number of recorded answers.
+	MaxEntries int
 }
 
-// DefaultConfig returns the bounds used in production.
+// DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
 	return Config{
-		// Two hosts may well end one after the other under a request that has no part in it.
-		Ends: 3, Certain: 5,
-		// Datagrams between regions and one that is late.
-		Settle:   150 * time.Millisecond,
-		Together: time.Second,
-		// A process is back, and its row is written, within seconds.
-		Evidence: 6 * time.Second,
-		Trust:    time.Minute,
-		Hold:     5 * time.Minute, HoldMost: 24 * time.Hour,
-		Remember: 10 * time.Minute,
-		// What an entry answers in a minute; a megabyte in all.
-		Most: 4096,
+		// Two hosts may crash one after the other under a request that is not the cause.
+		MinCrashes: 3, CertainCrashes: 5,
+		// Covers datagrams between regions, one of them late.
+		PropagationDelay:  150 * time.Millisecond,
+		CorrelationWindow: time.Second,
+		// A process restarts and writes its row within seconds.
+		DetectionTimeout: 6 * time.Second,
+		AnswerTTL:        time.Minute,
+		HoldDuration:     5 * time.Minute, MaxHoldDuration: 24 * time.Hour,
+		SuspectTTL: 10 * time.Minute,
+		// The number of requests that an entry answers in a minute. They take a megabyte in
+		// total.
+		MaxEntries: 4096,
 	}
 }
--- a/internal/coordination/quarantine/fingerprint.go
+++ b/internal/coordination/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine decides which requests are kept from backend servers, because the
-// processes that run them end.
+// Package quarantine decides which requests are held, which means that they are sent to no
+// backend server because the processes that run them crash.
 package quarantine
 
 import (
@@ -8,11 +8,12 @@
 	"encoding/hex"
 )
 
-// Identity is what a caller repeats when it sends a request again. The ID of the attempt,
-// the entry and where a stream goes on differ from one attempt to the next.
+// Identity holds the parts of a request that stay the same when a caller retries it. The ID
+// of the attempt, the entry and the position at which a stream resumes differ between
+// attempts.
 type Identity struct {
-	// Organisation is by the caller's key, so that no caller can have another's requests
-	// refused; it is empty on routes without keys.
+	// Organisation is determined by the caller's key, so that no caller can cause the requests
+	// of another to be refused. It is empty on routes without keys.
 	Organisation string
 	Method       string
 	Host         string
@@ -20,14 +21,15 @@
 	Body         []byte
 }
 
-// headBytes is how much of a fingerprint is of all but the body.
-const headBytes = 8
+// metadataHashBytes is the length of a fingerprint's first part, which covers everything but
+// the content of the body.
+const metadataHashBytes = 8
 
-// Fingerprint names a request, whatever its attempt. It is of no use to find another
-// request with the same one.
-type Fingerprint [headBytes + 16]byte
+// Fingerprint identifies a request across its attempts. A caller gains nothing by
+// constructing another request with the same fingerprint.
+type Fingerprint [metadataHashBytes + 16]byte
 
-// Head is the first part of a fingerprint. It costs no reading of the body.
+// MetadataHash returns the first part of the fingerprint. It does not read the body.
 func (i *Identity) Head() uint64 {
 	var text []byte
 	for _, part := range []string{i.Organisation, i.Method, i.Host, i.Target} {
@@ -36,22 +38,22 @@
 	}
 	text = binary.AppendUvarint(text, uint64(len(i.Body)))
 	sum := sha256.Sum256(text)
-	return binary.BigEndian.Uint64(sum[:headBytes])
+	return binary.BigEndian.Uint64(sum[:metadataHashBytes])
 }
 
 // Fingerprint returns the request's fingerprint.
 func (i *Identity) Fingerprint() Fingerprint {
 	var f Fingerprint
-	binary.BigEndian.PutUint64(f[:headBytes], i.Head())
+	binary.BigEndian.PutUint64(f[:metadataHashBytes], i.Head())
 	sum := sha256.Sum256(i.Body)
-	copy(f[headBytes:], sum[:])
+	copy(f[metadataHashBytes:], sum[:])
 	return f
 }
 
-// Head returns the first part.
-func (f Fingerprint) Head() uint64 { return binary.BigEndian.Uint64(f[:headBytes]) }
+// MetadataHash returns the first part of the fingerprint.
+func (f Fingerprint) Head() uint64 { return binary.BigEndian.Uint64(f[:metadataHashBytes]) }
 
-// String returns as much as tells requests apart in a log.
+// String returns a shortened form that distinguishes requests in a log.
 func (f Fingerprint) String() string {
-	return hex.EncodeToString(f[:4]) + hex.EncodeToString(f[headBytes:headBytes+4])
+	return hex.EncodeToString(f[:4]) + hex.EncodeToString(f[metadataHashBytes:metadataHashBytes+4])
 }
--- a/internal/coordination/quarantine/fingerprint_test.go
+++ b/internal/coordination/quarantine/fingerprint_test.go
@@ -10,13 +10,13 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/quarantine"
 )
 
-// A caller's request is refused as another's. Whatever is sent again alike has one
-// fingerprint, and whatever differs in caller, path or body has another.
-func TestFingerprints(t *testing.T) {
+// A request must not be refused in place of another one. A retry has the same fingerprint,
+// and a request that differs in caller, method, host, path or body has another one.
+func TestFingerprintIdentifiesARequest(t *testing.T) {
 	base := quarantine.Identity{Organisation: "hauler-1", Method: "POST", Host: "portal.example", Target: "/draft/7", Body: []byte("a clause")}
-	change := func(change func(*quarantine.Identity)) quarantine.Identity {
+	modified := func(modify func(*quarantine.Identity)) quarantine.Identity {
 		other := base
-		change(&other)
+		modify(&other)
 		return other
 	}
 	tests := []struct {
@@ -25,14 +25,14 @@
 		same  bool
 	}{
 		{"sent again", base, true},
-		{"another caller", change(func(i *quarantine.Identity) { i.Organisation = "hauler-2" }), false},
-		{"another method", change(func(i *quarantine.Identity) { i.Method = "GET" }), false},
-		{"another host", change(func(i *quarantine.Identity) { i.Host = "other.example" }), false},
-		{"another path", change(func(i *quarantine.Identity) { i.Target = "/draft/8" }), false},
-		{"another body", change(func(i *quarantine.Identity) { i.Body = []byte("a Clause") }), false},
-		{"a longer body", change(func(i *quarantine.Identity) { i.Body = []byte("a clause ") }), false},
-		{"no body", change(func(i *quarantine.Identity) { i.Body = nil }), false},
-		{"the same text in other fields", change(func(i *quarantine.Identity) { i.Host, i.Target = "portal.example/draft", "/7" }), false},
+		{"another caller", modified(func(i *quarantine.Identity) { i.Organisation = "hauler-2" }), false},
+		{"another method", modified(func(i *quarantine.Identity) { i.Method = "GET" }), false},
+		{"another host", modified(func(i *quarantine.Identity) { i.Host = "other.example" }), false},
+		{"another path", modified(func(i *quarantine.Identity) { i.Target = "/draft/8" }), false},
+		{"another body", modified(func(i *quarantine.Identity) { i.Body = []byte("a Clause") }), false},
+		{"a longer body", modified(func(i *quarantine.Identity) { i.Body = []byte("a clause ") }), false},
+		{"no body", modified(func(i *quarantine.Identity) { i.Body = nil }), false},
+		{"the same text in other fields", modified(func(i *quarantine.Identity) { i.Host, i.Target = "portal.example/draft", "/7" }), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	}
 }
 
-func BenchmarkHead(b *testing.B) {
+func BenchmarkMetadataHash(b *testing.B) {
 	identity := quarantine.Identity{Organisation: "hauler-1", Method: "POST", Host: "portal.example", Target: "/draft/7", Body: make([]byte, 4<<20)}
 	for b.Loop() {
 		identity.Head()
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -10,180 +10,189 @@
 // Process is one process of a backend server.
 type Process struct {
 	Server string `cbor:"1,keyasint"`
-	// Boot is 0 if the server does not tell it.
+	// Boot is 0 if the server does not report it.
 	Boot catalog.Boot `cbor:"2,keyasint,omitempty"`
 }
 
-// broken is an attempt that got no whole answer.
-type broken struct {
+// failedAttempt is an attempt that got no complete answer.
+type failedAttempt struct {
 	request Fingerprint
 	at      time.Duration
-	// byPeer is true if the server's side ended the connection.
-	byPeer bool
+	// closedByServer is true if the server's side closed the connection.
+	closedByServer bool
 }
 
-// end is the end of a process with requests under way.
-type end struct {
+// crash is a process that ended with requests in flight.
+type crash struct {
 	process Process
 	at      time.Duration
-	// explained is true if a request that is held was one of them.
-	explained bool
-	// mine are those of this entry, which it tells others.
-	mine []Fingerprint
+	// attributed is true if a request that is held was in flight at the crash.
+	attributed bool
+	// local are the requests that this entry had in flight. It reports them to other entries.
+	local []Fingerprint
 }
 
-// mine is a request that this entry had under way at the end of a process, noted or told
-// at a time.
-type mine struct {
+// localCrash is a request that this entry had in flight at a crash. The field at is when that
+// was recorded, or when it was reported to other entries.
+type localCrash struct {
 	request Fingerprint
-	end     *end
+	crash   *crash
 	at      time.Duration
 }
 
-// Table is what one entry believes of requests that end the processes that run them. It
-// is not safe for concurrent use. Times are of one steady clock.
+// Table tracks, at one entry, requests that crash the processes that run them. It is not
+// safe for concurrent use. Times are read from one monotonic clock.
 //
-// Each entry tells the others which requests it had under way at a process that ended.
-// The one that ends them is always there, others by chance; and where it was, nothing is
-// held against the others. All entries come to the same verdict.
+// Each entry reports to the others which requests it had in flight at a crash. The request
+// that causes the crashes is in flight at each of them, and others are only by chance. A
+// crash at which a held request was in flight does not count against other requests. All
+// entries reach the same decision.
 type Table struct {
 	config Config
-	// broken has attempts at processes that may have ended.
-	broken map[Process][]broken
-	// ends are those within Evidence, the latest of each process.
-	ends     map[Process]*end
+	// failures holds attempts at processes that may have crashed.
+	failures map[Process][]failedAttempt
+	// crashes holds the latest crash of each process, for DetectionTimeout.
+	crashes  map[Process]*crash
 	suspects map[Fingerprint]*suspect
-	// heads counts suspects by the first part of their fingerprints.
-	heads    map[uint64]int
-	answered answers
-	// markedAt is when a request was last suspected, and undecided is true until a verdict
-	// was made that all entries' news of it had the time to reach.
-	markedAt  time.Duration
-	undecided bool
-	sweptAt   time.Duration
-	// fresh and waiting are what was not told yet, and told and toldEnds what was within
-	// repeatFor.
-	fresh    News
-	waiting  []mine
-	told     []told
-	toldEnds []mine
-	// made and over are verdicts of this entry that are to be kept, and kept no more.
-	made []Hold
-	over []Fingerprint
-	// allowed is how many ends may be told, as of allowedAt.
-	allowed   float64
-	allowedAt time.Duration
+	// suspectHashes counts suspects by the metadata hash of their fingerprints.
+	suspectHashes map[uint64]int
+	answered      answerLog
+	// crashAddedAt is when a crash was last added to a suspect. The field undecided is true
+	// until a decision was made late enough to include all entries' reports on it.
+	crashAddedAt time.Duration
+	undecided    bool
+	prunedAt     time.Duration
+	// unsent and unsentCrashes have not been sent to other entries yet. sent and sentCrashes
+	// were sent within resendDuration.
+	unsent        News
+	unsentCrashes []localCrash
+	sent          []sentReport
+	sentCrashes   []localCrash
+	// newHolds are holds of this entry to be written to the store. cleared are requests whose
+	// holds are to be deleted from it.
+	newHolds []Hold
+	cleared  []Fingerprint
+	// crashTokens is how many crashes may be reported, as of tokensUpdatedAt.
+	crashTokens     float64
+	tokensUpdatedAt time.Duration
 }
 
-// New returns a table that suspects no request.
+// New returns a table without suspects.
 func New(config Config) *Table {
-	return &Table{config: config, broken: map[Process][]broken{}, ends: map[Process]*end{},
-		suspects: map[Fingerprint]*suspect{}, heads: map[uint64]int{}, answered: newAnswers(config.Most)}
+	return &Table{config: config, failures: map[Process][]failedAttempt{}, crashes: map[Process]*crash{},
+		suspects: map[Fingerprint]*suspect{}, suspectHashes: map[uint64]int{}, answered: newAnswerLog(config.MaxEntries)}
 }
 
-// Quiet reports whether no request is suspected.
+// NoSuspects reports whether no request is suspected.
 func (t *Table) Quiet() bool { return len(t.suspects) == 0 }
 
-// Knows reports whether a request with this head may be suspected; others need no
-// fingerprint.
-func (t *Table) Knows(head uint64) bool { return t.heads[head] > 0 }
+// MaySuspect reports whether a request with this metadata hash may be suspected. For other
+// requests the fingerprint need not be computed.
+func (t *Table) Knows(metadataHash uint64) bool { return t.suspectHashes[metadataHash] > 0 }
 
-// brokenMost bounds the attempts that are kept of one process: more than it runs and queues.
-const brokenMost = 256
+// maxFailures bounds the failed attempts that are kept of one process. It is more than a
+// process runs and queues.
+const maxFailures = 256
 
-// Broke notes that an attempt at a process got no whole answer. ByPeer is true if the
-// server's side ended the connection; else this entry gave it up.
-func (t *Table) Broke(request Fingerprint, process Process, byPeer bool, now time.Duration) {
-	if e, ok := t.ends[process]; ok && now-e.at < t.config.Together {
-		t.markMine(request, e, now)
+// RecordFailure records that an attempt at a process got no complete answer. The parameter
+// closedByServer is true if the server's side closed the connection, and false if this entry
+// cancelled the attempt.
+func (t *Table) Broke(request Fingerprint, process Process, closedByServer bool, now time.Duration) {
+	if c, ok := t.crashes[process]; ok && now-c.at < t.config.CorrelationWindow {
+		t.addLocalCrash(request, c, now)
 		return
 	}
-	kept := t.broken[process]
-	if len(kept) >= brokenMost {
-		kept = kept[1:]
+	failures := t.failures[process]
+	if len(failures) >= maxFailures {
+		failures = failures[1:]
 	}
-	t.broken[process] = append(kept, broken{request, now, byPeer})
+	t.failures[process] = append(failures, failedAttempt{request, now, closedByServer})
 }
 
-// Ended notes that a process is known to have ended. It ended when the last answer broke
-// off there; what broke off then was under way, and is returned.
+// RecordCrash records that a process was found to have crashed, and returns the requests
+// that this entry had in flight there. The time of the crash is when the server last closed
+// a connection of this entry without a complete answer.
 func (t *Table) Ended(process Process, now time.Duration) []Fingerprint {
-	at, ok := t.brokeOff(process, now)
+	at, ok := t.lastClose(process, now)
 	if !ok {
 		return nil
 	}
-	return t.endAt(process, at, now).mine
+	return t.crashAt(process, at, now).local
 }
 
-// brokeOff is when answers of a process last broke off.
-func (t *Table) brokeOff(process Process, now time.Duration) (time.Duration, bool) {
-	for _, b := range slices.Backward(t.broken[process]) {
-		if b.byPeer && now-b.at < t.config.Evidence {
-			return b.at, true
+// lastClose returns when a process last closed a connection without a complete answer.
+func (t *Table) lastClose(process Process, now time.Duration) (time.Duration, bool) {
+	for _, f := range slices.Backward(t.failures[process]) {
+		if f.closedByServer && now-f.at < t.config.DetectionTimeout {
+			return f.at, true
 		}
 	}
 	return 0, false
 }
 
-// endAt returns the end of a process at a time, and suspects what this entry had there.
-func (t *Table) endAt(process Process, at, now time.Duration) *end {
-	e, ok := t.ends[process]
-	if !ok || at-e.at >= t.config.Evidence {
-		e = &end{process: process, at: at}
-		t.ends[process] = e
+// crashAt returns the crash of a process at a time, and adds it to this entry's requests
+// that failed around that time.
+func (t *Table) crashAt(process Process, at, now time.Duration) *crash {
+	c, ok := t.crashes[process]
+	if !ok || at-c.at >= t.config.DetectionTimeout {
+		c = &crash{process: process, at: at}
+		t.crashes[process] = c
 	}
-	for _, b := range t.broken[process] {
-		if max(b.at-e.at, e.at-b.at) < t.config.Together {
-			t.markMine(b.request, e, now)
+	for _, f := range t.failures[process] {
+		if max(f.at-c.at, c.at-f.at) < t.config.CorrelationWindow {
+			t.addLocalCrash(f.request, c, now)
 		}
 	}
-	delete(t.broken, process)
-	return e
+	delete(t.failures, process)
+	return c
 }
 
-func (t *Table) markMine(request Fingerprint, e *end, now time.Duration) {
-	if slices.Contains(e.mine, request) {
+// addLocalCrash adds a crash to a request that this entry had in flight there.
+func (t *Table) addLocalCrash(request Fingerprint, c *crash, now time.Duration) {
+	if slices.Contains(c.local, request) {
 		return
 	}
-	e.mine = append(e.mine, request)
-	t.waiting = append(t.waiting, mine{request, e, now})
-	t.mark(request, e, now)
+	c.local = append(c.local, request)
+	t.unsentCrashes = append(t.unsentCrashes, localCrash{request, c, now})
+	t.addCrash(request, c, now)
 }
 
-// mark notes that a process ended under a request.
-func (t *Table) mark(request Fingerprint, e *end, now time.Duration) {
-	if at, ok := t.answered.at(request); ok && at >= e.at {
+// addCrash adds a crash to a request that was in flight there. Crashes before the request's
+// latest answer are ignored.
+func (t *Table) addCrash(request Fingerprint, c *crash, now time.Duration) {
+	if at, ok := t.answered.last(request); ok && at >= c.at {
 		return
 	}
-	s := t.suspect(request)
-	if slices.Contains(s.ends, e) {
+	s := t.suspectFor(request)
+	if slices.Contains(s.crashes, c) {
 		return
 	}
-	s.ends, s.seen = append(s.ends, e), now
-	t.markedAt, t.undecided = now, true
+	s.crashes, s.lastAdded = append(s.crashes, c), now
+	t.crashAddedAt, t.undecided = now, true
 	switch {
 	case t.held(s, now):
-		e.explained = true
-	case s.times > 0:
+		c.attributed = true
+	case s.holdCount > 0:
 		t.hold(s, now)
 	}
 }
 
-// Answered notes that a server gave a whole answer to a request, and went on: it ends none.
+// RecordAnswer records that a server answered a request completely and continued to run,
+// which shows that the request crashes no server.
 //
-// Guard: a request that was under way at several servers that ended for other reasons was
-// refused though servers answer it; one that many callers send is under way everywhere.
+// A request that was in flight at several servers that crashed for other reasons was refused
+// although servers answer it. A request that many callers send is in flight at all servers.
 func (t *Table) Answered(request Fingerprint, now time.Duration) {
-	t.answered.note(request, now)
+	t.answered.record(request, now)
 	s, ok := t.suspects[request]
 	if !ok {
 		return
 	}
-	t.forget(request)
-	if s.times > 0 {
-		t.over = append(t.over, request)
+	t.remove(request)
+	if s.holdCount > 0 {
+		t.cleared = append(t.cleared, request)
 	}
-	if s.told {
-		t.tell(News{Cleared: []Clearing{{Request: request, At: now}}}, now)
+	if s.reported {
+		t.queue(News{Cleared: []Clearance{{Request: request, At: now}}}, now)
 	}
 }
--- a/internal/coordination/quarantine/suspects.go
+++ b/internal/coordination/quarantine/suspects.go
@@ -6,88 +6,90 @@
 	"time"
 )
 
-// suspect is a request under which processes have ended.
+// suspect is a request under which processes have crashed.
 type suspect struct {
 	request Fingerprint
-	ends    []*end
-	// seen is when the last of ends was heard of.
-	seen time.Duration
-	// told is true if other entries may suspect the request.
-	told bool
-	// since is when it was held last, which may be before the clock's start, and times how
-	// often; 0 if it never was.
-	since time.Duration
-	times int
+	crashes []*crash
+	// lastAdded is when the last of crashes was added.
+	lastAdded time.Duration
+	// reported is true if other entries may suspect the request.
+	reported bool
+	// heldAt is when the request was last held. It may be before the clock's start.
+	heldAt time.Duration
+	// holdCount is how often the request has been held.
+	holdCount int
 }
 
-func (t *Table) suspect(request Fingerprint) *suspect {
+// suspectFor returns the suspect for a request, and adds it if there is none.
+func (t *Table) suspectFor(request Fingerprint) *suspect {
 	s, ok := t.suspects[request]
 	if ok {
 		return s
 	}
-	if len(t.suspects) >= t.config.Most {
-		t.dropLeast()
+	if len(t.suspects) >= t.config.MaxEntries {
+		t.evictSuspects()
 	}
 	s = &suspect{request: request}
 	t.suspects[request] = s
-	t.heads[request.Head()]++
+	t.suspectHashes[request.Head()]++
 	return s
 }
 
-func (t *Table) forget(request Fingerprint) {
+func (t *Table) remove(request Fingerprint) {
 	if _, ok := t.suspects[request]; !ok {
 		return
 	}
 	delete(t.suspects, request)
-	head := request.Head()
-	if t.heads[head]--; t.heads[head] == 0 {
-		delete(t.heads, head)
+	hash := request.Head()
+	if t.suspectHashes[hash]--; t.suspectHashes[hash] == 0 {
+		delete(t.suspectHashes, hash)
 	}
 }
 
-// dropLeast drops a quarter of the suspects: first those that were never held, of these
-// the ones with the fewest ends, the longest ago.
+// evictSuspects evicts a quarter of the suspects. Those that were never held are evicted
+// first, and among these the ones with the fewest crashes, oldest first.
 //
-// Guard: callers may send any number of different requests that each end a server. Each
-// is remembered, and memory grew without bound; one that is held is the last to go.
-func (t *Table) dropLeast() {
+// Callers may send any number of different requests that each crash a server. Each one is
+// stored, so memory would grow without bound. Held requests are evicted last.
+func (t *Table) evictSuspects() {
 	all := make([]*suspect, 0, len(t.suspects))
 	for _, s := range t.suspects {
 		all = append(all, s)
 	}
 	slices.SortFunc(all, func(a, b *suspect) int {
-		return cmp.Or(cmp.Compare(a.times, b.times), cmp.Compare(len(a.ends), len(b.ends)), cmp.Compare(a.seen, b.seen))
+		return cmp.Or(cmp.Compare(a.holdCount, b.holdCount), cmp.Compare(len(a.crashes), len(b.crashes)), cmp.Compare(a.lastAdded, b.lastAdded))
 	})
 	for _, s := range all[:max(len(all)/4, 1)] {
-		t.forget(s.request)
+		t.remove(s.request)
 	}
 }
 
-// sweepEvery is how often it is looked for what can be forgotten.
-const sweepEvery = time.Second
+// pruneInterval is the minimum time between two runs of prune.
+const pruneInterval = time.Second
 
-func (t *Table) sweep(now time.Duration) {
-	if now-t.sweptAt < sweepEvery {
+// prune removes expired failures, crashes and suspects.
+func (t *Table) prune(now time.Duration) {
+	if now-t.prunedAt < pruneInterval {
 		return
 	}
-	t.sweptAt = now
-	for process, kept := range t.broken {
-		if now-kept[len(kept)-1].at >= t.config.Evidence {
-			delete(t.broken, process)
+	t.prunedAt = now
+	for process, failures := range t.failures {
+		if now-failures[len(failures)-1].at >= t.config.DetectionTimeout {
+			delete(t.failures, process)
 		}
 	}
-	for process, e := range t.ends {
-		if now-e.at >= t.config.Evidence {
-			delete(t.ends, process)
+	for process, c := range t.crashes {
+		if now-c.at >= t.config.DetectionTimeout {
+			delete(t.crashes, process)
 		}
 	}
 	for request, s := range t.suspects {
-		kept := t.config.Remember
-		if s.times > 0 {
-			kept = t.until(s) - s.since + t.config.HoldMost
+		ttl := t.config.SuspectTTL
+		if s.holdCount > 0 {
+			ttl = t.heldUntil(s) - s.heldAt + t.config.MaxHoldDuration
 		}
-		if now-max(s.seen, s.since) >= kept {
-			t.forget(request)
+		if now-max(s.lastAdded, s.heldAt) >= ttl {
+			t.remove(request)
 		}
 	}
 }
