--- a/internal/coordination/drain/closedetector.go
+++ b/internal/coordination/drain/closedetector.go
@@ -1,8 +1,9 @@
 package drain
 
-// CloseDetector detects from a server's responses that the server is draining. A draining
-// server closes the connection after each response. Other servers close it occasionally, or
-// always. The zero value is a server that has not responded yet.
+// CloseDetector detects from a server's responses that the server is leaving, which means that
+// it shuts down gracefully. Such a server closes the connection after each response. Other
+// servers close it occasionally, or always. The zero value is a server that has not responded
+// yet.
 type Closing struct {
 	// keptAlive is true once the server has kept a connection open.
 	keptAlive bool
@@ -22,5 +23,5 @@
 	c.consecutive = min(c.consecutive+1, minConsecutiveCloses)
 }
 
-// Draining reports whether the server is draining.
+// Leaving reports whether the server is leaving.
 func (c *Closing) Leaving() bool { return c.keptAlive && c.consecutive >= minConsecutiveCloses }
