--- a/internal/transport/relay/failures.go
+++ b/internal/transport/relay/failures.go
@@ -11,67 +11,72 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// errBehind means that an entry could not have a piece from where it has it.
-var errBehind = errors.New("its own source failed")
+// errUpstream means that an entry failed to get a piece from its own source.
+var errUpstream = errors.New("its own source failed")
 
-// errSlow means that a source did not answer in the time that it should take.
-var errSlow = errors.New("no answer in time")
+// errTimeout means that a source did not respond within its timeout.
+var errTimeout = errors.New("no answer in time")
 
-// errNoSource means that an entry does not know where to have a piece from.
+// errNoSource means that an entry knows no source for a piece.
 var errNoSource = errors.New("no source is known")
 
-// errSkipped means that a newer version is fetched instead.
+// errSkipped means that a version is skipped and a newer one is fetched instead.
 var errSkipped = errors.New("a newer version is fetched instead")
 
-// errNoPiece means that a version has no such piece.
+// errNoPiece means that the manifest of a version has no piece with this number.
 var errNoPiece = errors.New("there is no such piece")
 
-// failures counts what went wrong with each entry in one fetch.
+// failures counts the failed attempts per entry during one fetch.
 //
-// Guard: while the origin was away every entry that was asked failed, and the next
-// one was asked in its place, until all drew from the origin at once when it came
-// back, each piece several times over its thin link. One that answers, but could
-// not have the piece itself, is asked again.
+// An entry that responds but failed to get the piece from its own source is asked again.
+// During an origin outage every entry that was asked failed, and the next one was asked
+// in its place. When the origin recovered, all entries fetched from it at once, and each
+// piece crossed its slow link several times.
 type failures map[filbertlever.HostID]int
 
-func (f failures) note(source string, err error) {
-	if errors.Is(err, errBehind) {
+// record counts a failed attempt. Any error but errUpstream excludes the entry at once.
+func (f failures) record(source string, err error) {
+	if errors.Is(err, errUpstream) {
 		f[filbertlever.HostID(source)]++
 		return
 	}
-	f[filbertlever.HostID(source)] = behindMost
+	f[filbertlever.HostID(source)] = maxUpstreamFailures
 }
 
-// again reports whether a fetch that began then is tried once more.
+// shouldRetry reports whether a fetch makes another attempt.
 //
-// Guard: if an entry that fetches from the origin gives up early in an outage, those who wait for it
-// ask another one, which then fetches the same pieces as the origin comes back. It tries on while
-// those who wait do.
-func again(try int, failed failures, began time.Duration) bool {
+// An entry that fetches from the origin retries for originRetryWindow, while others wait
+// for it. If it returned an error early in an outage, they would ask another entry, which
+// would then fetch the same pieces when the origin recovers.
+func shouldRetry(attempt int, failed failures, startedAt time.Duration) bool {
 	if failed[originName] > 0 {
-		return boottime.Now()-began < originTried
+		return boottime.Now()-startedAt < originRetryWindow
 	}
-	return try < fetchTries
+	return attempt < maxFetchAttempts
 }
 
-// originTried is how long an entry tries to fetch from the origin before it answers those who wait.
-// They ask another one after three such answers.
-const originTried = 3 * time.Second
+// originRetryWindow is how long an entry retries a fetch from the origin before it
+// reports the failure to those who wait. They ask another entry after three such
+// failures (maxUpstreamFailures).
+const originRetryWindow = 3 * time.Second
 
-var errDied = errors.New("the entry no longer lives")
+// errEntryDied means that the entry asked for a piece died during the fetch.
+var errEntryDied = errors.New("the entry no longer lives")
 
-// whileLiving returns a context that ends when an entry is no longer alive.
+// contextWhileAlive returns a context that is canceled when an entry is no longer
+// alive.
 //
-// Guard: a host that stands still keeps its connections open; without this, those
-// who wait for a piece from it would wait as long as for one that is busy.
-func (r *Relay) whileLiving(host filbertlever.HostID) (context.Context, func()) {
+// The connections of a host that hangs stay open. Without the cancellation, a fetch from
+// it would wait for the same timeout as a fetch from a busy entry.
+func (r *Relay) contextWhileAlive(host filbertlever.HostID) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	go r.runLiving(ctx, host, cancel)
+	go r.watchLiveness(ctx, host, cancel)
 	return ctx, func() { cancel(nil) }
 }
 
-func (r *Relay) runLiving(ctx context.Context, host filbertlever.HostID, cancel context.CancelCauseFunc) {
-	ticker := time.NewTicker(livingEvery)
+// watchLiveness cancels ctx when the entry is no longer alive. It returns when ctx ends.
+func (r *Relay) watchLiveness(ctx context.Context, host filbertlever.HostID, cancel context.CancelCauseFunc) {
+	ticker := time.NewTicker(livenessInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -81,7 +86,7 @@
 		}
 		entries, _ := r.view.Relays()
 		if !slices.ContainsFunc(entries, func(e relays.Entry) bool { return e.Host == host }) {
-			cancel(errDied)
+			cancel(errEntryDied)
 			return
 		}
 	}
--- a/internal/transport/relay/fetch.go
+++ b/internal/transport/relay/fetch.go
@@ -14,65 +14,73 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/relays"
 )
 
-// FetchManifest asks an entry for a manifest, for an agent.
-func FetchManifest(ctx context.Context, client *http.Client, address string, named catalog.NamedVersion) (Manifest, error) {
-	return fetchManifest(ctx, client, address, named, relays.RoleAny)
+// FetchManifest fetches a manifest from an entry, on behalf of an agent.
+func FetchManifest(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion) (Manifest, error) {
+	return fetchManifest(ctx, client, address, id, relays.RoleAny)
 }
 
-// FetchPiece asks an entry for a piece, for an agent; it is not yet verified.
-func FetchPiece(ctx context.Context, client *http.Client, address string, named catalog.NamedVersion, piece int) ([]byte, error) {
-	return fetchPiece(ctx, client, address, named, piece, relays.RoleAny)
+// FetchPiece fetches a piece from an entry, on behalf of an agent. It does not verify
+// the piece.
+func FetchPiece(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion, piece int) ([]byte, error) {
+	return fetchPiece(ctx, client, address, id, piece, relays.RoleAny)
 }
 
-// AwaitPiece waits until an entry has a piece, for an agent that is not to move
-// several at once.
-func AwaitPiece(ctx context.Context, client *http.Client, address string, named catalog.NamedVersion, piece int) error {
-	values := pieceValues(named, &piece, relays.RoleAny)
+// AwaitPiece waits until an entry has cached a piece, without transferring it. Agents
+// that must not transfer several pieces at once use it.
+func AwaitPiece(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion, piece int) error {
+	values := pieceValues(id, &piece, relays.RoleAny)
 	values.Set("Await", "1")
 	if _, err := fetch(ctx, client, address, PathPiece, values, agentTimeout); err != nil {
-		return fmt.Errorf("await piece %d of %s version %d at %s: %w", piece, named.Model, named.Version, address, err)
+		return fmt.Errorf("await piece %d of %s version %d at %s: %w", piece, id.Model, id.Version, address, err)
 	}
 	return nil
 }
 
-func fetchManifest(ctx context.Context, client *http.Client, address string, named catalog.NamedVersion, ask relays.Role) (Manifest, error) {
+// fetchManifest fetches a manifest from an entry, which is asked in a role.
+func fetchManifest(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion, role relays.Role) (Manifest, error) {
 	var manifest Manifest
-	data, err := fetch(ctx, client, address, pathManifest, pieceValues(named, nil, ask), timeoutFor(ask))
+	data, err := fetch(ctx, client, address, pathManifest, pieceValues(id, nil, role), timeoutFor(role))
 	if err == nil {
 		err = json.Unmarshal(data, &manifest)
 	}
 	if err != nil {
-		return Manifest{}, fmt.Errorf("manifest of %s version %d from %s: %w", named.Model, named.Version, address, err)
+		return Manifest{}, fmt.Errorf("manifest of %s version %d from %s: %w", id.Model, id.Version, address, err)
 	}
 	return manifest, nil
 }
 
-func fetchPiece(ctx context.Context, client *http.Client, address string, named catalog.NamedVersion, piece int, ask relays.Role) ([]byte, error) {
-	data, err := fetch(ctx, client, address, PathPiece, pieceValues(named, &piece, ask), timeoutFor(ask))
+// fetchPiece fetches a piece from an entry, which is asked in a role. It does not
+// verify the piece.
+func fetchPiece(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion, piece int, role relays.Role) ([]byte, error) {
+	data, err := fetch(ctx, client, address, PathPiece, pieceValues(id, &piece, role), timeoutFor(role))
 	if err != nil {
-		return nil, fmt.Errorf("piece %d of %s version %d from %s: %w", piece, named.Model, named.Version, address, err)
+		return nil, fmt.Errorf("piece %d of %s version %d from %s: %w", piece, id.Model, id.Version, address, err)
 	}
 	return data, nil
 }
 
-func timeoutFor(ask relays.Role) time.Duration {
-	if ask == relays.RoleAny {
+// timeoutFor returns the timeout for a request to an entry in a role.
+func timeoutFor(role relays.Role) time.Duration {
+	if role == relays.RoleAny {
 		return agentTimeout
 	}
 	return peerTimeout
 }
 
-func pieceValues(named catalog.NamedVersion, piece *int, ask relays.Role) url.Values {
-	values := url.Values{"Model": {named.Model}, "Version": {strconv.FormatUint(named.Version, 10)}}
+// pieceValues returns the query of a request for a piece, or for a manifest if piece
+// is nil.
+func pieceValues(id catalog.NamedVersion, piece *int, role relays.Role) url.Values {
+	values := url.Values{"Model": {id.Model}, "Version": {strconv.FormatUint(id.Version, 10)}}
 	if piece != nil {
 		values.Set("Piece", strconv.Itoa(*piece))
 	}
-	if ask != relays.RoleAny {
-		values.Set("As", strconv.Itoa(int(ask)))
+	if role != relays.RoleAny {
+		values.Set("As", strconv.Itoa(int(role)))
 	}
 	return values
 }
 
+// fetch sends a GET request and returns the body of the response.
 func fetch(ctx context.Context, client *http.Client, address, path string, values url.Values, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -85,7 +93,7 @@
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, pieceMost))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxPieceBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -93,9 +101,9 @@
 	case http.StatusGone:
 		return nil, ErrGone
 	case http.StatusNotFound:
-		return nil, errNotHeld
+		return nil, errNotCached
 	case http.StatusBadGateway:
-		return nil, fmt.Errorf("%w: %s", errBehind, data[:min(len(data), 200)])
+		return nil, fmt.Errorf("%w: %s", errUpstream, data[:min(len(data), 200)])
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("answered %d: %s", response.StatusCode, data[:min(len(data), 200)])
--- a/internal/transport/relay/holders.go
+++ b/internal/transport/relay/holders.go
@@ -13,81 +13,84 @@
 )
 
 const (
-	// holderLanes is how many pieces an entry asks holders for at once; each gives
-	// out one at a time beside its live answers.
-	holderLanes = 4
-	// holderTimeout bounds one such call: pieces for the rest of a site may wait at a
-	// holder.
+	// holderConcurrency is how many pieces an entry fetches from holders at once. Each
+	// holder sends one piece at a time, alongside the responses that it is serving.
+	holderConcurrency = 4
+	// holderTimeout limits one such request. Pieces for the rest of the site may be
+	// queued at a holder.
 	holderTimeout = 1500 * time.Millisecond
-	// holderTurn is every how many tries of a piece holders are asked again.
-	holderTurn = 8
-	// holderKind is how holders are called in metrics.
-	holderKind = "Holder"
+	// holderRetryAttempts is the number of attempts for a piece after which holders, and
+	// the caches of other entries, are asked again.
+	holderRetryAttempts = 8
+	// holderLabel is the metric label for pieces from holders.
+	holderLabel = "Holder"
 )
 
-// fromHolders asks hosts of this site that hold a version for a piece of it; false if
-// none has it whole.
+// fetchFromHolders asks hosts of this site whose servers hold a version for a piece of it.
+// It returns false if none returns the correct piece. A version that servers hold need not
+// come from the origin, which may be unreachable.
 //
-// A set that servers hold need not come from the origin, which may be away.
-//
-// Guard: a holder gives out one piece at a time, and a try that failed at the origin kept
-// its place there while it asked one; it is for others meanwhile.
-func (r *Relay) fromHolders(named catalog.NamedVersion, piece int, manifest *Manifest, place *drawPlace) ([]byte, bool) {
-	holders := relays.HoldersOf(r.view.Holders(named), pieceKey(named, piece))
+// The origin slot is released first so that other fetches can use it. A holder sends one
+// piece at a time, and a fetch that had failed at the origin kept its slot while it waited
+// for a holder.
+func (r *Relay) fetchFromHolders(id catalog.NamedVersion, piece int, manifest *Manifest, slot *originSlot) ([]byte, bool) {
+	holders := relays.HoldersOf(r.view.Holders(id), pieceKey(id, piece))
 	if len(holders) == 0 {
 		return nil, false
 	}
-	place.leave()
-	r.holding <- struct{}{}
-	defer func() { <-r.holding }()
+	slot.release()
+	r.holderLimit <- struct{}{}
+	defer func() { <-r.holderLimit }()
 	for _, holder := range holders {
-		data, err := fetch(context.Background(), r.client, holder.Address, PathPiece, pieceValues(named, &piece, relays.RoleAny), holderTimeout)
+		data, err := fetch(context.Background(), r.client, holder.Address, PathPiece, pieceValues(id, &piece, relays.RoleAny), holderTimeout)
 		if err == nil && !manifest.Verify(piece, data) {
-			err = fmt.Errorf("piece %d of %s version %d: digest differs", piece, named.Model, named.Version)
+			err = fmt.Errorf("piece %d of %s version %d: digest differs", piece, id.Model, id.Version)
 		}
 		if err == nil {
-			r.metrics.bytes.WithLabelValues(holderKind).Add(float64(len(data)))
+			r.metrics.bytes.WithLabelValues(holderLabel).Add(float64(len(data)))
 			return data, true
 		}
-		r.log.Info("piece not had from a holder", zap.String("Model", named.Model), zap.Uint64("Version", named.Version),
+		r.log.Info("piece fetch from a holder failed", zap.String("Model", id.Model), zap.Uint64("Version", id.Version),
 			zap.Int("Piece", piece), zap.String("Backend", holder.Backend), zap.Error(err))
 	}
 	return nil, false
 }
 
-// Learn draws the manifest of a version that servers hold, if this entry is the one of
-// its site to have it, so that it is there when the origin is away. It returns at once.
-func (r *Relay) Learn(named catalog.NamedVersion) {
-	if r.roleOf(named, -1) < relays.RoleHome {
+// PrefetchManifest fetches the manifest of a version that servers hold if this entry is
+// its home or origin fetcher, so that it is available while the origin is unreachable.
+// It returns immediately.
+func (r *Relay) Learn(id catalog.NamedVersion) {
+	if r.roleOf(id, -1) < relays.RoleHome {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.version(named)
-	if v.learnt {
+	v := r.ensureState(id)
+	if v.manifestRequested {
 		return
 	}
-	v.learnt = true
-	go r.runLearn(named)
+	v.manifestRequested = true
+	go r.runManifestPrefetch(id)
 }
 
-// learnTries and learnPause bound the tries to have a manifest ahead; whoever asks for
-// one later starts them anew.
+// manifestPrefetchAttempts and manifestPrefetchInterval limit the prefetch of a manifest.
+// A later request for the manifest fetches it independently.
 const (
-	learnTries = 20
-	learnPause = 500 * time.Millisecond
+	manifestPrefetchAttempts = 20
+	manifestPrefetchInterval = 500 * time.Millisecond
 )
 
-func (r *Relay) runLearn(named catalog.NamedVersion) {
-	began := boottime.Now()
-	for range learnTries {
-		_, err := r.Manifest(context.Background(), named, relays.RoleAny)
+// runManifestPrefetch fetches a manifest, with retries.
+func (r *Relay) runManifestPrefetch(id catalog.NamedVersion) {
+	startedAt := boottime.Now()
+	for range manifestPrefetchAttempts {
+		_, err := r.Manifest(context.Background(), id, relays.RoleAny)
 		if err == nil {
-			r.log.Info("manifest learnt", zap.String("Model", named.Model), zap.Uint64("Version", named.Version),
-				zap.Duration("Took", boottime.Now()-began))
+			r.log.Info("manifest prefetched", zap.String("Model", id.Model), zap.Uint64("Version", id.Version),
+				zap.Duration("Took", boottime.Now()-startedAt))
 			return
 		}
-		time.Sleep(learnPause)
+		time.Sleep(manifestPrefetchInterval)
 	}
-	r.log.Warn("manifest not learnt", zap.String("Model", named.Model), zap.Uint64("Version", named.Version))
+	r.log.Warn("manifest prefetch failed", zap.String("Model", id.Model), zap.Uint64("Version", id.Version))
 }
--- a/internal/transport/relay/holders_test.go
+++ b/internal/transport/relay/holders_test.go
@@ -17,16 +17,16 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/relays"
 )
 
-// held is a view of one entry whose site has holders of the version.
-type held struct {
-	alone
+// holdersView is a view of one entry whose site has holders of the version.
+type holdersView struct {
+	singleEntryView
 	holders []relays.Holder
 }
 
-func (h held) Holders(catalog.NamedVersion) []relays.Holder { return h.holders }
+func (h holdersView) Holders(catalog.NamedVersion) []relays.Holder { return h.holders }
 
-// holder gives out one piece, as an agent does.
-func holder(t *testing.T, backend, data string) relays.Holder {
+// startHolder gives out one piece, as an agent does.
+func startHolder(t *testing.T, backend, data string) relays.Holder {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(data)) }))
 	t.Cleanup(server.Close)
 	return relays.Holder{Backend: backend, Address: strings.TrimPrefix(server.URL, "http://")}
@@ -35,9 +35,9 @@
 // Servers are added while the origin of weights is away. They waited for it, though all
 // others held the version. Its pieces come from those; one that is spoilt, or of another
 // version by now, is not taken.
-func TestPiecesComeFromServersThatHoldThem(t *testing.T) {
+func TestPiecesAreFetchedFromHolders(t *testing.T) {
 	c := qt.New(t)
-	spoilt, sound := holder(t, "i-1", "of another version"), holder(t, "i-2", "weights")
+	spoilt, sound := startHolder(t, "i-1", "of another version"), startHolder(t, "i-2", "weights")
 	for _, test := range []struct {
 		holders []relays.Holder
 		want    bool
@@ -47,8 +47,8 @@
 		{[]relays.Holder{spoilt}, false},
 		{nil, false},
 	} {
-		origin := &source{data: []byte("weights")}
-		r := New(relays.Entry{Host: "e1", Site: "a"}, held{holders: test.holders}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+		origin := &singlePieceOrigin{data: []byte("weights")}
+		r := New(relays.Entry{Host: "e1", Site: "a"}, holdersView{holders: test.holders}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 		// The manifest was learnt when the servers were listed.
 		_, err := r.Manifest(context.Background(), drafter, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
@@ -58,14 +58,14 @@
 		if test.want {
 			c.Check(string(data), qt.Equals, "weights")
 		}
-		c.Check(origin.drawn.Load(), qt.Equals, int32(0))
+		c.Check(origin.fetches.Load(), qt.Equals, int32(0))
 	}
 }
 
 // A manifest is small and is had before anyone asks, by one entry of each site.
-func TestManifestsAreLearntAhead(t *testing.T) {
+func TestManifestIsPrefetched(t *testing.T) {
 	c := qt.New(t)
-	origin := &source{data: []byte("weights")}
+	origin := &singlePieceOrigin{data: []byte("weights")}
 	r := newRelay(origin)
 	r.Learn(drafter)
 	r.Learn(drafter)
@@ -74,34 +74,34 @@
 	origin.down.Store(true)
 	_, err = r.Manifest(context.Background(), drafter, relays.RoleAny)
 	c.Assert(err, qt.IsNil)
-	c.Assert(origin.drawn.Load(), qt.Equals, int32(0))
+	c.Assert(origin.fetches.Load(), qt.Equals, int32(0))
 }
 
-// drawerDead is a view of two entries of the origin's site, of which the one that draws
+// unresponsiveEntryView is a view of two entries of the origin's site, of which the one that draws
 // stands still.
-type drawerDead struct {
-	view
-	self, dead filbertlever.HostID
+type unresponsiveEntryView struct {
+	twoSiteView
+	self, unresponsive filbertlever.HostID
 }
 
-func (d drawerDead) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
-	return []relays.Entry{{Host: d.self, Site: "b"}, {Host: d.dead, Site: "a"}}, d.addresses
+func (d unresponsiveEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+	return []relays.Entry{{Host: d.self, Site: "b"}, {Host: d.unresponsive, Site: "a"}}, d.addresses
 }
 
 // All have lost power, and the pieces of the version lie beside every server. Agents need
 // only the list of pieces; the entry that should have it has not started again and does
 // not even refuse a connection. The origin is asked for it a moment later.
-func TestAManifestDoesNotWaitForAnEntryThatIsAway(t *testing.T) {
+func TestManifestFetchSkipsUnresponsiveEntry(t *testing.T) {
 	c := qt.New(t)
 	still := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer still.Close()
 	defer still.CloseClientConnections()
 	address := strings.TrimPrefix(still.URL, "http://")
-	v := drawerDead{view{addresses: map[filbertlever.HostID]string{"a1": address}}, "b1", "a1"}
-	r := New(relays.Entry{Host: "b1", Site: "b"}, v, &source{data: []byte("weights")}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	v := unresponsiveEntryView{twoSiteView{addresses: map[filbertlever.HostID]string{"a1": address}}, "b1", "a1"}
+	r := New(relays.Entry{Host: "b1", Site: "b"}, v, &singlePieceOrigin{data: []byte("weights")}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	began := time.Now()
 	manifest, err := r.Manifest(context.Background(), drafter, relays.RoleAny)
 	c.Assert(err, qt.IsNil)
 	c.Assert(manifest.Digests, qt.HasLen, 1)
-	c.Assert(time.Since(began) < 3*manifestWait, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	c.Assert(time.Since(began) < 3*manifestTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
--- a/internal/transport/relay/manifest.go
+++ b/internal/transport/relay/manifest.go
@@ -16,118 +16,123 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// manifestWait is how long a manifest is waited for at another entry.
-const manifestWait = 150 * time.Millisecond
+// manifestTimeout limits a manifest fetch from another entry.
+const manifestTimeout = 150 * time.Millisecond
 
 // Manifest lists the pieces of one version of a model's weights.
 type Manifest struct {
 	Model      string
 	Version    uint64
 	PieceBytes int
-	// Digests are the SHA-256 of the pieces in order, in hex.
+	// Digests holds the hex-encoded SHA-256 digest of each piece, in order.
 	Digests []string
 }
 
-// Verify reports whether data is the piece that the manifest lists.
+// Verify reports whether the digest of data matches the one listed for the piece.
 func (m *Manifest) Verify(piece int, data []byte) bool {
 	sum := sha256.Sum256(data)
 	return piece >= 0 && piece < len(m.Digests) && hex.EncodeToString(sum[:]) == m.Digests[piece]
 }
 
-// Manifest returns the manifest of a version. Asked is what the one who asks
-// takes this entry for.
-func (r *Relay) Manifest(ctx context.Context, named catalog.NamedVersion, asked relays.Role) (Manifest, error) {
-	role := max(asked, r.roleOf(named, -1))
+// Manifest returns the manifest of a version. The parameter assumed is the role that
+// the requester assumes this entry has.
+func (r *Relay) Manifest(ctx context.Context, id catalog.NamedVersion, assumed relays.Role) (Manifest, error) {
+	role := max(assumed, r.roleOf(id, -1))
 	r.mu.Lock()
-	v := r.version(named)
-	for _, known := range v.manifests {
-		if known.ended() && known.err == nil {
+	v := r.ensureState(id)
+	for _, cached := range v.manifests {
+		if cached.completed() && cached.err == nil {
 			r.mu.Unlock()
-			return known.value, nil
+			return cached.value, nil
 		}
 	}
 	f := v.manifests[role]
 	if f == nil || f.failed() {
-		f = &flight[Manifest]{done: make(chan struct{})}
+		f = &sharedFetch[Manifest]{done: make(chan struct{})}
 		v.manifests[role] = f
-		go r.runManifest(named, role, f)
+		go r.runManifestFetch(id, role, f)
 	}
 	r.mu.Unlock()
 	return f.wait(ctx)
 }
 
-func (r *Relay) runManifest(named catalog.NamedVersion, role relays.Role, f *flight[Manifest]) {
+// runManifestFetch fetches a manifest, with retries.
+func (r *Relay) runManifestFetch(id catalog.NamedVersion, role relays.Role, f *sharedFetch[Manifest]) {
 	defer close(f.done)
 	failed := failures{}
-	began := boottime.Now()
-	for try := 0; again(try, failed, began); try++ {
-		source, address, ask := r.source(named, -1, role, failed)
-		draw := &manifestDraw{relay: r, named: named, source: source, address: address, ask: ask, drawn: make(chan manifestDrawn, 1)}
-		go draw.run()
-		f.value, f.err = draw.wait()
+	startedAt := boottime.Now()
+	for attempt := 0; shouldRetry(attempt, failed, startedAt); attempt++ {
+		source, address, sourceRole := r.pickSource(id, -1, role, failed)
+		fetch := &manifestFetch{relay: r, id: id, source: source, address: address, sourceRole: sourceRole, result: make(chan manifestResult, 1)}
+		go fetch.run()
+		f.value, f.err = fetch.wait()
 		if f.err == nil {
 			return
 		}
-		r.log.Warn("manifest not drawn", zap.String("Model", named.Model), zap.Uint64("Version", named.Version),
+		r.log.Warn("manifest fetch failed", zap.String("Model", id.Model), zap.Uint64("Version", id.Version),
 			zap.String("Source", source), zap.Error(f.err))
 		if errors.Is(f.err, ErrGone) {
 			return
 		}
-		failed.note(source, f.err)
-		if errors.Is(f.err, errSlow) {
+		failed.record(source, f.err)
+		if errors.Is(f.err, errTimeout) {
 			continue
 		}
-		time.Sleep(min(fetchPause<<try, fetchPauseMost))
+		time.Sleep(min(retryBackoff<<attempt, maxRetryBackoff))
 	}
 }
 
-// manifestDraw draws a manifest from one source.
-type manifestDraw struct {
-	relay   *Relay
-	named   catalog.NamedVersion
-	source  string
-	address string
-	ask     relays.Role
-	drawn   chan manifestDrawn
+// manifestFetch is one attempt to fetch a manifest from one source.
+type manifestFetch struct {
+	relay      *Relay
+	id         catalog.NamedVersion
+	source     string
+	address    string
+	sourceRole relays.Role
+	result     chan manifestResult
 }
 
-type manifestDrawn struct {
+// manifestResult is the outcome of a manifestFetch.
+type manifestResult struct {
 	manifest Manifest
 	err      error
 }
 
-func (d *manifestDraw) run() {
-	manifest, err := d.draw()
-	d.drawn <- manifestDrawn{manifest: manifest, err: err}
+// run fetches the manifest and sends the result to wait.
+func (f *manifestFetch) run() {
+	manifest, err := f.fetch()
+	f.result <- manifestResult{manifest: manifest, err: err}
 }
 
-func (d *manifestDraw) draw() (Manifest, error) {
+// fetch fetches the manifest from the source.
+func (f *manifestFetch) fetch() (Manifest, error) {
 	switch {
-	case d.address == "":
-		return Manifest{}, fmt.Errorf("manifest of %s version %d: %w", d.named.Model, d.named.Version, errNoSource)
-	case d.source == originName:
-		return d.relay.originManifest(d.address, d.named)
+	case f.address == "":
+		return Manifest{}, fmt.Errorf("manifest of %s version %d: %w", f.id.Model, f.id.Version, errNoSource)
+	case f.source == originName:
+		return f.relay.fetchOriginManifest(f.address, f.id)
 	}
-	ctx, cancel := d.relay.whileLiving(filbertlever.HostID(d.source))
+	ctx, cancel := f.relay.contextWhileAlive(filbertlever.HostID(f.source))
 	defer cancel()
-	return fetchManifest(ctx, d.relay.client, d.address, d.named, d.ask)
+	return fetchManifest(ctx, f.relay.client, f.address, f.id, f.sourceRole)
 }
 
-// wait waits for the manifest, from another entry only for a moment.
+// wait returns the result of the fetch, or errTimeout. The timeout for another entry is
+// short.
 //
-// Guard: after a loss of power the entry that should have it may not have started again, and does not
-// even refuse a connection. The next source is asked.
-func (d *manifestDraw) wait() (Manifest, error) {
-	patience := manifestWait
-	if d.source == originName {
-		patience = peerTimeout
+// After a power failure the entry that should have the manifest may not have restarted,
+// and then its host does not even refuse a connection. The next source is asked.
+func (f *manifestFetch) wait() (Manifest, error) {
+	timeout := manifestTimeout
+	if f.source == originName {
+		timeout = peerTimeout
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case drawn := <-d.drawn:
-		return drawn.manifest, drawn.err
+	case result := <-f.result:
+		return result.manifest, result.err
 	case <-timer.C:
-		return Manifest{}, fmt.Errorf("manifest of %s version %d from %s: %w", d.named.Model, d.named.Version, d.source, errSlow)
+		return Manifest{}, fmt.Errorf("manifest of %s version %d from %s: %w", f.id.Model, f.id.Version, f.source, errTimeout)
 	}
 }
--- /dev/null
+++ b/internal/transport/relay/originstatus_test.go
@@ -0,0 +1,193 @@
+package relay
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/prometheus/client_golang/prometheus"
+	"go.uber.org/zap"
+
+	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
+	"github.com/filbertlever/filbertlever/internal/coordination/relays"
+	"github.com/filbertlever/filbertlever/internal/transport/boottime"
+)
+
+// failingOrigin fails for one version, and counts how often that was asked for.
+type failingOrigin struct {
+	sharedLinkOrigin
+	version uint64
+	// response is what it sends of that version; err is its answer if there is none.
+	response []byte
+	err      error
+	requests atomic.Int32
+}
+
+func (o *failingOrigin) Piece(_ context.Context, _ string, id catalog.NamedVersion, piece int) ([]byte, error) {
+	time.Sleep(5 * time.Millisecond)
+	if id.Version != o.version {
+		return o.piece(id.Version, piece), nil
+	}
+	o.requests.Add(1)
+	return o.response, o.err
+}
+
+// requestRepeatedly asks for pieces of a version until ctx ends, as agents do.
+func requestRepeatedly(ctx context.Context, r *Relay, id catalog.NamedVersion, pieces int) *sync.WaitGroup {
+	group := &sync.WaitGroup{}
+	for piece := range pieces {
+		group.Go(func() {
+			for ctx.Err() == nil {
+				_, _ = r.Piece(ctx, id, piece, relays.RoleDrawer)
+				time.Sleep(10 * time.Millisecond)
+			}
+		})
+	}
+	return group
+}
+
+// No server got a version for as long as the origin failed for an older one that agents
+// asked for, though it gave out the newer one: tries of the older one kept both places.
+// Whether it fails, or sends what does not match, makes no difference.
+func TestVersionFailingAtOriginIsDeferred(t *testing.T) {
+	c := qt.New(t)
+	for _, origin := range []*failingOrigin{{version: 2, err: errDown}, {version: 2, response: []byte("spoilt")}} {
+		r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+		ctx, cancel := context.WithCancel(context.Background())
+		asking := requestRepeatedly(ctx, r, drafterVersion(2), 8)
+		time.Sleep(200 * time.Millisecond)
+		began := time.Now()
+		newer, stop := context.WithTimeout(context.Background(), 10*time.Second)
+		_, err := r.Piece(newer, drafterVersion(3), 0, relays.RoleDrawer)
+		c.Check(err, qt.IsNil, qt.Commentf("after %v", time.Since(began)))
+		stop()
+		cancel()
+		asking.Wait()
+	}
+}
+
+// Eight agents that wanted a version which the origin had dropped had it asked a hundred
+// times a second, which is paid for, beside the pieces of the version in force.
+func TestGoneVersionIsRarelyRequestedFromOrigin(t *testing.T) {
+	c := qt.New(t)
+	origin := &failingOrigin{version: 2, err: ErrGone}
+	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
+	defer cancel()
+	requestRepeatedly(ctx, r, drafterVersion(2), 8).Wait()
+	c.Assert(origin.requests.Load() <= originConcurrency, qt.IsTrue, qt.Commentf("asked %d times", origin.requests.Load()))
+}
+
+// A version was drawn one piece at a time to its end, since its pieces had been asked for
+// while an older one went before it, which had become useless meanwhile.
+func TestWaitForOlderVersionIsReevaluated(t *testing.T) {
+	c := qt.New(t)
+	origin := &concurrencyOrigin{version: 3}
+	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	r.mu.Lock()
+	r.ensureState(drafterVersion(2)).requested = true
+	r.mu.Unlock()
+	c.Assert(r.yieldsToOlder(drafterVersion(3), boottime.Now()), qt.IsTrue)
+	r.slotsMu.Lock()
+	held := r.newerSlots.Take("drafter", 3)
+	r.slotsMu.Unlock()
+	<-held.Granted
+	var group sync.WaitGroup
+	group.Go(func() { fetchConcurrently(c, r, drafterVersion(3), 12) })
+	time.Sleep(50 * time.Millisecond)
+	c.Check(origin.peak.Load(), qt.Equals, int32(0))
+	r.Supersede(drafterVersion(2), boottime.Now())
+	for end := time.Now().Add(2 * time.Second); origin.peak.Load() < originConcurrency && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+	c.Check(origin.peak.Load(), qt.Equals, int32(originConcurrency))
+	r.slotsMu.Lock()
+	r.newerSlots.Give()
+	r.slotsMu.Unlock()
+	group.Wait()
+}
+
+// singleHolderView is a site with one holder of one version.
+type singleHolderView struct {
+	singleEntryView
+	id      catalog.NamedVersion
+	address string
+}
+
+func (h singleHolderView) Holders(id catalog.NamedVersion) []relays.Holder {
+	if id != h.id {
+		return nil
+	}
+	return []relays.Holder{{Backend: "b", Address: h.address}}
+}
+
+// A newer version waited for a place to draw for as long as a holder of an older one took
+// to answer: the try that had failed at the origin kept its place while it asked there.
+func TestOriginSlotIsReleasedDuringHolderRequest(t *testing.T) {
+	c := qt.New(t)
+	asked, answer := make(chan struct{}), make(chan struct{})
+	var calls atomic.Int32
+	holder := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		if calls.Add(1) == 2 {
+			close(asked)
+			<-answer
+		}
+		w.WriteHeader(http.StatusNotFound)
+	}))
+	defer holder.Close()
+	origin := &failingOrigin{version: 2, err: errDown}
+	view := singleHolderView{id: drafterVersion(2), address: strings.TrimPrefix(holder.URL, "http://")}
+	r := New(relays.Entry{Host: "e1", Site: "a"}, view, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go func() { _, _ = r.Piece(ctx, drafterVersion(2), 0, relays.RoleDrawer) }()
+	<-asked
+	for range originConcurrency {
+		r.slotsMu.Lock()
+		waiter := r.originSlots.Take("drafter", 3)
+		r.slotsMu.Unlock()
+		select {
+		case <-waiter.Granted:
+		case <-time.After(time.Second):
+			c.Error("a place is kept")
+		}
+	}
+	close(answer)
+}
+
+// A version that was judged not worth drawing is asked for again: servers lack it, and its
+// pieces go before those of the newer one, until nobody asks any more.
+func TestAbandonedVersionIsWantedWhenRequestedAgain(t *testing.T) {
+	c := qt.New(t)
+	v := &versionState{requested: true, lastRequestedAt: time.Second}
+	c.Assert(v.isWanted(time.Hour), qt.IsTrue)
+	v.abandonedAt = 2 * time.Second
+	c.Assert(v.isWanted(2*time.Second), qt.IsFalse)
+	v.lastRequestedAt = 3 * time.Second
+	c.Assert(v.isWanted(3*time.Second), qt.IsTrue)
+	c.Assert(v.isWanted(3*time.Second+requestTTL+1), qt.IsFalse)
+}
+
+// What is said of a version holds for those before it, also if their bounds were long ago
+// when it was named, and makes none useful for longer.
+func TestSupersedeAppliesToOlderVersions(t *testing.T) {
+	c := qt.New(t)
+	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, &sharedLinkOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	r.mu.Lock()
+	r.ensureState(drafterVersion(1)).obsoleteAt = time.Second
+	r.ensureState(drafterVersion(2))
+	r.ensureState(drafterVersion(4))
+	r.mu.Unlock()
+	r.Supersede(drafterVersion(4), time.Minute)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for number, want := range map[uint64]time.Duration{1: time.Second, 2: time.Minute, 4: time.Minute} {
+		c.Check(r.ensureState(drafterVersion(number)).obsoleteAt, qt.Equals, want, qt.Commentf("version %d", number))
+	}
+}
--- a/internal/transport/relay/handover_test.go
+++ b/internal/transport/relay/peercache_test.go
@@ -21,15 +21,15 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/relays"
 )
 
-// manyPieces is an origin of many pieces, slow as a thin link is.
-type manyPieces struct {
-	mu    sync.Mutex
-	drawn map[int]int
+// countingOrigin is an origin of many pieces, slow as a thin link is.
+type countingOrigin struct {
+	mu      sync.Mutex
+	fetches map[int]int
 }
 
 const handoverPieces = 16
 
-func (*manyPieces) Manifest(_ context.Context, _ string, v catalog.NamedVersion) (Manifest, error) {
+func (*countingOrigin) Manifest(_ context.Context, _ string, v catalog.NamedVersion) (Manifest, error) {
 	manifest := Manifest{Model: v.Model, Version: v.Version}
 	for piece := range handoverPieces {
 		manifest.Digests = append(manifest.Digests, digestOf(pieceData(piece)))
@@ -44,42 +44,42 @@
 
 func pieceData(piece int) []byte { return fmt.Appendf(nil, "piece %d", piece) }
 
-func (m *manyPieces) Piece(_ context.Context, _ string, _ catalog.NamedVersion, piece int) ([]byte, error) {
+func (m *countingOrigin) Piece(_ context.Context, _ string, _ catalog.NamedVersion, piece int) ([]byte, error) {
 	m.mu.Lock()
-	m.drawn[piece]++
+	m.fetches[piece]++
 	m.mu.Unlock()
 	time.Sleep(2 * time.Millisecond)
 	return pieceData(piece), nil
 }
 
-func (m *manyPieces) total() int {
+func (m *countingOrigin) total() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	total := 0
-	for _, n := range m.drawn {
+	for _, n := range m.fetches {
 		total += n
 	}
 	return total
 }
 
-// turning is an installation whose living entries change.
-type turning struct {
+// changingView is an installation whose living entries change.
+type changingView struct {
 	mu        sync.Mutex
 	entries   []relays.Entry
 	addresses map[filbertlever.HostID]string
 }
 
-func (*turning) Origin() (address, site string, ok bool) { return "origin", "a", true }
+func (*changingView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (*turning) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (*changingView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
 
-func (v *turning) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v *changingView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]relays.Entry(nil), v.entries...), v.addresses
 }
 
-func (v *turning) remove(host filbertlever.HostID) {
+func (v *changingView) remove(host filbertlever.HostID) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var left []relays.Entry
@@ -91,7 +91,7 @@
 	v.entries = left
 }
 
-func (v *turning) start(t *testing.T, entry relays.Entry, origin Origin) *Relay {
+func (v *changingView) start(t *testing.T, entry relays.Entry, origin Origin) *Relay {
 	r := New(entry, v, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	mux := http.NewServeMux()
 	r.Routes(mux)
@@ -106,10 +106,10 @@
 // Callers wait for weights that the origin sends once more: the entry that had drawn them
 // stopped, and the one that follows it draws all of them, though entries of other sites
 // had them from the one before.
-func TestWhatAStoppedEntryDrewIsNotDrawnAgain(t *testing.T) {
+func TestPiecesOfStoppedEntryAreNotFetchedAgain(t *testing.T) {
 	c := qt.New(t)
-	origin := &manyPieces{drawn: map[int]int{}}
-	v := &turning{addresses: map[filbertlever.HostID]string{}, entries: []relays.Entry{{Host: "a1", Site: "a"}, {Host: "a2", Site: "a"}, {Host: "b1", Site: "b"}}}
+	origin := &countingOrigin{fetches: map[int]int{}}
+	v := &changingView{addresses: map[filbertlever.HostID]string{}, entries: []relays.Entry{{Host: "a1", Site: "a"}, {Host: "a2", Site: "a"}, {Host: "b1", Site: "b"}}}
 	running := map[filbertlever.HostID]*Relay{}
 	for _, entry := range v.entries {
 		running[entry.Host] = v.start(t, entry, origin)
@@ -140,18 +140,18 @@
 
 // Servers wait for weights though the origin has them: half of all entries lost power and
 // are still believed alive, and each was asked for each piece until its time was over.
-func TestEntriesThatDoNotAnswerPutOffNoDraw(t *testing.T) {
+func TestUnresponsivePeersDoNotDelayOriginFetch(t *testing.T) {
 	c := qt.New(t)
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = silent.Close() }()
-	v := &turning{addresses: map[filbertlever.HostID]string{}, entries: []relays.Entry{{Host: "a1", Site: "a"}}}
+	v := &changingView{addresses: map[filbertlever.HostID]string{}, entries: []relays.Entry{{Host: "a1", Site: "a"}}}
 	for _, site := range []string{"b", "c", "d", "e"} {
 		host := filbertlever.HostID(site + "1")
 		v.entries = append(v.entries, relays.Entry{Host: host, Site: site})
 		v.addresses[host] = silent.Addr().String()
 	}
-	origin := &manyPieces{drawn: map[int]int{}}
+	origin := &countingOrigin{fetches: map[int]int{}}
 	r := v.start(t, relays.Entry{Host: "a1", Site: "a"}, origin)
 	began := time.Now()
 	for piece := range handoverPieces {
@@ -160,5 +160,5 @@
 	}
 	c.Check(origin.total(), qt.Equals, handoverPieces)
 	// One of them is waited for, once.
-	c.Check(time.Since(began) < 3*keeperTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	c.Check(time.Since(began) < 3*peerCacheTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 }
--- a/internal/transport/relay/plan.go
+++ b/internal/transport/relay/plan.go
@@ -9,16 +9,20 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Plan is what operators want of a model.
+// Plan holds the versions of a model that operators request, and the settings by which
+// some of them may be skipped.
 type Plan struct {
+	// Config holds the times of a switchover to a new version.
 	Bounds switchover.Config
-	// Named are the versions wanted, the oldest first; of each only Version and Since are set.
+	// Versions lists the requested versions, oldest first. Only the fields Version and
+	// Since of each are set.
 	Named []switchover.Named
-	// OriginRate is the rate of the origin's link in bytes a second; 0 if unknown.
+	// OriginRate is the bandwidth of the origin's link in bytes per second, or 0 if
+	// unknown.
 	OriginRate float64
 }
 
-// SetPlan takes what operators want of a model from now on.
+// SetPlan replaces the plan of a model.
 func (r *Relay) SetPlan(model string, plan Plan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -26,89 +30,89 @@
 	r.revision++
 }
 
-// skipTTL is how long a decision to skip a version holds before it is made anew.
+// skipTTL is how long a decision to skip a version is valid.
 const skipTTL = 500 * time.Millisecond
 
-// isSkipped reports whether a newer version is fetched instead of one that was asked for.
-//
-// Guard: pieces that were asked for before a newer version was named were fetched before those of the
-// newer one.
-func (r *Relay) isSkipped(named catalog.NamedVersion) bool {
+// isSkipped reports whether a requested version is skipped in favour of a newer one. It
+// is checked again right before each fetch from the origin. Otherwise pieces that were
+// requested before operators requested the newer version would be fetched first.
+func (r *Relay) isSkipped(id catalog.NamedVersion) bool {
 	now := boottime.Now()
 	r.mu.Lock()
-	v := r.known(named)
-	if v == nil || !v.skipped || now-v.decidedAt < skipTTL {
+	v := r.lookupState(id)
+	if v == nil || !v.skipped || now-v.skipDecidedAt < skipTTL {
 		defer r.mu.Unlock()
 		return v != nil && v.skipped
 	}
 	r.mu.Unlock()
-	return r.decideSkip(named, now)
+	return r.decideSkip(id, now)
 }
 
-// decideSkip decides whether a version is skipped, and keeps the decision.
-func (r *Relay) decideSkip(named catalog.NamedVersion, now time.Duration) bool {
-	skipped := r.skips(named, now)
+// decideSkip decides whether a version is skipped, and records the decision.
+func (r *Relay) decideSkip(id catalog.NamedVersion, now time.Duration) bool {
+	skipped := r.shouldSkip(id, now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if v := r.known(named); v != nil {
-		v.skipped, v.decidedAt = skipped, now
+	if v := r.lookupState(id); v != nil {
+		v.skipped, v.skipDecidedAt = skipped, now
 	}
 	return skipped
 }
 
-// planRevision counts the plans that were set.
+// planRevision returns how many times a plan was set.
 func (r *Relay) planRevision() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.revision
 }
 
-// skips reports whether a version is not fetched since a newer one alone suffices.
-func (r *Relay) skips(v catalog.NamedVersion, now time.Duration) bool {
+// shouldSkip reports whether a version need not be fetched because a newer one suffices.
+func (r *Relay) shouldSkip(id catalog.NamedVersion, now time.Duration) bool {
 	r.mu.Lock()
-	plan := r.plans[v.Model]
+	plan := r.plans[id.Model]
 	r.mu.Unlock()
-	named := slices.Clone(plan.Named)
+	versions := slices.Clone(plan.Named)
 	each := time.Duration(0)
-	for i := range named {
-		n := &named[i]
-		other := catalog.NamedVersion{Model: v.Model, Version: n.Version}
-		manifest, ok := r.knownManifest(other)
+	for i := range versions {
+		n := &versions[i]
+		other := catalog.NamedVersion{Model: id.Model, Version: n.Version}
+		manifest, ok := r.cachedManifest(other)
 		if !ok {
 			continue
 		}
-		left, pace, ok := r.progress(other, &manifest)
+		remaining, pace, ok := r.progress(other, &manifest)
 		if ok {
-			n.Left, n.Pieces, n.Known = left, len(manifest.Digests), true
+			n.Left, n.Pieces, n.Known = remaining, len(manifest.Digests), true
 			each = max(each, pace)
 		}
 	}
-	return plan.Bounds.Skips(v.Version, named, now, each)
+	return plan.Bounds.Skips(id.Version, versions, now, each)
 }
 
-// progress estimates how many pieces of a set the entries miss and what each takes, from this entry's
-// own pieces: all entries miss about the same share. It returns false for an entry that has none.
-func (r *Relay) progress(named catalog.NamedVersion, manifest *Manifest) (left int, each time.Duration, ok bool) {
-	own := len(r.ownPieces(named, manifest))
+// progress estimates how many pieces of a version all entries lack and how long each one
+// takes. It extrapolates from this entry's own pieces, as all entries lack about the same
+// share. It returns false if this entry has no pieces of its own.
+func (r *Relay) progress(id catalog.NamedVersion, manifest *Manifest) (remaining int, each time.Duration, ok bool) {
+	own := len(r.ownPieces(id, manifest))
 	if own == 0 {
 		return 0, 0, false
 	}
-	all := len(manifest.Digests)
-	missing := len(r.piecesAhead(named, manifest))
+	total := len(manifest.Digests)
+	missing := len(r.missingPieces(id, manifest))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	pace := r.pace
-	pace.First = switchover.PieceTime(manifest.PieceBytes, r.plans[named.Model].OriginRate) * time.Duration(all) / time.Duration(own)
-	return missing * all / own, pace.Each() * time.Duration(own) / time.Duration(all), true
+	pace.First = switchover.PieceTime(manifest.PieceBytes, r.plans[id.Model].OriginRate) * time.Duration(total) / time.Duration(own)
+	return missing * total / own, pace.Each() * time.Duration(own) / time.Duration(total), true
 }
 
-// knownManifest returns the manifest of a version if it is here.
-func (r *Relay) knownManifest(named catalog.NamedVersion) (Manifest, bool) {
+// cachedManifest returns the manifest of a version if it was fetched.
+func (r *Relay) cachedManifest(id catalog.NamedVersion) (Manifest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if v := r.known(named); v != nil {
+	if v := r.lookupState(id); v != nil {
 		for _, f := range v.manifests {
-			if f.ended() && f.err == nil {
+			if f.completed() && f.err == nil {
 				return f.value, true
 			}
 		}
--- a/internal/transport/relay/ahead_test.go
+++ b/internal/transport/relay/prefetch_test.go
@@ -23,125 +23,125 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-const setPieces = 6
+const piecesPerVersion = 6
 
-// sets is an origin of whole sets, which notes the order of draws.
-type sets struct {
-	mu    sync.Mutex
-	down  bool
-	drawn []uint64
+// versionedOrigin is an origin of whole sets, which notes the order of draws.
+type versionedOrigin struct {
+	mu      sync.Mutex
+	down    bool
+	fetched []uint64
 }
 
-func (s *sets) piece(version uint64, piece int) []byte {
+func (s *versionedOrigin) piece(version uint64, piece int) []byte {
 	return []byte(fmt.Sprintf("piece %d of version %d", piece, version))
 }
 
-func (s *sets) Manifest(_ context.Context, _ string, named catalog.NamedVersion) (Manifest, error) {
+func (s *versionedOrigin) Manifest(_ context.Context, _ string, id catalog.NamedVersion) (Manifest, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return Manifest{}, errDown
 	}
-	manifest := Manifest{Model: named.Model, Version: named.Version}
-	for piece := range setPieces {
-		sum := sha256.Sum256(s.piece(named.Version, piece))
+	manifest := Manifest{Model: id.Model, Version: id.Version}
+	for piece := range piecesPerVersion {
+		sum := sha256.Sum256(s.piece(id.Version, piece))
 		manifest.Digests = append(manifest.Digests, hex.EncodeToString(sum[:]))
 	}
 	return manifest, nil
 }
 
-func (s *sets) Piece(_ context.Context, _ string, named catalog.NamedVersion, piece int) ([]byte, error) {
+func (s *versionedOrigin) Piece(_ context.Context, _ string, id catalog.NamedVersion, piece int) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return nil, errDown
 	}
-	s.drawn = append(s.drawn, named.Version)
-	if len(s.drawn) == 2 && named.Version == 2 {
+	s.fetched = append(s.fetched, id.Version)
+	if len(s.fetched) == 2 && id.Version == 2 {
 		// The origin goes away in the middle of the first set.
 		s.down = true
 	}
-	return s.piece(named.Version, piece), nil
+	return s.piece(id.Version, piece), nil
 }
 
-func (s *sets) setDown(down bool) {
+func (s *versionedOrigin) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-func (s *sets) draws() []uint64 {
+func (s *versionedOrigin) fetchedVersions() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]uint64(nil), s.drawn...)
+	return append([]uint64(nil), s.fetched...)
 }
 
 // No server answers: a version was half drawn when the origin went away, and
 // another was named meanwhile. Once it was back both shared its thin link, and the
 // first, nearly whole, took as long as the second. It is finished first, without
 // anyone asking again.
-func TestTheOldestVersionIsFinishedFirst(t *testing.T) {
+func TestOldestVersionIsPrefetchedFirst(t *testing.T) {
 	c := qt.New(t)
-	origin := &sets{}
-	r := New(relays.Entry{Host: "e1", Site: "a"}, alone{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	origin := &versionedOrigin{}
+	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	r.Prefetch(catalog.NamedVersion{Model: "drafter", Version: 2})
-	for len(origin.draws()) < 2 {
+	for len(origin.fetchedVersions()) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	r.Prefetch(catalog.NamedVersion{Model: "drafter", Version: 3})
 	time.Sleep(1200 * time.Millisecond)
 	origin.setDown(false)
-	for end := time.Now().Add(10 * time.Second); len(origin.draws()) < 2*setPieces && time.Now().Before(end); {
+	for end := time.Now().Add(10 * time.Second); len(origin.fetchedVersions()) < 2*piecesPerVersion && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	drawn := origin.draws()
-	c.Assert(drawn, qt.HasLen, 2*setPieces)
+	drawn := origin.fetchedVersions()
+	c.Assert(drawn, qt.HasLen, 2*piecesPerVersion)
 	for n, version := range drawn {
 		// Two of the second may be drawn between two tries of the first.
-		if n >= setPieces+aheadBeside {
+		if n >= piecesPerVersion+newerBatchSize {
 			c.Check(version, qt.Equals, uint64(3), qt.Commentf("draw %d of %v", n, drawn))
 		}
 	}
 }
 
-// gone is an origin that has dropped all versions before one.
-type gone struct {
-	sets
-	before uint64
+// removingOrigin is an origin that has dropped all versions before one.
+type removingOrigin struct {
+	versionedOrigin
+	oldest uint64
 }
 
-func (g *gone) Manifest(ctx context.Context, address string, named catalog.NamedVersion) (Manifest, error) {
-	if named.Version < g.before {
+func (g *removingOrigin) Manifest(ctx context.Context, address string, id catalog.NamedVersion) (Manifest, error) {
+	if id.Version < g.oldest {
 		return Manifest{}, fmt.Errorf("manifest: %w", ErrGone)
 	}
-	return g.sets.Manifest(ctx, address, named)
+	return g.versionedOrigin.Manifest(ctx, address, id)
 }
 
 // Versions follow each other quickly, and the origin drops one before it was drawn.
 // Waiting for it would keep every later version from all servers.
-func TestAVersionThatIsGoneKeepsNoOtherBack(t *testing.T) {
+func TestGoneVersionDoesNotBlockPrefetch(t *testing.T) {
 	c := qt.New(t)
-	origin := &gone{before: 3}
-	r := New(relays.Entry{Host: "e1", Site: "a"}, alone{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	origin := &removingOrigin{oldest: 3}
+	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	r.Prefetch(catalog.NamedVersion{Model: "drafter", Version: 1})
 	r.Prefetch(catalog.NamedVersion{Model: "drafter", Version: 3})
-	for end := time.Now().Add(5 * time.Second); len(origin.draws()) < setPieces && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); len(origin.fetchedVersions()) < piecesPerVersion && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	c.Assert(origin.draws(), qt.HasLen, setPieces)
-	c.Assert(r.wantedAhead(), qt.HasLen, 0)
+	c.Assert(origin.fetchedVersions(), qt.HasLen, piecesPerVersion)
+	c.Assert(r.prefetchQueue(), qt.HasLen, 0)
 }
 
 // The origin sent each piece several times over its thin link: while it was away,
 // every entry was taken for failed as it could not have the piece, and the next was
 // asked. The one that draws the piece is asked again, and draws it once.
-func TestAnEntryWhoseSourceFailedIsAskedAgain(t *testing.T) {
+func TestEntryWithUpstreamFailureIsRetried(t *testing.T) {
 	c := qt.New(t)
-	origin := &sets{}
+	origin := &versionedOrigin{}
 	addresses := map[filbertlever.HostID]string{}
 	ring := []*Relay{}
 	for _, host := range []filbertlever.HostID{"a1", "a2"} {
-		r := New(relays.Entry{Host: host, Site: "a"}, view{addresses: addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+		r := New(relays.Entry{Host: host, Site: "a"}, twoSiteView{addresses: addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 		mux := http.NewServeMux()
 		r.Routes(mux)
 		server := httptest.NewServer(mux)
@@ -149,53 +149,53 @@
 		addresses[host] = server.Listener.Addr().String()
 		ring = append(ring, r)
 	}
-	far := New(relays.Entry{Host: "b1", Site: "b"}, view{addresses: addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	named := catalog.NamedVersion{Model: "drafter", Version: 1}
-	_, err := far.Manifest(context.Background(), named, relays.RoleAny)
+	far := New(relays.Entry{Host: "b1", Site: "b"}, twoSiteView{addresses: addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	id := catalog.NamedVersion{Model: "drafter", Version: 1}
+	_, err := far.Manifest(context.Background(), id, relays.RoleAny)
 	c.Assert(err, qt.IsNil)
 	origin.setDown(true)
 	time.AfterFunc(time.Second, func() { origin.setDown(false) })
-	for piece := range setPieces {
-		data, err := far.Piece(context.Background(), named, piece, relays.RoleAny)
+	for piece := range piecesPerVersion {
+		data, err := far.Piece(context.Background(), id, piece, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(data), qt.Equals, string(origin.piece(1, piece)))
 	}
 	for _, r := range ring {
-		for r.ahead() {
+		for r.isPrefetching() {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	c.Assert(origin.draws(), qt.HasLen, setPieces)
+	c.Assert(origin.fetchedVersions(), qt.HasLen, piecesPerVersion)
 }
 
-// asked is an origin that notes which pieces were asked of it.
-type asked struct {
-	*sets
-	mu     sync.Mutex
-	pieces map[int]bool
+// recordingOrigin is an origin that notes which pieces were asked of it.
+type recordingOrigin struct {
+	*versionedOrigin
+	mu        sync.Mutex
+	requested map[int]bool
 }
 
-func (a *asked) Piece(ctx context.Context, address string, named catalog.NamedVersion, piece int) ([]byte, error) {
+func (a *recordingOrigin) Piece(ctx context.Context, address string, id catalog.NamedVersion, piece int) ([]byte, error) {
 	a.mu.Lock()
-	a.pieces[piece] = true
+	a.requested[piece] = true
 	a.mu.Unlock()
-	return a.sets.Piece(ctx, address, named, piece)
+	return a.versionedOrigin.Piece(ctx, address, id, piece)
 }
 
 // The origin was away for seconds. Entries that wait for pieces from the one that draws
 // them were told after half a second that it could not have them, and after three such
 // answers drew themselves; when the origin was back each piece left it several times
 // over its thin link. The one that draws tries on, is asked again, and alone draws.
-func TestALongOutageMakesNoOtherEntryDraw(t *testing.T) {
+func TestLongOriginOutageKeepsOneFetcherPerPiece(t *testing.T) {
 	c := qt.New(t)
-	origin := &sets{}
+	origin := &versionedOrigin{}
 	addresses := map[filbertlever.HostID]string{}
-	ring, origins := map[filbertlever.HostID]*Relay{}, map[filbertlever.HostID]*asked{}
+	ring, origins := map[filbertlever.HostID]*Relay{}, map[filbertlever.HostID]*recordingOrigin{}
 	var entries []relays.Entry
 	for _, host := range []filbertlever.HostID{"a1", "a2"} {
 		entries = append(entries, relays.Entry{Host: host, Site: "a"})
-		origins[host] = &asked{sets: origin, pieces: map[int]bool{}}
-		r := New(entries[len(entries)-1], view{addresses: addresses}, origins[host], &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+		origins[host] = &recordingOrigin{versionedOrigin: origin, requested: map[int]bool{}}
+		r := New(entries[len(entries)-1], twoSiteView{addresses: addresses}, origins[host], &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 		mux := http.NewServeMux()
 		r.Routes(mux)
 		server := httptest.NewServer(mux)
@@ -203,19 +203,19 @@
 		addresses[host] = server.Listener.Addr().String()
 		ring[host] = r
 	}
-	named := catalog.NamedVersion{Model: "drafter", Version: 1}
+	id := catalog.NamedVersion{Model: "drafter", Version: 1}
 	for _, r := range ring {
-		_, err := r.Manifest(context.Background(), named, relays.RoleAny)
+		_, err := r.Manifest(context.Background(), id, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 	}
 	origin.setDown(true)
 	time.AfterFunc(3300*time.Millisecond, func() { origin.setDown(false) })
 	var group sync.WaitGroup
 	for _, r := range ring {
-		for piece := range setPieces {
+		for piece := range piecesPerVersion {
 			group.Go(func() {
 				for end := time.Now().Add(8 * time.Second); time.Now().Before(end); {
-					if _, err := r.Piece(context.Background(), named, piece, relays.RoleAny); err == nil {
+					if _, err := r.Piece(context.Background(), id, piece, relays.RoleAny); err == nil {
 						return
 					}
 				}
@@ -223,49 +223,49 @@
 		}
 	}
 	group.Wait()
-	c.Assert(origin.draws(), qt.HasLen, setPieces)
-	for piece := range setPieces {
-		drawer := relays.Drawer(entries, "a", pieceKey(named, piece))
+	c.Assert(origin.fetchedVersions(), qt.HasLen, piecesPerVersion)
+	for piece := range piecesPerVersion {
+		drawer := relays.Drawer(entries, "a", pieceKey(id, piece))
 		for host, o := range origins {
-			c.Check(o.pieces[piece], qt.Equals, host == drawer, qt.Commentf("piece %d, which %s draws, at %s", piece, drawer, host))
+			c.Check(o.requested[piece], qt.Equals, host == drawer, qt.Commentf("piece %d, which %s draws, at %s", piece, drawer, host))
 		}
 	}
 }
 
-func (r *Relay) ahead() bool {
+func (r *Relay) isPrefetching() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.drawingAhead
+	return r.prefetchRunning
 }
 
 // The origin came back with two versions to draw, of which the older would have
 // been the only one to answer for half a second. Drawing it put off the newer one,
 // and so every answer, by 1.2 s.
-func TestAVersionThatIsHardlyOfUseIsNotDrawnAhead(t *testing.T) {
+func TestNearlyObsoleteVersionIsNotPrefetched(t *testing.T) {
 	c := qt.New(t)
-	origin := &sets{}
-	r := New(relays.Entry{Host: "e1", Site: "a"}, alone{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	origin := &versionedOrigin{}
+	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	for version := range uint64(2) {
-		named := catalog.NamedVersion{Model: "drafter", Version: version + 5}
+		id := catalog.NamedVersion{Model: "drafter", Version: version + 5}
 		if version == 0 {
-			r.Supersede(named, boottime.Now()+100*time.Millisecond)
+			r.Supersede(id, boottime.Now()+100*time.Millisecond)
 		}
-		r.Prefetch(named)
+		r.Prefetch(id)
 	}
-	for r.ahead() {
+	for r.isPrefetching() {
 		time.Sleep(time.Millisecond)
 	}
-	c.Assert(origin.draws(), qt.DeepEquals, []uint64{6, 6, 6, 6, 6, 6})
+	c.Assert(origin.fetchedVersions(), qt.DeepEquals, []uint64{6, 6, 6, 6, 6, 6})
 }
 
-// dying is a view in which the other site's entry dies after a while.
-type dying struct {
-	view
+// failingEntryView is a view in which the other site's entry dies after a while.
+type failingEntryView struct {
+	twoSiteView
 	dead *atomic.Bool
 }
 
-func (d dying) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
-	entries, addresses := d.view.Relays()
+func (d failingEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+	entries, addresses := d.twoSiteView.Relays()
 	if d.dead.Load() {
 		entries = slices.DeleteFunc(entries, func(e relays.Entry) bool { return e.Host == "a1" })
 	}
@@ -275,21 +275,21 @@
 // A host stands still with a piece on its way; its connections stay open, and
 // agents waited for as long as for one that is busy. Once it is known to be dead,
 // another entry is asked.
-func TestAPieceIsGivenUpWhenItsEntryDies(t *testing.T) {
+func TestFetchIsCanceledWhenEntryDies(t *testing.T) {
 	c := qt.New(t)
 	still := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer still.Close()
-	near := New(relays.Entry{Host: "a2", Site: "a"}, view{}, &sets{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	near := New(relays.Entry{Host: "a2", Site: "a"}, twoSiteView{}, &versionedOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	mux := http.NewServeMux()
 	near.Routes(mux)
 	alive := httptest.NewServer(mux)
 	defer alive.Close()
 	var dead atomic.Bool
-	v := dying{view{addresses: map[filbertlever.HostID]string{"a1": still.Listener.Addr().String(), "a2": alive.Listener.Addr().String()}}, &dead}
-	far := New(relays.Entry{Host: "b1", Site: "b"}, v, &sets{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	v := failingEntryView{twoSiteView{addresses: map[filbertlever.HostID]string{"a1": still.Listener.Addr().String(), "a2": alive.Listener.Addr().String()}}, &dead}
+	far := New(relays.Entry{Host: "b1", Site: "b"}, v, &versionedOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	time.AfterFunc(300*time.Millisecond, func() { dead.Store(true) })
 	began := time.Now()
-	for piece := range setPieces {
+	for piece := range piecesPerVersion {
 		_, err := far.Piece(context.Background(), catalog.NamedVersion{Model: "drafter", Version: 1}, piece, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 	}
--- a/internal/transport/relay/relay.go
+++ b/internal/transport/relay/relay.go
@@ -1,5 +1,10 @@
-// Package relay passes pieces of weights from the origin on to the agents of
-// its site. A piece is verified before it is kept or passed on.
+// Package relay fetches pieces of model weights for an entry, caches them, and
+// serves them to the agents of its site and to other entries. A piece is verified
+// before it is cached or served.
+//
+// One entry at the origin's site fetches a given piece from the origin: its origin
+// fetcher. One entry of every site is the home of the piece and gets it from the
+// origin fetcher. All other entries get it from the home in their own site.
 package relay
 
 import (
@@ -21,55 +26,59 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Origin draws from the origin of weights.
+// Origin fetches manifests and pieces from the origin of model weights.
 type Origin interface {
 	Manifest(ctx context.Context, address string, version catalog.NamedVersion) (Manifest, error)
 	Piece(ctx context.Context, address string, version catalog.NamedVersion, piece int) ([]byte, error)
 }
 
-// View tells a relay what it needs to know of the installation.
+// View gives a relay the current state of the installation.
 type View interface {
 	// Origin returns the address and site of the origin, if known.
 	Origin() (address, site string, ok bool)
 	// Relays returns the entries that are alive, with the peer address of each.
 	Relays() ([]relays.Entry, map[filbertlever.HostID]string)
-	// Holders returns the hosts of this site whose servers hold a version.
-	Holders(named catalog.NamedVersion) []relays.Holder
+	// Holders returns the hosts of this site whose backend servers hold a version.
+	Holders(id catalog.NamedVersion) []relays.Holder
 }
 
-// Bounds of a relay.
+// Limits, timeouts and retry settings of a relay.
 const (
-	// versionsKept bounds the versions in memory.
-	versionsKept = 3
-	// originParallel is how many pieces one of the few drawers draws at once: two
-	// keep the origin's thin link full also if only one is left. Each more puts off
-	// the first pieces, which all agents wait for, by the time of a piece, 26 to 44
-	// ms. All stay far below the 48 connections that the origin takes: those of
-	// entries that lost power count on for a while.
-	originParallel = 2
-	// fetchTries is how often a piece is tried before the caller is told, each
-	// time without the entries that failed before.
-	fetchTries = 6
-	fetchPause = 50 * time.Millisecond
-	// fetchPauseMost bounds the pauses between tries, so that an origin that is
-	// back is soon seen to be: all servers may wait for it.
-	fetchPauseMost = 100 * time.Millisecond
-	// peerTimeout bounds a fetch from another entry that lives, where a piece may wait
-	// for its turn behind two sets: who gives up asks another one, and the origin sends
-	// one more copy.
+	// maxVersions limits the number of versions in memory.
+	maxVersions = 3
+	// originConcurrency is how many pieces one entry fetches from the origin at
+	// once. Two fill the origin's slow link even if only one entry still fetches.
+	// Each additional one delays the first pieces, which all agents wait for, by the
+	// transfer time of one piece (26 to 44 ms). The total stays far below the 48
+	// connections that the origin accepts, because it still counts the connections
+	// of entries that lost power for a while.
+	originConcurrency = 2
+	// maxFetchAttempts is the number of attempts before a fetch returns an error.
+	// Each attempt excludes the entries that count as failed.
+	maxFetchAttempts = 6
+	retryBackoff     = 50 * time.Millisecond
+	// maxRetryBackoff limits the backoff between attempts, so that the recovery of
+	// the origin is noticed quickly. All servers may be waiting for it.
+	maxRetryBackoff = 100 * time.Millisecond
+	// peerTimeout limits a fetch from another entry that is alive. A piece may be
+	// queued there behind all pieces of two versions. After a timeout another entry
+	// is asked, and the origin sends an additional copy.
 	peerTimeout = 12 * time.Second
-	// livingEvery is how often it is looked whether that entry still lives.
-	livingEvery = 200 * time.Millisecond
-	// agentTimeout bounds a fetch by an agent, which then asks another entry, whose
-	// way leads to the same one.
+	// livenessInterval is the interval between checks that the entry is still alive
+	// during such a fetch.
+	livenessInterval = 200 * time.Millisecond
+	// agentTimeout limits a fetch by an agent. The agent then asks another entry,
+	// which gets the piece from the same origin fetcher.
 	agentTimeout = 3 * time.Second
-	// behindMost is how often an entry may say that it could not have a piece before
-	// another one is asked: the fault is then more likely its own.
-	behindMost = 3
-	pieceMost  = 64 << 20
+	// maxUpstreamFailures is how often an entry may report that its own source
+	// failed before another entry is asked. After that, the fault is more likely in
+	// the entry itself.
+	maxUpstreamFailures = 3
+	// maxPieceBytes limits the body of a response.
+	maxPieceBytes = 64 << 20
 )
 
-// Relay is the relay of one entry.
+// Relay fetches, caches and serves pieces of weights for one entry.
 type Relay struct {
 	self    relays.Entry
 	view    View
@@ -78,67 +87,72 @@
 	log     *zap.Logger
 	metrics *metrics
 
-	// draws has places for the draws from the origin that may be under way, and newer for
-	// those of a version that come after an older one; drawing guards both.
-	drawing      sync.Mutex
-	draws, newer *relays.Slots
+	// originSlots limits the concurrent fetches from the origin. newerSlots limits
+	// those of a version while an older version takes precedence. slotsMu guards both.
+	slotsMu                 sync.Mutex
+	originSlots, newerSlots *relays.Slots
 
-	// holding has room for the pieces that holders may be asked for at once.
-	holding chan struct{}
+	// holderLimit is a semaphore for concurrent piece fetches from holders.
+	holderLimit chan struct{}
 
 	mu       sync.Mutex
-	versions []*version
-	// drawingAhead is true while pieces are drawn ahead.
-	drawingAhead bool
-	// turnover notes when entries that may have drawn pieces were lost.
+	versions []*versionState
+	// prefetchRunning is true while runPrefetch runs.
+	prefetchRunning bool
+	// turnover records when entries that may have fetched pieces from the origin
+	// last disappeared.
 	turnover relays.Turnover
-	// keepersRestUntil is until when no entry is asked for what it may have.
-	keepersRestUntil time.Duration
-	// pace is what this entry's own pieces have taken.
+	// peerCacheRetryAt is when the caches of other entries may be queried again.
+	peerCacheRetryAt time.Duration
+	// pace estimates the time per piece from the pieces that this entry received.
 	pace switchover.Pace
-	// plans are what operators want of each model; revision counts their changes.
+	// plans holds the versions that operators request, by model. revision counts the
+	// changes to it.
 	plans    map[string]Plan
 	revision int
-	// byDigest finds pieces that versions share.
-	byDigest map[string][]byte
+	// piecesByDigest holds the cached pieces. Versions share pieces with the same
+	// digest.
+	piecesByDigest map[string][]byte
 }
 
-// version is one version of a model's weights.
-type version struct {
-	named catalog.NamedVersion
-	// manifests and pieces are by what this entry was asked as.
-	manifests map[relays.Role]*flight[Manifest]
-	pieces    map[wanted]*flight[[]byte]
-	// ahead is true while this entry's own pieces are to be drawn ahead, which is
-	// given up at aheadUntil; asked is true once that was wanted.
-	ahead      bool
-	asked      bool
-	aheadUntil time.Duration
-	// namedAt is when it was named, if this process heard of that; else 0.
-	namedAt time.Duration
-	// learnt is true once the manifest was wanted ahead.
-	learnt bool
-	// askedAt is when it was last asked for, and givenUpAt when it was last judged not
-	// worth drawing, 0 if never.
-	askedAt, givenUpAt time.Duration
-	// skipped is true while a newer version that suffices is fetched instead, as decided at
-	// decidedAt.
-	skipped   bool
-	decidedAt time.Duration
-	// origin is what the origin answered for it.
-	origin answers
-	// uselessAt is when another version will be the only one to answer; 0 if none.
-	uselessAt time.Duration
+// versionState is the state of one version of a model's weights.
+type versionState struct {
+	id catalog.NamedVersion
+	// manifests and pieces are the fetches that were started, by the role in which
+	// this entry was asked.
+	manifests map[relays.Role]*sharedFetch[Manifest]
+	pieces    map[pieceRequest]*sharedFetch[[]byte]
+	// prefetching is true while this entry's own pieces are to be prefetched, until
+	// prefetchDeadline. requested is true once a prefetch was requested.
+	prefetching      bool
+	requested        bool
+	prefetchDeadline time.Duration
+	// desiredAt is when this process was notified that operators request the version,
+	// or 0 if it was not.
+	desiredAt time.Duration
+	// manifestRequested is true once a prefetch of the manifest was requested.
+	manifestRequested bool
+	// lastRequestedAt is when the version was last requested. abandonedAt is when its
+	// prefetch was last abandoned as not worthwhile. Both are 0 if that never happened.
+	lastRequestedAt, abandonedAt time.Duration
+	// skipped is true while only a newer version is fetched because that one
+	// suffices. The decision was made at skipDecidedAt.
+	skipped       bool
+	skipDecidedAt time.Duration
+	// origin summarises the origin's responses for the version.
+	origin originStatus
+	// obsoleteAt is when only a newer version may answer requests, or 0 if unknown.
+	obsoleteAt time.Duration
 }
 
-// wanted is a piece, and what this entry was asked for it as.
-type wanted struct {
+// pieceRequest is a piece and the role in which this entry was asked for it.
+type pieceRequest struct {
 	piece int
 	role  relays.Role
 }
 
-// flight is a value being fetched once for all who want it.
-type flight[T any] struct {
+// sharedFetch is a fetch whose result is shared by all callers that wait for it.
+type sharedFetch[T any] struct {
 	done  chan struct{}
 	value T
 	err   error
@@ -149,7 +163,7 @@
 	corrupt prometheus.Counter
 }
 
-// New returns the relay of an entry.
+// New returns the Relay of the entry self.
 func New(self relays.Entry, view View, origin Origin, client *http.Client, log *zap.Logger, registry prometheus.Registerer) *Relay {
 	m := &metrics{
 		bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -163,134 +177,138 @@
 	}
 	registry.MustRegister(m.bytes, m.corrupt)
 	r := &Relay{self: self, view: view, origin: origin, client: client, log: log, metrics: m,
-		draws: relays.NewSlots(originParallel), newer: relays.NewSlots(newerParallel), holding: make(chan struct{}, holderLanes), byDigest: map[string][]byte{}, plans: map[string]Plan{}}
-	r.draws.Last, r.newer.Last = r.goesLast, r.goesLast
+		originSlots: relays.NewSlots(originConcurrency), newerSlots: relays.NewSlots(newerConcurrency), holderLimit: make(chan struct{}, holderConcurrency), piecesByDigest: map[string][]byte{}, plans: map[string]Plan{}}
+	r.originSlots.Last, r.newerSlots.Last = r.hasLowestPriority, r.hasLowestPriority
 	return r
 }
 
-// Paths of the calls between entries and agents.
+// Paths of the requests between entries and agents.
 const (
 	pathManifest = "/weights/manifest"
-	// PathPiece is where a piece is asked for, at an entry or at an agent.
+	// PathPiece is the path that serves a piece, at an entry and at an agent.
 	PathPiece = "/weights/piece"
 )
 
-// Piece returns a piece of a version, verified. Asked is as in Manifest.
-func (r *Relay) Piece(ctx context.Context, named catalog.NamedVersion, piece int, asked relays.Role) ([]byte, error) {
-	manifest, err := r.Manifest(ctx, named, asked)
+// Piece returns a verified piece of a version. The parameter assumed is the same as
+// for Manifest.
+func (r *Relay) Piece(ctx context.Context, id catalog.NamedVersion, piece int, assumed relays.Role) ([]byte, error) {
+	manifest, err := r.Manifest(ctx, id, assumed)
 	if err != nil {
 		return nil, err
 	}
-	role := max(asked, r.roleOf(named, piece))
+	role := max(assumed, r.roleOf(id, piece))
 	if piece < 0 || piece >= len(manifest.Digests) {
-		return nil, fmt.Errorf("piece %d of %s, which has %d: %w", piece, named.Model, len(manifest.Digests), errNoPiece)
+		return nil, fmt.Errorf("piece %d of %s, which has %d: %w", piece, id.Model, len(manifest.Digests), errNoPiece)
 	}
 	r.mu.Lock()
-	if data, ok := r.byDigest[manifest.Digests[piece]]; ok {
+	if data, ok := r.piecesByDigest[manifest.Digests[piece]]; ok {
 		r.mu.Unlock()
 		return data, nil
 	}
-	v := r.version(named)
-	w := wanted{piece: piece, role: role}
-	f := v.pieces[w]
+	v := r.ensureState(id)
+	request := pieceRequest{piece: piece, role: role}
+	f := v.pieces[request]
 	if f == nil || f.failed() {
-		f = &flight[[]byte]{done: make(chan struct{})}
-		v.pieces[w] = f
-		go r.runPiece(named, &manifest, w, f)
+		f = &sharedFetch[[]byte]{done: make(chan struct{})}
+		v.pieces[request] = f
+		go r.runPieceFetch(id, &manifest, request, f)
 	}
 	r.mu.Unlock()
 	return f.wait(ctx)
 }
 
-// runPiece draws one piece.
+// runPieceFetch fetches one piece, with retries.
 //
-// Guard: a piece may come corrupted from the origin or another entry; it is
-// checked against the manifest before it is kept, and drawn again if it fails.
-func (r *Relay) runPiece(named catalog.NamedVersion, manifest *Manifest, w wanted, f *flight[[]byte]) {
+// The origin or another entry may send a corrupt piece. Each piece is checked against
+// the manifest before it is cached, and fetched again if its digest differs.
+func (r *Relay) runPieceFetch(id catalog.NamedVersion, manifest *Manifest, request pieceRequest, f *sharedFetch[[]byte]) {
 	defer close(f.done)
-	piece := w.piece
+	piece := request.piece
 	failed := failures{}
-	began := boottime.Now()
-	place := &drawPlace{relay: r, named: named, began: began}
-	defer place.leave()
-	for try := 0; again(try, failed, began); try++ {
-		if data, ok := r.held(manifest.Digests[piece]); ok {
+	startedAt := boottime.Now()
+	slot := &originSlot{relay: r, id: id, startedAt: startedAt}
+	defer slot.release()
+	for attempt := 0; shouldRetry(attempt, failed, startedAt); attempt++ {
+		if data, ok := r.cachedPiece(manifest.Digests[piece]); ok {
 			f.value, f.err = data, nil
 			return
 		}
-		if w.role >= relays.RoleHome && try%holderTurn == 0 {
-			if data, ok := r.fromHolders(named, piece, manifest, place); ok {
-				r.keep(manifest.Digests[piece], data)
+		if request.role >= relays.RoleHome && attempt%holderRetryAttempts == 0 {
+			if data, ok := r.fetchFromHolders(id, piece, manifest, slot); ok {
+				r.storePiece(manifest.Digests[piece], data)
 				f.value, f.err = data, nil
 				return
 			}
 		}
-		source, address, ask := r.source(named, piece, w.role, failed)
-		if source == originName && try%holderTurn == 0 {
-			if data, ok := r.fromKeepers(named, piece, manifest, place); ok {
-				r.keep(manifest.Digests[piece], data)
+		source, address, sourceRole := r.pickSource(id, piece, request.role, failed)
+		if source == originName && attempt%holderRetryAttempts == 0 {
+			if data, ok := r.fetchFromPeerCaches(id, piece, manifest, slot); ok {
+				r.storePiece(manifest.Digests[piece], data)
 				f.value, f.err = data, nil
 				return
 			}
 		}
-		data, err := r.draw(named, piece, source, address, ask, place)
+		data, err := r.fetchPieceFrom(id, piece, source, address, sourceRole, slot)
 		if err == nil && !manifest.Verify(piece, data) {
 			r.metrics.corrupt.Inc()
-			err = fmt.Errorf("piece %d of %s version %d from %s: digest differs", piece, named.Model, named.Version, source)
+			err = fmt.Errorf("piece %d of %s version %d from %s: digest differs", piece, id.Model, id.Version, source)
 		}
-		place.tried(err)
+		slot.attemptDone(err)
 		if err == nil {
-			r.metrics.bytes.WithLabelValues(kindOf(source)).Add(float64(len(data)))
-			r.keep(manifest.Digests[piece], data)
+			r.metrics.bytes.WithLabelValues(sourceLabel(source)).Add(float64(len(data)))
+			r.storePiece(manifest.Digests[piece], data)
 			f.value, f.err = data, nil
 			return
 		}
 		f.err = err
-		r.log.Warn("piece not drawn", zap.String("Model", named.Model), zap.Uint64("Version", named.Version),
+		r.log.Warn("piece fetch failed", zap.String("Model", id.Model), zap.Uint64("Version", id.Version),
 			zap.Int("Piece", piece), zap.String("Source", source), zap.Error(err))
 		if errors.Is(err, ErrGone) || errors.Is(err, errSkipped) {
 			return
 		}
-		failed.note(source, err)
-		time.Sleep(min(fetchPause<<try, fetchPauseMost))
+		failed.record(source, err)
+		time.Sleep(min(retryBackoff<<attempt, maxRetryBackoff))
 	}
 }
 
-func kindOf(source string) string {
+// sourceLabel returns the metric label for the source of a piece.
+// sourceLabel returns the metric label for the source of a piece.
+func sourceLabel(source string) string {
 	if source == originName {
 		return originName
 	}
 	return "Entry"
 }
 
-func (r *Relay) draw(named catalog.NamedVersion, piece int, source, address string, ask relays.Role, place *drawPlace) ([]byte, error) {
+// fetchPieceFrom fetches a piece from one source without verifying it.
+func (r *Relay) fetchPieceFrom(id catalog.NamedVersion, piece int, source, address string, sourceRole relays.Role, slot *originSlot) ([]byte, error) {
 	if address == "" {
-		return nil, fmt.Errorf("piece %d of %s: %w", piece, named.Model, errNoSource)
+		return nil, fmt.Errorf("piece %d of %s: %w", piece, id.Model, errNoSource)
 	}
 	if source != originName {
-		place.leave()
-		ctx, cancel := r.whileLiving(filbertlever.HostID(source))
+		slot.release()
+		ctx, cancel := r.contextWhileAlive(filbertlever.HostID(source))
 		defer cancel()
-		return fetchPiece(ctx, r.client, address, named, piece, ask)
+		return fetchPiece(ctx, r.client, address, id, piece, sourceRole)
 	}
-	return r.originPiece(address, named, piece, place)
+	return r.fetchOriginPiece(address, id, piece, slot)
 }
 
-// originName is how the origin is called in logs.
+// originName identifies the origin in logs and metrics.
 const originName = "Origin"
 
-// source returns from where a piece is drawn, without the entries that failed,
-// and what that one is asked as.
+// pickSource returns the source from which to fetch a piece, and the role in which to
+// ask it. It excludes entries that failed.
 //
-// Guard: if every entry that fails to get a piece from another went to the
-// origin, an outage would end with all of them there, over its bound of
-// connections, and none would get a piece; only a piece's drawer goes there.
-func (r *Relay) source(named catalog.NamedVersion, piece int, role relays.Role, failed failures) (name, address string, ask relays.Role) {
+// Only the origin fetcher of a piece connects to the origin. If every entry that fails
+// to get a piece from another entry did so, all of them would connect to the origin
+// after an outage, exceed its connection limit, and none would get a piece.
+func (r *Relay) pickSource(id catalog.NamedVersion, piece int, role relays.Role, failed failures) (name, address string, sourceRole relays.Role) {
 	originAddress, originSite, ok := r.view.Origin()
 	entries, addresses := r.view.Relays()
-	entries = slices.DeleteFunc(entries, func(e relays.Entry) bool { return e.Host != r.self.Host && failed[e.Host] >= behindMost })
-	if host, ask := relays.Source(r.self, entries, originSite, pieceKey(named, piece), role); host != "" {
-		return string(host), addresses[host], ask
+	entries = slices.DeleteFunc(entries, func(e relays.Entry) bool { return e.Host != r.self.Host && failed[e.Host] >= maxUpstreamFailures })
+	if host, sourceRole := relays.Source(r.self, entries, originSite, pieceKey(id, piece), role); host != "" {
+		return string(host), addresses[host], sourceRole
 	}
 	if !ok {
 		return originName, "", relays.RoleDrawer
@@ -298,54 +316,62 @@
 	return originName, originAddress, relays.RoleDrawer
 }
 
-func pieceKey(named catalog.NamedVersion, piece int) string {
-	return fmt.Sprintf("%s/%d/%d", named.Model, named.Version, piece)
+// pieceKey returns the key that assigns a piece to entries by rendezvous hashing.
+// pieceKey returns the key that assigns a piece to entries by rendezvous hashing.
+func pieceKey(id catalog.NamedVersion, piece int) string {
+	return fmt.Sprintf("%s/%d/%d", id.Model, id.Version, piece)
 }
 
-// roleOf returns the role that this entry has for a piece whoever asks, so that
-// it makes no difference who does.
-func (r *Relay) roleOf(named catalog.NamedVersion, piece int) relays.Role {
+// roleOf returns the role that this entry has for a piece in its own view, so that
+// it does not depend on the requester.
+func (r *Relay) roleOf(id catalog.NamedVersion, piece int) relays.Role {
 	_, originSite, _ := r.view.Origin()
 	entries, _ := r.view.Relays()
-	return relays.RoleOf(r.self, entries, originSite, pieceKey(named, piece))
+	return relays.RoleOf(r.self, entries, originSite, pieceKey(id, piece))
 }
 
-func (r *Relay) held(digest string) ([]byte, bool) {
+// cachedPiece returns the cached piece with a digest.
+// cachedPiece returns the cached piece with a digest.
+func (r *Relay) cachedPiece(digest string) ([]byte, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	data, ok := r.byDigest[digest]
+	data, ok := r.piecesByDigest[digest]
 	return data, ok
 }
 
-func (r *Relay) keep(digest string, data []byte) {
+// storePiece caches a verified piece.
+// storePiece caches a verified piece.
+func (r *Relay) storePiece(digest string, data []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.byDigest[digest] = data
+	r.piecesByDigest[digest] = data
 	r.pace.Came(boottime.Now())
 }
 
-// version returns the record of a version; the caller holds the lock.
-func (r *Relay) version(named catalog.NamedVersion) *version {
+// ensureState returns the state of a version and creates it if necessary. Beyond
+// maxVersions it evicts the version that was added first. The caller must hold r.mu.
+func (r *Relay) ensureState(id catalog.NamedVersion) *versionState {
 	for _, v := range r.versions {
-		if v.named == named {
+		if v.id == id {
 			return v
 		}
 	}
-	v := &version{named: named, manifests: map[relays.Role]*flight[Manifest]{}, pieces: map[wanted]*flight[[]byte]{}}
+	v := &versionState{id: id, manifests: map[relays.Role]*sharedFetch[Manifest]{}, pieces: map[pieceRequest]*sharedFetch[[]byte]{}}
 	r.versions = append(r.versions, v)
-	if len(r.versions) > versionsKept {
+	if len(r.versions) > maxVersions {
 		r.versions = r.versions[1:]
-		r.forget()
+		r.evictPieces()
 	}
 	return v
 }
 
-// forget drops the pieces that no kept version lists; the caller holds the lock.
-func (r *Relay) forget() {
+// evictPieces removes the cached pieces that no remaining version lists. The caller
+// must hold r.mu.
+func (r *Relay) evictPieces() {
 	listed := map[string]bool{}
 	for _, v := range r.versions {
 		for _, manifest := range v.manifests {
-			if !manifest.ended() {
+			if !manifest.completed() {
 				continue
 			}
 			for _, digest := range manifest.value.Digests {
@@ -353,14 +379,16 @@
 			}
 		}
 	}
-	for digest := range r.byDigest {
+	for digest := range r.piecesByDigest {
 		if !listed[digest] {
-			delete(r.byDigest, digest)
+			delete(r.piecesByDigest, digest)
 		}
 	}
 }
 
-func (f *flight[T]) ended() bool {
+// completed reports whether the fetch has ended, with or without an error.
+// completed reports whether the fetch has ended, with or without an error.
+func (f *sharedFetch[T]) completed() bool {
 	select {
 	case <-f.done:
 		return true
@@ -369,9 +397,13 @@
 	}
 }
 
-func (f *flight[T]) failed() bool { return f.ended() && f.err != nil }
+// failed reports whether the fetch has ended with an error.
+// failed reports whether the fetch has ended with an error.
+func (f *sharedFetch[T]) failed() bool { return f.completed() && f.err != nil }
 
-func (f *flight[T]) wait(ctx context.Context) (T, error) {
+// wait returns the result of the fetch, or the error of ctx if that ends first.
+// wait returns the result of the fetch, or the error of ctx if that ends first.
+func (f *sharedFetch[T]) wait(ctx context.Context) (T, error) {
 	select {
 	case <-f.done:
 		return f.value, f.err
--- a/internal/transport/relay/relay_test.go
+++ b/internal/transport/relay/relay_test.go
@@ -22,17 +22,17 @@
 
 var drafter = catalog.NamedVersion{Model: "drafter", Version: 1}
 
-// source is an origin of one piece.
-type source struct {
-	data   []byte
-	spoilt atomic.Int32
-	down   atomic.Bool
-	drawn  atomic.Int32
+// singlePieceOrigin is an origin of one piece.
+type singlePieceOrigin struct {
+	data    []byte
+	corrupt atomic.Int32
+	down    atomic.Bool
+	fetches atomic.Int32
 }
 
 var errDown = errors.New("origin is down")
 
-func (s *source) Manifest(context.Context, string, catalog.NamedVersion) (Manifest, error) {
+func (s *singlePieceOrigin) Manifest(context.Context, string, catalog.NamedVersion) (Manifest, error) {
 	if s.down.Load() {
 		return Manifest{}, errDown
 	}
@@ -40,37 +40,37 @@
 	return Manifest{Model: drafter.Model, Version: drafter.Version, Digests: []string{hex.EncodeToString(sum[:])}}, nil
 }
 
-func (s *source) Piece(context.Context, string, catalog.NamedVersion, int) ([]byte, error) {
+func (s *singlePieceOrigin) Piece(context.Context, string, catalog.NamedVersion, int) ([]byte, error) {
 	if s.down.Load() {
 		return nil, errDown
 	}
-	s.drawn.Add(1)
-	if s.spoilt.Add(-1) >= 0 {
+	s.fetches.Add(1)
+	if s.corrupt.Add(-1) >= 0 {
 		return []byte("spoilt"), nil
 	}
 	return s.data, nil
 }
 
-// alone is an installation of one entry.
-type alone struct{}
+// singleEntryView is an installation of one entry.
+type singleEntryView struct{}
 
-func (alone) Origin() (address, site string, ok bool) { return "origin", "a", true }
+func (singleEntryView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (alone) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (singleEntryView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
 
-func (alone) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (singleEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: "e1", Site: "a"}}, map[filbertlever.HostID]string{"e1": "127.0.0.1:1"}
 }
 
 func newRelay(origin Origin) *Relay {
-	return New(relays.Entry{Host: "e1", Site: "a"}, alone{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	return New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 }
 
 // Many agents ask for one piece at the same moment; the origin's thin link must
 // carry it once.
-func TestAPieceIsDrawnOnceForAll(t *testing.T) {
+func TestConcurrentRequestsFetchPieceOnce(t *testing.T) {
 	c := qt.New(t)
-	origin := &source{data: []byte("weights")}
+	origin := &singlePieceOrigin{data: []byte("weights")}
 	r := newRelay(origin)
 	results := make(chan error, 20)
 	for n := range 20 {
@@ -83,14 +83,14 @@
 	for range 20 {
 		c.Assert(<-results, qt.IsNil)
 	}
-	c.Assert(origin.drawn.Load(), qt.Equals, int32(1))
+	c.Assert(origin.fetches.Load(), qt.Equals, int32(1))
 }
 
 // The origin sends a spoilt piece: it is drawn again and never passed on.
-func TestASpoiltPieceIsDrawnAgain(t *testing.T) {
+func TestCorruptPieceIsFetchedAgain(t *testing.T) {
 	c := qt.New(t)
-	origin := &source{data: []byte("weights")}
-	origin.spoilt.Store(1)
+	origin := &singlePieceOrigin{data: []byte("weights")}
+	origin.corrupt.Store(1)
 	data, err := newRelay(origin).Piece(context.Background(), drafter, 0, relays.RoleAny)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(data), qt.Equals, "weights")
@@ -98,9 +98,9 @@
 
 // The origin is down for longer than a fetch tries. The next one that asks must
 // not be told of the old failure.
-func TestAFailureIsNotRemembered(t *testing.T) {
+func TestFailedFetchIsNotCached(t *testing.T) {
 	c := qt.New(t)
-	origin := &source{data: []byte("weights")}
+	origin := &singlePieceOrigin{data: []byte("weights")}
 	origin.down.Store(true)
 	r := newRelay(origin)
 	_, err := r.Piece(context.Background(), drafter, 0, relays.RoleAny)
@@ -111,10 +111,10 @@
 }
 
 // A piece that the version does not have, and bad queries.
-func TestBadRequests(t *testing.T) {
+func TestPieceRequestStatusCodes(t *testing.T) {
 	c := qt.New(t)
 	mux := http.NewServeMux()
-	newRelay(&source{data: []byte("weights")}).Routes(mux)
+	newRelay(&singlePieceOrigin{data: []byte("weights")}).Routes(mux)
 	for query, want := range map[string]int{
 		"?Model=drafter&Version=1&Piece=0": http.StatusOK,
 		"?Model=drafter&Version=1&Piece=9": http.StatusServiceUnavailable,
@@ -129,7 +129,7 @@
 
 // One piece of 32 KiB that is held, from an entry to an agent.
 func BenchmarkServePiece(b *testing.B) {
-	r := newRelay(&source{data: make([]byte, 32<<10)})
+	r := newRelay(&singlePieceOrigin{data: make([]byte, 32<<10)})
 	mux := http.NewServeMux()
 	r.Routes(mux)
 	server := httptest.NewServer(mux)
@@ -143,34 +143,34 @@
 	}
 }
 
-// view is an installation of several entries, this one of another site than the
+// twoSiteView is an installation of several entries, this one of another site than the
 // origin's.
-type view struct {
+type twoSiteView struct {
 	addresses map[filbertlever.HostID]string
 }
 
-func (view) Origin() (address, site string, ok bool) { return "origin", "a", true }
+func (twoSiteView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (view) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (twoSiteView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
 
-func (v view) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v twoSiteView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: "a1", Site: "a"}, {Host: "a2", Site: "a"}, {Host: "b1", Site: "b"}}, v.addresses
 }
 
 // No server gets its weights back after a loss of power. The origin takes few
 // connections; an entry whose way to one other failed asked it directly, as did
 // all, and nobody got through. The next entry at the origin's site is asked.
-func TestAFailedEntryIsReplacedByAnotherAndNotByTheOrigin(t *testing.T) {
+func TestFailedEntryIsReplacedByAnotherEntry(t *testing.T) {
 	c := qt.New(t)
-	near := newRelay(&source{data: []byte("weights")})
+	near := newRelay(&singlePieceOrigin{data: []byte("weights")})
 	mux := http.NewServeMux()
 	near.Routes(mux)
 	alive := httptest.NewServer(mux)
 	defer alive.Close()
 	for _, dead := range []filbertlever.HostID{"a1", "a2"} {
-		v := view{addresses: map[filbertlever.HostID]string{"a1": alive.Listener.Addr().String(), "a2": alive.Listener.Addr().String()}}
+		v := twoSiteView{addresses: map[filbertlever.HostID]string{"a1": alive.Listener.Addr().String(), "a2": alive.Listener.Addr().String()}}
 		v.addresses[dead] = "127.0.0.1:1"
-		origin := &source{data: []byte("weights")}
+		origin := &singlePieceOrigin{data: []byte("weights")}
 		origin.down.Store(true)
 		r := New(relays.Entry{Host: "b1", Site: "b"}, v, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 		data, err := r.Piece(context.Background(), drafter, 0, relays.RoleAny)
@@ -181,12 +181,12 @@
 
 // Two entries of one site, which do not see each other alike: each takes the
 // other for the home of a piece. An agent waited until both gave up.
-func TestEntriesWithDifferentViewsDoNotWaitForEachOther(t *testing.T) {
+func TestEntriesWithDifferentViewsDoNotDeadlock(t *testing.T) {
 	c := qt.New(t)
-	origin := &source{data: []byte("weights")}
+	origin := &singlePieceOrigin{data: []byte("weights")}
 	addresses := map[filbertlever.HostID]string{}
-	one := New(relays.Entry{Host: "e1", Site: "a"}, onlyOther{"e2", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	two := New(relays.Entry{Host: "e2", Site: "a"}, onlyOther{"e1", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	one := New(relays.Entry{Host: "e1", Site: "a"}, otherEntryView{"e2", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	two := New(relays.Entry{Host: "e2", Site: "a"}, otherEntryView{"e1", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	for host, r := range map[filbertlever.HostID]*Relay{"e1": one, "e2": two} {
 		mux := http.NewServeMux()
 		r.Routes(mux)
@@ -202,16 +202,16 @@
 	c.Assert(time.Since(began) < time.Second, qt.IsTrue)
 }
 
-// onlyOther is a view in which only the other entry lives.
-type onlyOther struct {
+// otherEntryView is a view in which only the other entry lives.
+type otherEntryView struct {
 	other     filbertlever.HostID
 	addresses map[filbertlever.HostID]string
 }
 
-func (onlyOther) Origin() (address, site string, ok bool) { return "origin", "a", true }
+func (otherEntryView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (onlyOther) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (otherEntryView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
 
-func (v onlyOther) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v otherEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: v.other, Site: "a"}}, v.addresses
 }
--- a/internal/transport/relay/serve.go
+++ b/internal/transport/relay/serve.go
@@ -12,13 +12,13 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/relays"
 )
 
-// Routes adds the calls that agents and other entries make.
+// Routes registers the handlers for requests of agents and other entries.
 func (r *Relay) Routes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+pathManifest, r.serveManifest)
 	mux.HandleFunc("GET "+PathPiece, r.servePiece)
 }
 
-// Query decodes which piece of which version is asked for.
+// ParseQuery returns the version and the piece that a request specifies.
 func Query(req *http.Request) (catalog.NamedVersion, int, error) {
 	values := req.URL.Query()
 	number, err := strconv.ParseUint(values.Get("Version"), 10, 64)
@@ -34,22 +34,22 @@
 	return catalog.NamedVersion{Model: values.Get("Model"), Version: number}, piece, nil
 }
 
-// askedAs is what the one who asks takes this entry for.
-func askedAs(req *http.Request) relays.Role {
-	// An agent does not say.
+// requestedRole returns the role that the requester assumes this entry has.
+func requestedRole(req *http.Request) relays.Role {
+	// An agent does not send this parameter.
 	role, _ := strconv.Atoi(req.URL.Query().Get("As"))
 	return min(max(relays.Role(role), relays.RoleAny), relays.RoleDrawer)
 }
 
 func (r *Relay) serveManifest(w http.ResponseWriter, req *http.Request) {
-	named, _, err := Query(req)
+	id, _, err := Query(req)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	manifest, err := r.Manifest(req.Context(), named, askedAs(req))
+	manifest, err := r.Manifest(req.Context(), id, requestedRole(req))
 	if err != nil {
-		http.Error(w, err.Error(), statusOf(err))
+		http.Error(w, err.Error(), statusCode(err))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -57,31 +57,32 @@
 }
 
 func (r *Relay) servePiece(w http.ResponseWriter, req *http.Request) {
-	named, piece, err := Query(req)
+	id, piece, err := Query(req)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if req.URL.Query().Get(paramHeld) != "" {
-		r.serveHeld(w, named, piece)
+	if req.URL.Query().Get(cachedOnlyParam) != "" {
+		r.serveCached(w, id, piece)
 		return
 	}
-	r.Prefetch(named)
-	data, err := r.Piece(req.Context(), named, piece, askedAs(req))
+	r.Prefetch(id)
+	data, err := r.Piece(req.Context(), id, piece, requestedRole(req))
 	if err != nil {
-		http.Error(w, err.Error(), statusOf(err))
+		http.Error(w, err.Error(), statusCode(err))
 		return
 	}
 	if req.URL.Query().Get("Await") != "" {
-		// An agent that waited for several pieces now moves them one by one.
+		// The agent waits for several pieces and then transfers them one by one.
 		data = nil
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	_, _ = w.Write(data)
 }
 
-// statusOf tells those who ask whether to ask again.
-func statusOf(err error) int {
+// statusCode returns the status for an error, from which the requester decides
+// whether to retry.
+func statusCode(err error) int {
 	switch {
 	case errors.Is(err, ErrGone):
 		return http.StatusGone
