--- a/internal/transport/relay/holders_test.go
+++ b/internal/transport/relay/holders_test.go
@@ -23,33 +23,33 @@
 	holders []relays.Holder
 }
 
-func (h holdersView) Holders(catalog.NamedVersion) []relays.Holder { return h.holders }
+func (v holdersView) Holders(catalog.NamedVersion) []relays.Holder { return v.holders }
 
-// startHolder gives out one piece, as an agent does.
+// startHolder starts a server that serves one piece, as an agent does.
 func startHolder(t *testing.T, backend, data string) relays.Holder {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(data)) }))
 	t.Cleanup(server.Close)
 	return relays.Holder{Backend: backend, Address: strings.TrimPrefix(server.URL, "http://")}
 }
 
-// Servers are added while the origin of weights is away. They waited for it, though all
-// others held the version. Its pieces come from those; one that is spoilt, or of another
-// version by now, is not taken.
+// Servers that were added while the origin was unreachable waited for it although all other
+// servers held the version. Pieces must come from those, except corrupt pieces and pieces
+// of another version.
 func TestPiecesAreFetchedFromHolders(t *testing.T) {
 	c := qt.New(t)
-	spoilt, sound := startHolder(t, "i-1", "of another version"), startHolder(t, "i-2", "weights")
+	corrupt, intact := startHolder(t, "i-1", "of another version"), startHolder(t, "i-2", "weights")
 	for _, test := range []struct {
 		holders []relays.Holder
 		want    bool
 	}{
-		{[]relays.Holder{sound}, true},
-		{[]relays.Holder{spoilt, sound}, true},
-		{[]relays.Holder{spoilt}, false},
+		{[]relays.Holder{intact}, true},
+		{[]relays.Holder{corrupt, intact}, true},
+		{[]relays.Holder{corrupt}, false},
 		{nil, false},
 	} {
 		origin := &singlePieceOrigin{data: []byte("weights")}
 		r := New(relays.Entry{Host: "e1", Site: "a"}, holdersView{holders: test.holders}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-		// The manifest was learnt when the servers were listed.
+		// The manifest was prefetched when the servers were listed.
 		_, err := r.Manifest(context.Background(), drafter, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 		origin.down.Store(true)
@@ -62,7 +62,8 @@
 	}
 }
 
-// A manifest is small and is had before anyone asks, by one entry of each site.
+// Guards against a missing manifest while the origin is down. One entry of each site
+// prefetches it.
 func TestManifestIsPrefetched(t *testing.T) {
 	c := qt.New(t)
 	origin := &singlePieceOrigin{data: []byte("weights")}
@@ -77,31 +78,31 @@
 	c.Assert(origin.fetches.Load(), qt.Equals, int32(0))
 }
 
-// unresponsiveEntryView is a view of two entries of the origin's site, of which the one that draws
-// stands still.
+// unresponsiveEntryView is a view of two entries, of which the one at the origin's site,
+// the origin fetcher, is unresponsive.
 type unresponsiveEntryView struct {
 	twoSiteView
 	self, unresponsive filbertlever.HostID
 }
 
-func (d unresponsiveEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
-	return []relays.Entry{{Host: d.self, Site: "b"}, {Host: d.unresponsive, Site: "a"}}, d.addresses
+func (v unresponsiveEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+	return []relays.Entry{{Host: v.self, Site: "b"}, {Host: v.unresponsive, Site: "a"}}, v.addresses
 }
 
-// All have lost power, and the pieces of the version lie beside every server. Agents need
-// only the list of pieces; the entry that should have it has not started again and does
-// not even refuse a connection. The origin is asked for it a moment later.
+// After a power failure, servers have all pieces staged and agents need only the manifest.
+// The entry that should have it has not restarted and does not even refuse a connection.
+// The origin must be asked after a short timeout.
 func TestManifestFetchSkipsUnresponsiveEntry(t *testing.T) {
 	c := qt.New(t)
-	still := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
-	defer still.Close()
-	defer still.CloseClientConnections()
-	address := strings.TrimPrefix(still.URL, "http://")
+	hanging := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
+	defer hanging.Close()
+	defer hanging.CloseClientConnections()
+	address := strings.TrimPrefix(hanging.URL, "http://")
 	v := unresponsiveEntryView{twoSiteView{addresses: map[filbertlever.HostID]string{"a1": address}}, "b1", "a1"}
 	r := New(relays.Entry{Host: "b1", Site: "b"}, v, &singlePieceOrigin{data: []byte("weights")}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	began := time.Now()
+	start := time.Now()
 	manifest, err := r.Manifest(context.Background(), drafter, relays.RoleAny)
 	c.Assert(err, qt.IsNil)
 	c.Assert(manifest.Digests, qt.HasLen, 1)
-	c.Assert(time.Since(began) < 3*manifestTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	c.Assert(time.Since(start) < 3*manifestTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(start)))
 }
--- a/internal/transport/relay/originslot_test.go
+++ b/internal/transport/relay/originslot_test.go
@@ -20,14 +20,14 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/relays"
 )
 
-// sharedLinkOrigin is an origin whose link all draws share, and which may be away.
+// sharedLinkOrigin is an origin whose link all fetches share, and which may be down.
 type sharedLinkOrigin struct {
-	// link is held for a part of a piece at a time.
+	// link is locked for a slice of a piece at a time.
 	link sync.Mutex
 
 	mu   sync.Mutex
 	down bool
-	// started are the versions of the pieces in the order in which their draws began.
+	// started lists the versions of the pieces in the order in which their fetches began.
 	started []uint64
 }
 
@@ -65,33 +65,34 @@
 	return o.piece(id.Version, piece), nil
 }
 
-func (o *sharedLinkOrigin) setDown(away bool) {
+func (o *sharedLinkOrigin) setDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.down = away
+	o.down = down
 }
 
-// entriesView are the entries that draw from the origin; no server holds the versions.
+// entriesView is a view of the entries that fetch from the origin. No server holds the
+// versions.
 type entriesView struct{ entries []relays.Entry }
 
 func (entriesView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
 func (entriesView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
 
-func (d entriesView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
-	return d.entries, map[filbertlever.HostID]string{}
+func (v entriesView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+	return v.entries, map[filbertlever.HostID]string{}
 }
 
 const (
 	sharedLinkPieces = 120
-	// olderMissing is how many pieces of the older version are missing, all of one drawer.
+	// olderMissing is how many pieces of the older version are missing. One entry is the
+	// origin fetcher of all of them.
 	olderMissing = 12
 )
 
-// No server answered for 0.9 s more than the origin's link bound them: when it came back,
-// some pieces of a version were missing, 0.35 s of the link, and all of the next one. Its four
-// drawers drew pieces of the newer one between two tries of the older one's, and those that
-// had no more of the older one took most of the link; the eight took 1.3 s.
+// After an outage, 0.35 s worth of pieces of the older version were missing. They took 1.3 s,
+// because the four entries fetched pieces of the newer version between attempts of the older
+// one, and entries without pieces of the older one took most of the origin's link.
 func TestOlderVersionTakesPrecedenceAcrossEntries(t *testing.T) {
 	c := qt.New(t)
 	origin := &sharedLinkOrigin{down: true}
@@ -113,18 +114,18 @@
 		r.mu.Unlock()
 	}
 	var group, olderDone sync.WaitGroup
-	ask := func(id catalog.NamedVersion, piece int) {
+	request := func(id catalog.NamedVersion, piece int) {
 		r := byHost[relays.Drawer(view.entries, "a", pieceKey(id, piece))]
 		_, err := r.Piece(context.Background(), id, piece, relays.RoleDrawer)
 		c.Check(err, qt.IsNil)
 	}
 	for piece := range sharedLinkPieces {
-		group.Go(func() { ask(newer, piece) })
+		group.Go(func() { request(newer, piece) })
 	}
 	for piece, missing := 0, 0; missing < olderMissing; piece++ {
 		if relays.Drawer(view.entries, "a", pieceKey(older, piece)) == "e0" {
 			missing++
-			olderDone.Go(func() { ask(older, piece) })
+			olderDone.Go(func() { request(older, piece) })
 		}
 	}
 	time.Sleep(400 * time.Millisecond)
@@ -134,13 +135,13 @@
 	before := len(origin.started) - olderMissing
 	origin.mu.Unlock()
 	group.Wait()
-	// Three others draw one at a time beside the two of the older one, 18 in all and those
-	// under way; two at a time each would be 36.
-	c.Check(before <= 27, qt.IsTrue, qt.Commentf("%d pieces of the newer version were begun before the older one was whole", before))
+	// The three other entries fetch one piece each at a time, alongside two of the older
+	// version: 18 in total, plus those in flight. With two each there would be 36.
+	c.Check(before <= 27, qt.IsTrue, qt.Commentf("%d pieces of the newer version were started before the older one was complete", before))
 }
 
-// The same at one drawer: whoever failed to draw a piece of the older version draws it as
-// soon as the origin is back, however many wait for the newer one.
+// At a single entry, a fetch of the older version that failed must be the first one when
+// the origin recovers, however many fetches of the newer version wait.
 func TestFailedAttemptOfOlderVersionKeepsItsSlot(t *testing.T) {
 	c := qt.New(t)
 	for round := range 3 {
--- a/internal/transport/relay/originstatus.go
+++ b/internal/transport/relay/originstatus.go
@@ -14,10 +14,10 @@
 
 // originStatus summarises the origin's responses for one version.
 type originStatus struct {
-	// gone is true if the origin last responded that it no longer has the version.
-	// goneAt is the time of that response.
-	gone   bool
-	goneAt time.Duration
+	// removed is true if the origin last responded that it no longer has the version.
+	// removedAt is the time of that response.
+	removed   bool
+	removedAt time.Duration
 	// failingSince is when the first failed attempt since the last success began, or 0
 	// if none failed. newerServedAt is when the origin first served a newer version after
 	// that, or 0 if it did not.
@@ -28,9 +28,9 @@
 }
 
 const (
-	// goneTTL is how long a version that is gone is not requested from the origin again,
-	// however often agents request it. Each request to the origin costs money.
-	goneTTL = time.Second
+	// removedTTL is how long a version that the origin no longer has is not requested from
+	// it again, however often agents request it. Each request to the origin costs money.
+	removedTTL = time.Second
 	// deferAfter is how long attempts may fail while the origin serves a newer version,
 	// before the newer one takes precedence. A recovering origin may serve one version
 	// some hundred milliseconds before the other.
@@ -57,7 +57,7 @@
 // slot before those of a newer version that the origin did serve, and no server got the
 // newer one.
 func (v *versionState) hasLowestPriority(now time.Duration) bool {
-	return v.skipped || v.origin.gone || v.origin.deferred || v.obsoleteAt != 0 && now >= v.obsoleteAt
+	return v.skipped || v.origin.removed || v.origin.deferred || v.obsoleteAt != 0 && now >= v.obsoleteAt
 }
 
 // hasLowestPriority reports whether a waiter for an origin slot yields to all others.
@@ -68,17 +68,17 @@
 	return v != nil && v.hasLowestPriority(boottime.Now())
 }
 
-// recentlyGone reports whether the origin responded that a version is gone, later than
-// goneTTL before a time.
+// recentlyRemoved reports whether the origin responded that it no longer has a version, later
+// than removedTTL before a time.
 //
 // Fetches that began before that response or soon after it end without a request to the
-// origin. The fetch of a version that is gone fails at its first piece, and agents then
-// restart it. The origin got a hundred such requests per second, and each one costs money.
-func (r *Relay) recentlyGone(id catalog.NamedVersion, at time.Duration) bool {
+// origin. The fetch of a removed version fails at its first piece, and agents then restart
+// it. The origin got a hundred such requests per second, and each one costs money.
+func (r *Relay) recentlyRemoved(id catalog.NamedVersion, at time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.lookupState(id)
-	return v != nil && v.origin.gone && v.origin.goneAt > at-goneTTL
+	return v != nil && v.origin.removed && v.origin.removedAt > at-removedTTL
 }
 
 // lookupState returns the state of a version, or nil if there is none. The caller must
@@ -106,7 +106,7 @@
 		*o = originStatus{}
 		r.recordNewerServed(id, now)
 	case errors.Is(err, ErrGone):
-		o.gone, o.goneAt = true, now
+		o.removed, o.removedAt = true, now
 	case o.failingSince == 0:
 		o.failingSince = startedAt
 	case o.newerServedAt != 0 && startedAt-o.newerServedAt >= deferAfter:
@@ -134,16 +134,16 @@
 	switch v := r.lookupState(id); {
 	case v == nil:
 	case err == nil:
-		v.origin.gone = false
+		v.origin.removed = false
 		r.recordNewerServed(id, now)
 	case errors.Is(err, ErrGone):
-		v.origin.gone, v.origin.goneAt = true, now
+		v.origin.removed, v.origin.removedAt = true, now
 	}
 }
 
 // fetchOriginManifest fetches a manifest from the origin.
 func (r *Relay) fetchOriginManifest(address string, id catalog.NamedVersion) (Manifest, error) {
-	if r.recentlyGone(id, boottime.Now()) {
+	if r.recentlyRemoved(id, boottime.Now()) {
 		return Manifest{}, fmt.Errorf("manifest of %s version %d: %w", id.Model, id.Version, ErrGone)
 	}
 	manifest, err := r.origin.Manifest(context.Background(), address, id)
@@ -153,14 +153,14 @@
 
 // fetchOriginPiece fetches a piece from the origin once it has acquired a slot.
 func (r *Relay) fetchOriginPiece(address string, id catalog.NamedVersion, piece int, slot *originSlot) ([]byte, error) {
-	gone := fmt.Errorf("piece %d of %s version %d: %w", piece, id.Model, id.Version, ErrGone)
-	if r.recentlyGone(id, slot.startedAt) {
-		return nil, gone
+	err := fmt.Errorf("piece %d of %s version %d: %w", piece, id.Model, id.Version, ErrGone)
+	if r.recentlyRemoved(id, slot.startedAt) {
+		return nil, err
 	}
 	slot.acquire()
-	if r.recentlyGone(id, slot.startedAt) {
+	if r.recentlyRemoved(id, slot.startedAt) {
 		// Another fetch got this response while this one waited.
-		return nil, gone
+		return nil, err
 	}
 	if r.isSkipped(id) {
 		return nil, fmt.Errorf("piece %d of %s version %d: %w", piece, id.Model, id.Version, errSkipped)
--- a/internal/transport/relay/originstatus_test.go
+++ b/internal/transport/relay/originstatus_test.go
@@ -19,11 +19,11 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// failingOrigin fails for one version, and counts how often that was asked for.
+// failingOrigin is an origin that fails for one version and counts the requests for it.
 type failingOrigin struct {
 	sharedLinkOrigin
 	version uint64
-	// response is what it sends of that version; err is its answer if there is none.
+	// response and err are the result of a request for a piece of that version.
 	response []byte
 	err      error
 	requests atomic.Int32
@@ -38,7 +38,7 @@
 	return o.response, o.err
 }
 
-// requestRepeatedly asks for pieces of a version until ctx ends, as agents do.
+// requestRepeatedly requests pieces of a version until ctx ends, as agents do.
 func requestRepeatedly(ctx context.Context, r *Relay, id catalog.NamedVersion, pieces int) *sync.WaitGroup {
 	group := &sync.WaitGroup{}
 	for piece := range pieces {
@@ -52,40 +52,40 @@
 	return group
 }
 
-// No server got a version for as long as the origin failed for an older one that agents
-// asked for, though it gave out the newer one: tries of the older one kept both places.
-// Whether it fails, or sends what does not match, makes no difference.
+// While the origin failed for an older version, no server got a newer one that the origin
+// did serve, because fetches of the older one kept both origin slots. The same holds if the
+// origin sends corrupt pieces.
 func TestVersionFailingAtOriginIsDeferred(t *testing.T) {
 	c := qt.New(t)
 	for _, origin := range []*failingOrigin{{version: 2, err: errDown}, {version: 2, response: []byte("spoilt")}} {
 		r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 		ctx, cancel := context.WithCancel(context.Background())
-		asking := requestRepeatedly(ctx, r, drafterVersion(2), 8)
+		requests := requestRepeatedly(ctx, r, drafterVersion(2), 8)
 		time.Sleep(200 * time.Millisecond)
-		began := time.Now()
+		start := time.Now()
 		newer, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		_, err := r.Piece(newer, drafterVersion(3), 0, relays.RoleDrawer)
-		c.Check(err, qt.IsNil, qt.Commentf("after %v", time.Since(began)))
+		c.Check(err, qt.IsNil, qt.Commentf("after %v", time.Since(start)))
 		stop()
 		cancel()
-		asking.Wait()
+		requests.Wait()
 	}
 }
 
-// Eight agents that wanted a version which the origin had dropped had it asked a hundred
-// times a second, which is paid for, beside the pieces of the version in force.
-func TestGoneVersionIsRarelyRequestedFromOrigin(t *testing.T) {
+// Eight agents requesting a removed version caused a hundred requests per second to the
+// origin. Each one costs money, and they compete with fetches of the current version.
+func TestRemovedVersionIsRarelyRequestedFromOrigin(t *testing.T) {
 	c := qt.New(t)
 	origin := &failingOrigin{version: 2, err: ErrGone}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	requestRepeatedly(ctx, r, drafterVersion(2), 8).Wait()
-	c.Assert(origin.requests.Load() <= originConcurrency, qt.IsTrue, qt.Commentf("asked %d times", origin.requests.Load()))
+	c.Assert(origin.requests.Load() <= originConcurrency, qt.IsTrue, qt.Commentf("requested %d times", origin.requests.Load()))
 }
 
-// A version was drawn one piece at a time to its end, since its pieces had been asked for
-// while an older one went before it, which had become useless meanwhile.
+// A version was fetched one piece at a time to the end because its pieces had been requested
+// while an older version took precedence, although that one became obsolete meanwhile.
 func TestWaitForOlderVersionIsReevaluated(t *testing.T) {
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 3}
@@ -95,9 +95,9 @@
 	r.mu.Unlock()
 	c.Assert(r.yieldsToOlder(drafterVersion(3), boottime.Now()), qt.IsTrue)
 	r.slotsMu.Lock()
-	held := r.newerSlots.Take("drafter", 3)
+	occupied := r.newerSlots.Take("drafter", 3)
 	r.slotsMu.Unlock()
-	<-held.Granted
+	<-occupied.Granted
 	var group sync.WaitGroup
 	group.Go(func() { fetchConcurrently(c, r, drafterVersion(3), 12) })
 	time.Sleep(50 * time.Millisecond)
@@ -113,30 +113,30 @@
 	group.Wait()
 }
 
-// singleHolderView is a site with one holder of one version.
+// singleHolderView is a view of a site with one holder of one version.
 type singleHolderView struct {
 	singleEntryView
 	id      catalog.NamedVersion
 	address string
 }
 
-func (h singleHolderView) Holders(id catalog.NamedVersion) []relays.Holder {
-	if id != h.id {
+func (v singleHolderView) Holders(id catalog.NamedVersion) []relays.Holder {
+	if id != v.id {
 		return nil
 	}
-	return []relays.Holder{{Backend: "b", Address: h.address}}
+	return []relays.Holder{{Backend: "b", Address: v.address}}
 }
 
-// A newer version waited for a place to draw for as long as a holder of an older one took
-// to answer: the try that had failed at the origin kept its place while it asked there.
+// A fetch that failed at the origin kept its origin slot while it waited for a holder, and
+// the newer version waited for a slot until the holder responded.
 func TestOriginSlotIsReleasedDuringHolderRequest(t *testing.T) {
 	c := qt.New(t)
-	asked, answer := make(chan struct{}), make(chan struct{})
+	reached, proceed := make(chan struct{}), make(chan struct{})
 	var calls atomic.Int32
 	holder := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 2 {
-			close(asked)
-			<-answer
+			close(reached)
+			<-proceed
 		}
 		w.WriteHeader(http.StatusNotFound)
 	}))
@@ -147,7 +147,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _, _ = r.Piece(ctx, drafterVersion(2), 0, relays.RoleDrawer) }()
-	<-asked
+	<-reached
 	for range originConcurrency {
 		r.slotsMu.Lock()
 		waiter := r.originSlots.Take("drafter", 3)
@@ -155,14 +155,14 @@
 		select {
 		case <-waiter.Granted:
 		case <-time.After(time.Second):
-			c.Error("a place is kept")
+			c.Error("an origin slot is still held")
 		}
 	}
-	close(answer)
+	close(proceed)
 }
 
-// A version that was judged not worth drawing is asked for again: servers lack it, and its
-// pieces go before those of the newer one, until nobody asks any more.
+// An abandoned version that is requested again is needed by servers. It takes precedence
+// over newer ones until the requests stop.
 func TestAbandonedVersionIsWantedWhenRequestedAgain(t *testing.T) {
 	c := qt.New(t)
 	v := &versionState{requested: true, lastRequestedAt: time.Second}
@@ -174,8 +174,8 @@
 	c.Assert(v.isWanted(3*time.Second+requestTTL+1), qt.IsFalse)
 }
 
-// What is said of a version holds for those before it, also if their bounds were long ago
-// when it was named, and makes none useful for longer.
+// Superseding a version must supersede older ones too, even if their switchover deadlines
+// passed before it was requested, and must not postpone when they become obsolete.
 func TestSupersedeAppliesToOlderVersions(t *testing.T) {
 	c := qt.New(t)
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, &sharedLinkOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
--- a/internal/transport/relay/peercache_test.go
+++ b/internal/transport/relay/peercache_test.go
@@ -21,17 +21,17 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/relays"
 )
 
-// countingOrigin is an origin of many pieces, slow as a thin link is.
+// countingOrigin is a slow origin that counts the fetches of each piece.
 type countingOrigin struct {
 	mu      sync.Mutex
 	fetches map[int]int
 }
 
-const handoverPieces = 16
+const countingOriginPieces = 16
 
 func (*countingOrigin) Manifest(_ context.Context, _ string, v catalog.NamedVersion) (Manifest, error) {
 	manifest := Manifest{Model: v.Model, Version: v.Version}
-	for piece := range handoverPieces {
+	for piece := range countingOriginPieces {
 		manifest.Digests = append(manifest.Digests, digestOf(pieceData(piece)))
 	}
 	return manifest, nil
@@ -62,7 +62,7 @@
 	return total
 }
 
-// changingView is an installation whose living entries change.
+// changingView is a view of an installation whose entries change.
 type changingView struct {
 	mu        sync.Mutex
 	entries   []relays.Entry
@@ -82,15 +82,16 @@
 func (v *changingView) remove(host filbertlever.HostID) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var left []relays.Entry
+	var remaining []relays.Entry
 	for _, entry := range v.entries {
 		if entry.Host != host {
-			left = append(left, entry)
+			remaining = append(remaining, entry)
 		}
 	}
-	v.entries = left
+	v.entries = remaining
 }
 
+// start starts the relay of an entry and a server for it.
 func (v *changingView) start(t *testing.T, entry relays.Entry, origin Origin) *Relay {
 	r := New(entry, v, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	mux := http.NewServeMux()
@@ -103,9 +104,8 @@
 	return r
 }
 
-// Callers wait for weights that the origin sends once more: the entry that had drawn them
-// stopped, and the one that follows it draws all of them, though entries of other sites
-// had them from the one before.
+// When an origin fetcher stopped, its successor fetched all pieces from the origin again
+// although entries of other sites had them cached, and callers waited for that.
 func TestPiecesOfStoppedEntryAreNotFetchedAgain(t *testing.T) {
 	c := qt.New(t)
 	origin := &countingOrigin{fetches: map[int]int{}}
@@ -117,48 +117,48 @@
 	for _, r := range running {
 		r.Announce(drafter)
 	}
-	all := func(r *Relay) {
-		for piece := range handoverPieces {
+	fetchAll := func(r *Relay) {
+		for piece := range countingOriginPieces {
 			data, err := r.Piece(context.Background(), drafter, piece, relays.RoleAny)
 			c.Assert(err, qt.IsNil)
 			c.Assert(string(data), qt.Equals, string(pieceData(piece)))
 		}
 	}
-	all(running["b1"])
-	c.Assert(origin.total(), qt.Equals, handoverPieces)
+	fetchAll(running["b1"])
+	c.Assert(origin.total(), qt.Equals, countingOriginPieces)
 	v.remove("a1")
-	all(running["a2"])
-	c.Check(origin.total(), qt.Equals, handoverPieces)
-	// One that starts anew has nothing, and heard of the version from the store.
+	fetchAll(running["a2"])
+	c.Check(origin.total(), qt.Equals, countingOriginPieces)
+	// A newly started entry has no pieces, and learned of the version from the store.
 	v.remove("a2")
 	v.mu.Lock()
 	v.entries = append(v.entries, relays.Entry{Host: "a3", Site: "a"})
 	v.mu.Unlock()
-	all(v.start(t, relays.Entry{Host: "a3", Site: "a"}, origin))
-	c.Check(origin.total(), qt.Equals, handoverPieces)
+	fetchAll(v.start(t, relays.Entry{Host: "a3", Site: "a"}, origin))
+	c.Check(origin.total(), qt.Equals, countingOriginPieces)
 }
 
-// Servers wait for weights though the origin has them: half of all entries lost power and
-// are still believed alive, and each was asked for each piece until its time was over.
+// Half of all entries lost power but still counted as alive. Each was asked for each piece
+// until the timeout, and servers waited for weights although the origin had them.
 func TestUnresponsivePeersDoNotDelayOriginFetch(t *testing.T) {
 	c := qt.New(t)
-	silent, err := net.Listen("tcp4", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	defer func() { _ = silent.Close() }()
+	defer func() { _ = unresponsive.Close() }()
 	v := &changingView{addresses: map[filbertlever.HostID]string{}, entries: []relays.Entry{{Host: "a1", Site: "a"}}}
 	for _, site := range []string{"b", "c", "d", "e"} {
 		host := filbertlever.HostID(site + "1")
 		v.entries = append(v.entries, relays.Entry{Host: host, Site: site})
-		v.addresses[host] = silent.Addr().String()
+		v.addresses[host] = unresponsive.Addr().String()
 	}
 	origin := &countingOrigin{fetches: map[int]int{}}
 	r := v.start(t, relays.Entry{Host: "a1", Site: "a"}, origin)
-	began := time.Now()
-	for piece := range handoverPieces {
+	start := time.Now()
+	for piece := range countingOriginPieces {
 		_, err := r.Piece(context.Background(), drafter, piece, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 	}
-	c.Check(origin.total(), qt.Equals, handoverPieces)
-	// One of them is waited for, once.
-	c.Check(time.Since(began) < 3*peerCacheTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	c.Check(origin.total(), qt.Equals, countingOriginPieces)
+	// Only one of them is waited for, and only once.
+	c.Check(time.Since(start) < 3*peerCacheTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(start)))
 }
--- a/internal/transport/relay/plan_test.go
+++ b/internal/transport/relay/plan_test.go
@@ -17,8 +17,8 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// Two versions are named one after the other, and the origin's link carries both although the
-// newer one suffices.
+// Guards against fetching two versions that are requested shortly after each other, when the
+// newer one alone suffices.
 func TestOnlyNewestOfTwoVersionsIsFetched(t *testing.T) {
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 3}
@@ -31,20 +31,20 @@
 	r.SetPlan("drafter", plan)
 	r.Supersede(drafterVersion(2), since+13*time.Second)
 	r.Announce(drafterVersion(3))
-	whole := func(version uint64) bool {
+	complete := func(version uint64) bool {
 		manifest, ok := r.cachedManifest(drafterVersion(version))
 		return ok && len(r.missingPieces(drafterVersion(version), &manifest)) == 0
 	}
-	for end := time.Now().Add(5 * time.Second); !whole(3) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); !complete(3) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	c.Assert(whole(3), qt.IsTrue)
-	c.Assert(whole(2), qt.IsFalse)
+	c.Assert(complete(3), qt.IsTrue)
+	c.Assert(complete(2), qt.IsFalse)
 	c.Assert(r.prefetchQueue(), qt.HasLen, 0)
 }
 
-// Pieces of the older version that were asked for before the newer one was named have places at the
-// origin before those of the newer one.
+// Pieces of the older version that were requested before the newer version got origin slots
+// before those of the newer one, although the older version is skipped.
 func TestSkippedVersionYieldsOriginSlots(t *testing.T) {
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 3}
@@ -65,7 +65,7 @@
 	fetchConcurrently(c, r, drafterVersion(3), sharedLinkPieces)
 	group.Wait()
 	c.Assert(failed.Load() > sharedLinkPieces/2, qt.IsTrue, qt.Commentf("%d of %d", failed.Load(), sharedLinkPieces))
-	// Once the newer one alone no longer suffices, the older one is had again.
+	// Once the newer version alone no longer suffices, the older one is fetched again.
 	r.SetPlan("drafter", Plan{Bounds: bounds, Named: []switchover.Named{{Version: 2, Since: since - 10*time.Second}, {Version: 3, Since: since}}})
 	time.Sleep(skipTTL)
 	fetchConcurrently(c, r, drafterVersion(2), sharedLinkPieces)
--- a/internal/transport/relay/prefetch.go
+++ b/internal/transport/relay/prefetch.go
@@ -28,7 +28,7 @@
 	newerBatchSize = originConcurrency
 )
 
-// ErrGone means that the origin no longer has a version.
+// ErrRemoved means that the origin no longer has a version.
 var ErrGone = errors.New("the version is gone")
 
 // AddVersion registers a version that operators just requested and prefetches its pieces.
@@ -178,7 +178,7 @@
 	v.prefetching, v.abandonedAt = false, now
 }
 
-// finishPrefetch ends the prefetch of a version that is complete or gone from the origin.
+// finishPrefetch ends the prefetch of a version that is complete or removed from the origin.
 func (r *Relay) finishPrefetch(id catalog.NamedVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/transport/relay/prefetch_test.go
+++ b/internal/transport/relay/prefetch_test.go
@@ -25,61 +25,60 @@
 
 const piecesPerVersion = 6
 
-// versionedOrigin is an origin of whole sets, which notes the order of draws.
+// versionedOrigin is an origin of many versions that records the order of fetches.
 type versionedOrigin struct {
 	mu      sync.Mutex
 	down    bool
 	fetched []uint64
 }
 
-func (s *versionedOrigin) piece(version uint64, piece int) []byte {
+func (o *versionedOrigin) piece(version uint64, piece int) []byte {
 	return []byte(fmt.Sprintf("piece %d of version %d", piece, version))
 }
 
-func (s *versionedOrigin) Manifest(_ context.Context, _ string, id catalog.NamedVersion) (Manifest, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.down {
+func (o *versionedOrigin) Manifest(_ context.Context, _ string, id catalog.NamedVersion) (Manifest, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.down {
 		return Manifest{}, errDown
 	}
 	manifest := Manifest{Model: id.Model, Version: id.Version}
 	for piece := range piecesPerVersion {
-		sum := sha256.Sum256(s.piece(id.Version, piece))
+		sum := sha256.Sum256(o.piece(id.Version, piece))
 		manifest.Digests = append(manifest.Digests, hex.EncodeToString(sum[:]))
 	}
 	return manifest, nil
 }
 
-func (s *versionedOrigin) Piece(_ context.Context, _ string, id catalog.NamedVersion, piece int) ([]byte, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.down {
+func (o *versionedOrigin) Piece(_ context.Context, _ string, id catalog.NamedVersion, piece int) ([]byte, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.down {
 		return nil, errDown
 	}
-	s.fetched = append(s.fetched, id.Version)
-	if len(s.fetched) == 2 && id.Version == 2 {
-		// The origin goes away in the middle of the first set.
-		s.down = true
+	o.fetched = append(o.fetched, id.Version)
+	if len(o.fetched) == 2 && id.Version == 2 {
+		// The origin goes down in the middle of the first version.
+		o.down = true
 	}
-	return s.piece(id.Version, piece), nil
+	return o.piece(id.Version, piece), nil
 }
 
-func (s *versionedOrigin) setDown(down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.down = down
+func (o *versionedOrigin) setDown(down bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.down = down
 }
 
-func (s *versionedOrigin) fetchedVersions() []uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]uint64(nil), s.fetched...)
+func (o *versionedOrigin) fetchedVersions() []uint64 {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return append([]uint64(nil), o.fetched...)
 }
 
-// No server answers: a version was half drawn when the origin went away, and
-// another was named meanwhile. Once it was back both shared its thin link, and the
-// first, nearly whole, took as long as the second. It is finished first, without
-// anyone asking again.
+// The origin went down during the prefetch of a version, and a newer one was requested
+// meanwhile. When it recovered, both shared its slow link, and the older one took as long
+// as the newer one. It must be finished first, without another request.
 func TestOldestVersionIsPrefetchedFirst(t *testing.T) {
 	c := qt.New(t)
 	origin := &versionedOrigin{}
@@ -94,32 +93,33 @@
 	for end := time.Now().Add(10 * time.Second); len(origin.fetchedVersions()) < 2*piecesPerVersion && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	drawn := origin.fetchedVersions()
-	c.Assert(drawn, qt.HasLen, 2*piecesPerVersion)
-	for n, version := range drawn {
-		// Two of the second may be drawn between two tries of the first.
+	fetched := origin.fetchedVersions()
+	c.Assert(fetched, qt.HasLen, 2*piecesPerVersion)
+	for n, version := range fetched {
+		// Two pieces of the newer version may be fetched between two attempts of the
+		// older one.
 		if n >= piecesPerVersion+newerBatchSize {
-			c.Check(version, qt.Equals, uint64(3), qt.Commentf("draw %d of %v", n, drawn))
+			c.Check(version, qt.Equals, uint64(3), qt.Commentf("fetch %d of %v", n, fetched))
 		}
 	}
 }
 
-// removingOrigin is an origin that has dropped all versions before one.
+// removingOrigin is an origin that no longer has the versions before oldest.
 type removingOrigin struct {
 	versionedOrigin
 	oldest uint64
 }
 
-func (g *removingOrigin) Manifest(ctx context.Context, address string, id catalog.NamedVersion) (Manifest, error) {
-	if id.Version < g.oldest {
+func (o *removingOrigin) Manifest(ctx context.Context, address string, id catalog.NamedVersion) (Manifest, error) {
+	if id.Version < o.oldest {
 		return Manifest{}, fmt.Errorf("manifest: %w", ErrGone)
 	}
-	return g.versionedOrigin.Manifest(ctx, address, id)
+	return o.versionedOrigin.Manifest(ctx, address, id)
 }
 
-// Versions follow each other quickly, and the origin drops one before it was drawn.
-// Waiting for it would keep every later version from all servers.
-func TestGoneVersionDoesNotBlockPrefetch(t *testing.T) {
+// The origin removes a version before it was fetched. Retrying it must not keep later
+// versions from the servers.
+func TestRemovedVersionDoesNotBlockPrefetch(t *testing.T) {
 	c := qt.New(t)
 	origin := &removingOrigin{oldest: 3}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
@@ -132,14 +132,14 @@
 	c.Assert(r.prefetchQueue(), qt.HasLen, 0)
 }
 
-// The origin sent each piece several times over its thin link: while it was away,
-// every entry was taken for failed as it could not have the piece, and the next was
-// asked. The one that draws the piece is asked again, and draws it once.
+// During an origin outage every entry that failed to get a piece was excluded and the next
+// one asked, and the origin later sent each piece several times over its slow link. The
+// piece's origin fetcher must be asked again, and fetch it once.
 func TestEntryWithUpstreamFailureIsRetried(t *testing.T) {
 	c := qt.New(t)
 	origin := &versionedOrigin{}
 	addresses := map[filbertlever.HostID]string{}
-	ring := []*Relay{}
+	nearRelays := []*Relay{}
 	for _, host := range []filbertlever.HostID{"a1", "a2"} {
 		r := New(relays.Entry{Host: host, Site: "a"}, twoSiteView{addresses: addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 		mux := http.NewServeMux()
@@ -147,20 +147,20 @@
 		server := httptest.NewServer(mux)
 		defer server.Close()
 		addresses[host] = server.Listener.Addr().String()
-		ring = append(ring, r)
+		nearRelays = append(nearRelays, r)
 	}
-	far := New(relays.Entry{Host: "b1", Site: "b"}, twoSiteView{addresses: addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	farRelay := New(relays.Entry{Host: "b1", Site: "b"}, twoSiteView{addresses: addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	id := catalog.NamedVersion{Model: "drafter", Version: 1}
-	_, err := far.Manifest(context.Background(), id, relays.RoleAny)
+	_, err := farRelay.Manifest(context.Background(), id, relays.RoleAny)
 	c.Assert(err, qt.IsNil)
 	origin.setDown(true)
 	time.AfterFunc(time.Second, func() { origin.setDown(false) })
 	for piece := range piecesPerVersion {
-		data, err := far.Piece(context.Background(), id, piece, relays.RoleAny)
+		data, err := farRelay.Piece(context.Background(), id, piece, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(data), qt.Equals, string(origin.piece(1, piece)))
 	}
-	for _, r := range ring {
+	for _, r := range nearRelays {
 		for r.isPrefetching() {
 			time.Sleep(time.Millisecond)
 		}
@@ -168,29 +168,28 @@
 	c.Assert(origin.fetchedVersions(), qt.HasLen, piecesPerVersion)
 }
 
-// recordingOrigin is an origin that notes which pieces were asked of it.
+// recordingOrigin is an origin that records which pieces were requested.
 type recordingOrigin struct {
 	*versionedOrigin
 	mu        sync.Mutex
 	requested map[int]bool
 }
 
-func (a *recordingOrigin) Piece(ctx context.Context, address string, id catalog.NamedVersion, piece int) ([]byte, error) {
-	a.mu.Lock()
-	a.requested[piece] = true
-	a.mu.Unlock()
-	return a.versionedOrigin.Piece(ctx, address, id, piece)
+func (o *recordingOrigin) Piece(ctx context.Context, address string, id catalog.NamedVersion, piece int) ([]byte, error) {
+	o.mu.Lock()
+	o.requested[piece] = true
+	o.mu.Unlock()
+	return o.versionedOrigin.Piece(ctx, address, id, piece)
 }
 
-// The origin was away for seconds. Entries that wait for pieces from the one that draws
-// them were told after half a second that it could not have them, and after three such
-// answers drew themselves; when the origin was back each piece left it several times
-// over its thin link. The one that draws tries on, is asked again, and alone draws.
+// During a long outage the origin fetcher of a piece reported failure after half a second.
+// After three such failures other entries fetched the piece themselves, several times over
+// the origin's slow link. Only the origin fetcher, which keeps retrying, may fetch it.
 func TestLongOriginOutageKeepsOneFetcherPerPiece(t *testing.T) {
 	c := qt.New(t)
 	origin := &versionedOrigin{}
 	addresses := map[filbertlever.HostID]string{}
-	ring, origins := map[filbertlever.HostID]*Relay{}, map[filbertlever.HostID]*recordingOrigin{}
+	nearRelays, origins := map[filbertlever.HostID]*Relay{}, map[filbertlever.HostID]*recordingOrigin{}
 	var entries []relays.Entry
 	for _, host := range []filbertlever.HostID{"a1", "a2"} {
 		entries = append(entries, relays.Entry{Host: host, Site: "a"})
@@ -201,17 +200,17 @@
 		server := httptest.NewServer(mux)
 		defer server.Close()
 		addresses[host] = server.Listener.Addr().String()
-		ring[host] = r
+		nearRelays[host] = r
 	}
 	id := catalog.NamedVersion{Model: "drafter", Version: 1}
-	for _, r := range ring {
+	for _, r := range nearRelays {
 		_, err := r.Manifest(context.Background(), id, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 	}
 	origin.setDown(true)
 	time.AfterFunc(3300*time.Millisecond, func() { origin.setDown(false) })
 	var group sync.WaitGroup
-	for _, r := range ring {
+	for _, r := range nearRelays {
 		for piece := range piecesPerVersion {
 			group.Go(func() {
 				for end := time.Now().Add(8 * time.Second); time.Now().Before(end); {
@@ -225,9 +224,9 @@
 	group.Wait()
 	c.Assert(origin.fetchedVersions(), qt.HasLen, piecesPerVersion)
 	for piece := range piecesPerVersion {
-		drawer := relays.Drawer(entries, "a", pieceKey(id, piece))
+		fetcher := relays.Drawer(entries, "a", pieceKey(id, piece))
 		for host, o := range origins {
-			c.Check(o.requested[piece], qt.Equals, host == drawer, qt.Commentf("piece %d, which %s draws, at %s", piece, drawer, host))
+			c.Check(o.requested[piece], qt.Equals, host == fetcher, qt.Commentf("piece %d with origin fetcher %s, at %s", piece, fetcher, host))
 		}
 	}
 }
@@ -238,9 +237,8 @@
 	return r.prefetchRunning
 }
 
-// The origin came back with two versions to draw, of which the older would have
-// been the only one to answer for half a second. Drawing it put off the newer one,
-// and so every answer, by 1.2 s.
+// After an outage the older of two versions was prefetched first although it could serve
+// for only half a second. That delayed the newer one, and every response, by 1.2 s.
 func TestNearlyObsoleteVersionIsNotPrefetched(t *testing.T) {
 	c := qt.New(t)
 	origin := &versionedOrigin{}
@@ -258,40 +256,39 @@
 	c.Assert(origin.fetchedVersions(), qt.DeepEquals, []uint64{6, 6, 6, 6, 6, 6})
 }
 
-// failingEntryView is a view in which the other site's entry dies after a while.
+// failingEntryView is a twoSiteView from which entry a1 disappears once dead is set.
 type failingEntryView struct {
 	twoSiteView
 	dead *atomic.Bool
 }
 
-func (d failingEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
-	entries, addresses := d.twoSiteView.Relays()
-	if d.dead.Load() {
+func (v failingEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+	entries, addresses := v.twoSiteView.Relays()
+	if v.dead.Load() {
 		entries = slices.DeleteFunc(entries, func(e relays.Entry) bool { return e.Host == "a1" })
 	}
 	return entries, addresses
 }
 
-// A host stands still with a piece on its way; its connections stay open, and
-// agents waited for as long as for one that is busy. Once it is known to be dead,
-// another entry is asked.
+// A host hangs during a piece fetch and its connections stay open. Agents waited as long as
+// for a busy host. Once it is detected as dead, another entry must be asked.
 func TestFetchIsCanceledWhenEntryDies(t *testing.T) {
 	c := qt.New(t)
-	still := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
-	defer still.Close()
-	near := New(relays.Entry{Host: "a2", Site: "a"}, twoSiteView{}, &versionedOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	hanging := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
+	defer hanging.Close()
+	nearRelay := New(relays.Entry{Host: "a2", Site: "a"}, twoSiteView{}, &versionedOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	mux := http.NewServeMux()
-	near.Routes(mux)
+	nearRelay.Routes(mux)
 	alive := httptest.NewServer(mux)
 	defer alive.Close()
 	var dead atomic.Bool
-	v := failingEntryView{twoSiteView{addresses: map[filbertlever.HostID]string{"a1": still.Listener.Addr().String(), "a2": alive.Listener.Addr().String()}}, &dead}
-	far := New(relays.Entry{Host: "b1", Site: "b"}, v, &versionedOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	v := failingEntryView{twoSiteView{addresses: map[filbertlever.HostID]string{"a1": hanging.Listener.Addr().String(), "a2": alive.Listener.Addr().String()}}, &dead}
+	farRelay := New(relays.Entry{Host: "b1", Site: "b"}, v, &versionedOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	time.AfterFunc(300*time.Millisecond, func() { dead.Store(true) })
-	began := time.Now()
+	start := time.Now()
 	for piece := range piecesPerVersion {
-		_, err := far.Piece(context.Background(), catalog.NamedVersion{Model: "drafter", Version: 1}, piece, relays.RoleAny)
+		_, err := farRelay.Piece(context.Background(), catalog.NamedVersion{Model: "drafter", Version: 1}, piece, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(time.Since(began) < 3*time.Second, qt.IsTrue)
+	c.Assert(time.Since(start) < 3*time.Second, qt.IsTrue)
 }
--- a/internal/transport/relay/priority_test.go
+++ b/internal/transport/relay/priority_test.go
@@ -17,8 +17,8 @@
 	"github.com/filbertlever/filbertlever/internal/transport/boottime"
 )
 
-// concurrencyOrigin counts how many pieces of a version are drawn at once; versions before one
-// are gone.
+// concurrencyOrigin records the peak number of concurrent fetches of a version. Versions
+// before oldest are removed.
 type concurrencyOrigin struct {
 	sharedLinkOrigin
 	version, oldest uint64
@@ -37,24 +37,25 @@
 	return o.piece(id.Version, piece), nil
 }
 
-// holdingSiteView is a site whose servers all hold one version.
+// holdingSiteView is a view of a site whose servers all hold one version.
 type holdingSiteView struct {
 	singleEntryView
 	version uint64
 }
 
-func (h holdingSiteView) Holders(id catalog.NamedVersion) []relays.Holder {
-	if id.Version != h.version {
+func (v holdingSiteView) Holders(id catalog.NamedVersion) []relays.Holder {
+	if id.Version != v.version {
 		return nil
 	}
 	return []relays.Holder{{Backend: "b", Address: "127.0.0.1:1"}}
 }
 
+// drafterVersion returns a version of the model drafter.
 func drafterVersion(version uint64) catalog.NamedVersion {
 	return catalog.NamedVersion{Model: "drafter", Version: version}
 }
 
-// fetchConcurrently draws pieces of a version at once, as agents ask for them.
+// fetchConcurrently fetches pieces of a version at once, as agents request them.
 func fetchConcurrently(c *qt.C, r *Relay, id catalog.NamedVersion, pieces int) {
 	var group sync.WaitGroup
 	for piece := range pieces {
@@ -66,10 +67,9 @@
 	group.Wait()
 }
 
-// A set took twice as long as the origin's link allows, at an entry that draws alone.
-// All servers hold version 3; version 2, which all of them have left, had been asked for
-// long ago, and as version 3 was named more than two bounds after it nobody said since
-// when it is of no use. Version 4 was drawn one piece at a time, behind version 2.
+// Version 4 was fetched one piece at a time because version 2 had been requested, although
+// all servers had already replaced it by version 3. Version 2 was never marked as superseded,
+// as version 3 was requested more than twice the switchover time limit later.
 func TestVersionReplacedOnServersDoesNotThrottleNewer(t *testing.T) {
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 4}
@@ -82,9 +82,9 @@
 	c.Assert(origin.peak.Load(), qt.Equals, int32(originConcurrency))
 }
 
-// The same for seven seconds after two versions were named soon after each other: the
-// older one was judged not worth drawing, so that nobody draws it and no server will ever
-// hold it, and the newer one was drawn one piece at a time behind it all the same.
+// The older of two versions requested shortly after each other was abandoned as not worth
+// fetching, so no server would ever hold it. The newer one was still fetched one piece at a
+// time, for seven seconds.
 func TestAbandonedVersionDoesNotThrottleNewer(t *testing.T) {
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 3}
@@ -95,9 +95,9 @@
 	r.Prefetch(drafterVersion(2))
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		r.mu.Lock()
-		ahead := r.ensureState(drafterVersion(2)).prefetching
+		prefetching := r.ensureState(drafterVersion(2)).prefetching
 		r.mu.Unlock()
-		if !ahead {
+		if !prefetching {
 			break
 		}
 	}
@@ -105,10 +105,10 @@
 	c.Assert(origin.peak.Load(), qt.Equals, int32(originConcurrency))
 }
 
-// No server got a version for as long as agents asked for an older one, which the origin
-// had dropped: each try of the older one kept its place for three seconds, there are two,
-// and whoever waited for the older one next went before the newer.
-func TestGoneVersionDoesNotDelayNewer(t *testing.T) {
+// While agents requested an older version that was removed from the origin, no server got the
+// newer one. Each fetch of the older one kept one of the two origin slots for three seconds,
+// and the next fetch of it got the slot before the newer one.
+func TestRemovedVersionDoesNotDelayNewer(t *testing.T) {
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 4, oldest: 4}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
@@ -125,13 +125,13 @@
 		})
 	}
 	time.Sleep(200 * time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	newest, stop := context.WithTimeout(context.Background(), 12*time.Second)
 	defer stop()
 	_, err = r.Piece(newest, drafterVersion(4), 0, relays.RoleDrawer)
-	took := time.Since(began)
+	took := time.Since(start)
 	cancel()
 	group.Wait()
 	c.Assert(err, qt.IsNil, qt.Commentf("after %v", took))
-	c.Assert(took < time.Second, qt.IsTrue, qt.Commentf("the first piece of the version in force took %v", took))
+	c.Assert(took < time.Second, qt.IsTrue, qt.Commentf("the first piece of the newest version took %v", took))
 }
--- a/internal/transport/relay/relay.go
+++ b/internal/transport/relay/relay.go
@@ -36,7 +36,7 @@
 type View interface {
 	// Origin returns the address and site of the origin, if known.
 	Origin() (address, site string, ok bool)
-	// Relays returns the entries that are alive, with the peer address of each.
+	// Entries returns the entries that are alive, with the peer address of each.
 	Relays() ([]relays.Entry, map[filbertlever.HostID]string)
 	// Holders returns the hosts of this site whose backend servers hold a version.
 	Holders(id catalog.NamedVersion) []relays.Holder
--- a/internal/transport/relay/relay_test.go
+++ b/internal/transport/relay/relay_test.go
@@ -22,9 +22,10 @@
 
 var drafter = catalog.NamedVersion{Model: "drafter", Version: 1}
 
-// singlePieceOrigin is an origin of one piece.
+// singlePieceOrigin is an origin of a version with one piece.
 type singlePieceOrigin struct {
-	data    []byte
+	data []byte
+	// corrupt is the number of corrupt responses still to send.
 	corrupt atomic.Int32
 	down    atomic.Bool
 	fetches atomic.Int32
@@ -51,7 +52,7 @@
 	return s.data, nil
 }
 
-// singleEntryView is an installation of one entry.
+// singleEntryView is a view of an installation with one entry.
 type singleEntryView struct{}
 
 func (singleEntryView) Origin() (address, site string, ok bool) { return "origin", "a", true }
@@ -66,15 +67,15 @@
 	return New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 }
 
-// Many agents ask for one piece at the same moment; the origin's thin link must
-// carry it once.
+// Guards against fetching a piece several times over the origin's slow link when many
+// agents request it at once.
 func TestConcurrentRequestsFetchPieceOnce(t *testing.T) {
 	c := qt.New(t)
 	origin := &singlePieceOrigin{data: []byte("weights")}
 	r := newRelay(origin)
 	results := make(chan error, 20)
 	for n := range 20 {
-		// Agents ask, and entries that take this one for the home.
+		// Requests come from agents and from entries that assume this one is the home.
 		go func() {
 			_, err := r.Piece(context.Background(), drafter, 0, relays.Role(n%2))
 			results <- err
@@ -86,7 +87,7 @@
 	c.Assert(origin.fetches.Load(), qt.Equals, int32(1))
 }
 
-// The origin sends a spoilt piece: it is drawn again and never passed on.
+// Guards against serving a corrupt piece from the origin instead of fetching it again.
 func TestCorruptPieceIsFetchedAgain(t *testing.T) {
 	c := qt.New(t)
 	origin := &singlePieceOrigin{data: []byte("weights")}
@@ -96,8 +97,8 @@
 	c.Assert(string(data), qt.Equals, "weights")
 }
 
-// The origin is down for longer than a fetch tries. The next one that asks must
-// not be told of the old failure.
+// Guards against returning an old failure to the next request after the origin was down
+// for longer than a fetch retries.
 func TestFailedFetchIsNotCached(t *testing.T) {
 	c := qt.New(t)
 	origin := &singlePieceOrigin{data: []byte("weights")}
@@ -110,7 +111,7 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// A piece that the version does not have, and bad queries.
+// Checks the status codes for a piece that does not exist and for invalid queries.
 func TestPieceRequestStatusCodes(t *testing.T) {
 	c := qt.New(t)
 	mux := http.NewServeMux()
@@ -127,7 +128,7 @@
 	}
 }
 
-// One piece of 32 KiB that is held, from an entry to an agent.
+// BenchmarkServePiece measures the transfer of a cached piece of 32 KiB to an agent.
 func BenchmarkServePiece(b *testing.B) {
 	r := newRelay(&singlePieceOrigin{data: make([]byte, 32<<10)})
 	mux := http.NewServeMux()
@@ -143,8 +144,8 @@
 	}
 }
 
-// twoSiteView is an installation of several entries, this one of another site than the
-// origin's.
+// twoSiteView is a view of an installation with two entries at the origin's site and one
+// at another site.
 type twoSiteView struct {
 	addresses map[filbertlever.HostID]string
 }
@@ -157,14 +158,14 @@
 	return []relays.Entry{{Host: "a1", Site: "a"}, {Host: "a2", Site: "a"}, {Host: "b1", Site: "b"}}, v.addresses
 }
 
-// No server gets its weights back after a loss of power. The origin takes few
-// connections; an entry whose way to one other failed asked it directly, as did
-// all, and nobody got through. The next entry at the origin's site is asked.
+// After a power failure, entries that could not reach another entry all connected to the
+// origin, which accepts few connections, and no server got its weights. They must ask the
+// next entry at the origin's site instead.
 func TestFailedEntryIsReplacedByAnotherEntry(t *testing.T) {
 	c := qt.New(t)
-	near := newRelay(&singlePieceOrigin{data: []byte("weights")})
+	relay := newRelay(&singlePieceOrigin{data: []byte("weights")})
 	mux := http.NewServeMux()
-	near.Routes(mux)
+	relay.Routes(mux)
 	alive := httptest.NewServer(mux)
 	defer alive.Close()
 	for _, dead := range []filbertlever.HostID{"a1", "a2"} {
@@ -179,30 +180,30 @@
 	}
 }
 
-// Two entries of one site, which do not see each other alike: each takes the
-// other for the home of a piece. An agent waited until both gave up.
+// Two entries of one site with different views each assume that the other is the home of
+// a piece. They waited for each other, and the agent waited until both timed out.
 func TestEntriesWithDifferentViewsDoNotDeadlock(t *testing.T) {
 	c := qt.New(t)
 	origin := &singlePieceOrigin{data: []byte("weights")}
 	addresses := map[filbertlever.HostID]string{}
-	one := New(relays.Entry{Host: "e1", Site: "a"}, otherEntryView{"e2", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	two := New(relays.Entry{Host: "e2", Site: "a"}, otherEntryView{"e1", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	for host, r := range map[filbertlever.HostID]*Relay{"e1": one, "e2": two} {
+	first := New(relays.Entry{Host: "e1", Site: "a"}, otherEntryView{"e2", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	second := New(relays.Entry{Host: "e2", Site: "a"}, otherEntryView{"e1", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	for host, r := range map[filbertlever.HostID]*Relay{"e1": first, "e2": second} {
 		mux := http.NewServeMux()
 		r.Routes(mux)
 		server := httptest.NewServer(mux)
 		defer server.Close()
 		addresses[host] = server.Listener.Addr().String()
 	}
-	began := time.Now()
-	for _, r := range []*Relay{one, two} {
+	start := time.Now()
+	for _, r := range []*Relay{first, second} {
 		_, err := r.Piece(context.Background(), drafter, 0, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(time.Since(began) < time.Second, qt.IsTrue)
+	c.Assert(time.Since(start) < time.Second, qt.IsTrue)
 }
 
-// otherEntryView is a view in which only the other entry lives.
+// otherEntryView is a view in which only the other entry is alive.
 type otherEntryView struct {
 	other     filbertlever.HostID
 	addresses map[filbertlever.HostID]string
