--- a/internal/transport/relay/holders_test.go
+++ b/internal/transport/relay/holders_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Guards against a missing manifest while the origin is down. One entry of each site
-// prefetches it.
+// Guards against a missing manifest while the origin is down. Manifests are small, so one
+// entry of each site prefetches them.
 func TestManifestIsPrefetched(t *testing.T) {
 	c := qt.New(t)
 	origin := &singlePieceOrigin{data: []byte("weights")}
--- a/internal/transport/relay/originslot_test.go
+++ b/internal/transport/relay/originslot_test.go
@@ -90,9 +90,9 @@
 	olderMissing = 12
 )
 
-// After an outage, 0.35 s worth of pieces of the older version were missing. They took 1.3 s,
-// because the four entries fetched pieces of the newer version between attempts of the older
-// one, and entries without pieces of the older one took most of the origin's link.
+// After an outage, servers waited 0.9 s longer than the origin's link required. Missing pieces
+// of the older version (0.35 s of the link) took 1.3 s, as four entries fetched newer pieces
+// between attempts, and entries without missing older pieces took most of the link.
 func TestOlderVersionTakesPrecedenceAcrossEntries(t *testing.T) {
 	c := qt.New(t)
 	origin := &sharedLinkOrigin{down: true}
--- a/internal/transport/relay/prefetch_test.go
+++ b/internal/transport/relay/prefetch_test.go
@@ -77,8 +77,8 @@
 }
 
 // The origin went down during the prefetch of a version, and a newer one was requested
-// meanwhile. When it recovered, both shared its slow link, and the older one took as long
-// as the newer one. It must be finished first, without another request.
+// meanwhile. When it recovered, both shared its slow link, and the nearly complete older one
+// took as long as the newer one. It must be finished first, without another request.
 func TestOldestVersionIsPrefetchedFirst(t *testing.T) {
 	c := qt.New(t)
 	origin := &versionedOrigin{}
--- a/internal/transport/relay/priority_test.go
+++ b/internal/transport/relay/priority_test.go
@@ -67,9 +67,9 @@
 	group.Wait()
 }
 
-// Version 4 was fetched one piece at a time because version 2 had been requested, although
-// all servers had already replaced it by version 3. Version 2 was never marked as superseded,
-// as version 3 was requested more than twice the switchover time limit later.
+// Version 4 took twice as long as the origin's link allows: it was fetched one piece at a time
+// because of version 2, which all servers had replaced by version 3. Version 2 was not marked as
+// superseded, as version 3 was requested more than twice the switchover time limit later.
 func TestVersionReplacedOnServersDoesNotThrottleNewer(t *testing.T) {
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 4}
