--- a/internal/transport/relay/relay_test.go
+++ b/internal/transport/relay/relay_test.go
@@ -22,17 +22,18 @@
 
 var drafter = catalog.NamedVersion{Model: "drafter", Version: 1}
 
-// source is an origin of one piece.
-type source struct {
-	data   []byte
-	spoilt atomic.Int32
-	down   atomic.Bool
-	drawn  atomic.Int32
+// singlePieceOrigin is an origin of a version with one piece.
+type singlePieceOrigin struct {
+	data []byte
+	// corrupt is the number of corrupt responses still to send.
+	corrupt atomic.Int32
+	down    atomic.Bool
+	fetches atomic.Int32
 }
 
 var errDown = errors.New("origin is down")
 
-func (s *source) Manifest(context.Context, string, catalog.NamedVersion) (Manifest, error) {
+func (s *singlePieceOrigin) Manifest(context.Context, string, catalog.NamedVersion) (Manifest, error) {
 	if s.down.Load() {
 		return Manifest{}, errDown
 	}
@@ -40,41 +41,41 @@
 	return Manifest{Model: drafter.Model, Version: drafter.Version, Digests: []string{hex.EncodeToString(sum[:])}}, nil
 }
 
-func (s *source) Piece(context.Context, string, catalog.NamedVersion, int) ([]byte, error) {
+func (s *singlePieceOrigin) Piece(context.Context, string, catalog.NamedVersion, int) ([]byte, error) {
 	if s.down.Load() {
 		return nil, errDown
 	}
-	s.drawn.Add(1)
-	if s.spoilt.Add(-1) >= 0 {
+	s.fetches.Add(1)
+	if s.corrupt.Add(-1) >= 0 {
 		return []byte("spoilt"), nil
 	}
 	return s.data, nil
 }
 
-// alone is an installation of one entry.
-type alone struct{}
+// singleEntryView is a view of an installation with one entry.
+type singleEntryView struct{}
 
-func (alone) Origin() (address, site string, ok bool) { return "origin", "a", true }
+func (singleEntryView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (alone) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (singleEntryView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
 
-func (alone) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (singleEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: "e1", Site: "a"}}, map[filbertlever.HostID]string{"e1": "127.0.0.1:1"}
 }
 
 func newRelay(origin Origin) *Relay {
-	return New(relays.Entry{Host: "e1", Site: "a"}, alone{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	return New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 }
 
-// Many agents ask for one piece at the same moment; the origin's thin link must
-// carry it once.
-func TestAPieceIsDrawnOnceForAll(t *testing.T) {
+// Guards against fetching a piece several times over the origin's slow link when many
+// agents request it at once.
+func TestConcurrentRequestsFetchPieceOnce(t *testing.T) {
 	c := qt.New(t)
-	origin := &source{data: []byte("weights")}
+	origin := &singlePieceOrigin{data: []byte("weights")}
 	r := newRelay(origin)
 	results := make(chan error, 20)
 	for n := range 20 {
-		// Agents ask, and entries that take this one for the home.
+		// Requests come from agents and from entries that assume this one is the home.
 		go func() {
 			_, err := r.Piece(context.Background(), drafter, 0, relays.Role(n%2))
 			results <- err
@@ -83,24 +84,24 @@
 	for range 20 {
 		c.Assert(<-results, qt.IsNil)
 	}
-	c.Assert(origin.drawn.Load(), qt.Equals, int32(1))
+	c.Assert(origin.fetches.Load(), qt.Equals, int32(1))
 }
 
-// The origin sends a spoilt piece: it is drawn again and never passed on.
-func TestASpoiltPieceIsDrawnAgain(t *testing.T) {
+// Guards against serving a corrupt piece from the origin instead of fetching it again.
+func TestCorruptPieceIsFetchedAgain(t *testing.T) {
 	c := qt.New(t)
-	origin := &source{data: []byte("weights")}
-	origin.spoilt.Store(1)
+	origin := &singlePieceOrigin{data: []byte("weights")}
+	origin.corrupt.Store(1)
 	data, err := newRelay(origin).Piece(context.Background(), drafter, 0, relays.RoleAny)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(data), qt.Equals, "weights")
 }
 
-// The origin is down for longer than a fetch tries. The next one that asks must
-// not be told of the old failure.
-func TestAFailureIsNotRemembered(t *testing.T) {
+// Guards against returning an old failure to the next request after the origin was down
+// for longer than a fetch retries.
+func TestFailedFetchIsNotCached(t *testing.T) {
 	c := qt.New(t)
-	origin := &source{data: []byte("weights")}
+	origin := &singlePieceOrigin{data: []byte("weights")}
 	origin.down.Store(true)
 	r := newRelay(origin)
 	_, err := r.Piece(context.Background(), drafter, 0, relays.RoleAny)
@@ -110,11 +111,11 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// A piece that the version does not have, and bad queries.
-func TestBadRequests(t *testing.T) {
+// Checks the status codes for a piece that does not exist and for invalid queries.
+func TestPieceRequestStatusCodes(t *testing.T) {
 	c := qt.New(t)
 	mux := http.NewServeMux()
-	newRelay(&source{data: []byte("weights")}).Routes(mux)
+	newRelay(&singlePieceOrigin{data: []byte("weights")}).Routes(mux)
 	for query, want := range map[string]int{
 		"?Model=drafter&Version=1&Piece=0": http.StatusOK,
 		"?Model=drafter&Version=1&Piece=9": http.StatusServiceUnavailable,
@@ -127,9 +128,9 @@
 	}
 }
 
-// One piece of 32 KiB that is held, from an entry to an agent.
+// BenchmarkServePiece measures the transfer of a cached piece of 32 KiB to an agent.
 func BenchmarkServePiece(b *testing.B) {
-	r := newRelay(&source{data: make([]byte, 32<<10)})
+	r := newRelay(&singlePieceOrigin{data: make([]byte, 32<<10)})
 	mux := http.NewServeMux()
 	r.Routes(mux)
 	server := httptest.NewServer(mux)
@@ -143,34 +144,34 @@
 	}
 }
 
-// view is an installation of several entries, this one of another site than the
-// origin's.
-type view struct {
+// twoSiteView is a view of an installation with two entries at the origin's site and one
+// at another site.
+type twoSiteView struct {
 	addresses map[filbertlever.HostID]string
 }
 
-func (view) Origin() (address, site string, ok bool) { return "origin", "a", true }
+func (twoSiteView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (view) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (twoSiteView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
 
-func (v view) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v twoSiteView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: "a1", Site: "a"}, {Host: "a2", Site: "a"}, {Host: "b1", Site: "b"}}, v.addresses
 }
 
-// No server gets its weights back after a loss of power. The origin takes few
-// connections; an entry whose way to one other failed asked it directly, as did
-// all, and nobody got through. The next entry at the origin's site is asked.
-func TestAFailedEntryIsReplacedByAnotherAndNotByTheOrigin(t *testing.T) {
+// After a power failure, entries that could not reach another entry all connected to the
+// origin, which accepts few connections, and no server got its weights. They must ask the
+// next entry at the origin's site instead.
+func TestFailedEntryIsReplacedByAnotherEntry(t *testing.T) {
 	c := qt.New(t)
-	near := newRelay(&source{data: []byte("weights")})
+	relay := newRelay(&singlePieceOrigin{data: []byte("weights")})
 	mux := http.NewServeMux()
-	near.Routes(mux)
+	relay.Routes(mux)
 	alive := httptest.NewServer(mux)
 	defer alive.Close()
 	for _, dead := range []filbertlever.HostID{"a1", "a2"} {
-		v := view{addresses: map[filbertlever.HostID]string{"a1": alive.Listener.Addr().String(), "a2": alive.Listener.Addr().String()}}
+		v := twoSiteView{addresses: map[filbertlever.HostID]string{"a1": alive.Listener.Addr().String(), "a2": alive.Listener.Addr().String()}}
 		v.addresses[dead] = "127.0.0.1:1"
-		origin := &source{data: []byte("weights")}
+		origin := &singlePieceOrigin{data: []byte("weights")}
 		origin.down.Store(true)
 		r := New(relays.Entry{Host: "b1", Site: "b"}, v, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 		data, err := r.Piece(context.Background(), drafter, 0, relays.RoleAny)
@@ -179,39 +180,39 @@
 	}
 }
 
-// Two entries of one site, which do not see each other alike: each takes the
-// other for the home of a piece. An agent waited until both gave up.
-func TestEntriesWithDifferentViewsDoNotWaitForEachOther(t *testing.T) {
+// Two entries of one site with different views each assume that the other is the home of
+// a piece. They waited for each other, and the agent waited until both timed out.
+func TestEntriesWithDifferentViewsDoNotDeadlock(t *testing.T) {
 	c := qt.New(t)
-	origin := &source{data: []byte("weights")}
+	origin := &singlePieceOrigin{data: []byte("weights")}
 	addresses := map[filbertlever.HostID]string{}
-	one := New(relays.Entry{Host: "e1", Site: "a"}, onlyOther{"e2", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	two := New(relays.Entry{Host: "e2", Site: "a"}, onlyOther{"e1", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	for host, r := range map[filbertlever.HostID]*Relay{"e1": one, "e2": two} {
+	first := New(relays.Entry{Host: "e1", Site: "a"}, otherEntryView{"e2", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	second := New(relays.Entry{Host: "e2", Site: "a"}, otherEntryView{"e1", addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
+	for host, r := range map[filbertlever.HostID]*Relay{"e1": first, "e2": second} {
 		mux := http.NewServeMux()
 		r.Routes(mux)
 		server := httptest.NewServer(mux)
 		defer server.Close()
 		addresses[host] = server.Listener.Addr().String()
 	}
-	began := time.Now()
-	for _, r := range []*Relay{one, two} {
+	start := time.Now()
+	for _, r := range []*Relay{first, second} {
 		_, err := r.Piece(context.Background(), drafter, 0, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(time.Since(began) < time.Second, qt.IsTrue)
+	c.Assert(time.Since(start) < time.Second, qt.IsTrue)
 }
 
-// onlyOther is a view in which only the other entry lives.
-type onlyOther struct {
+// otherEntryView is a view in which only the other entry is alive.
+type otherEntryView struct {
 	other     filbertlever.HostID
 	addresses map[filbertlever.HostID]string
 }
 
-func (onlyOther) Origin() (address, site string, ok bool) { return "origin", "a", true }
+func (otherEntryView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (onlyOther) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (otherEntryView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
 
-func (v onlyOther) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v otherEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: v.other, Site: "a"}}, v.addresses
 }
