--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -16,7 +16,8 @@
 	return admission.Item{ID: id, Organisation: organisation, Priority: filbertlever.PriorityNormal, Cost: 1, Deadline: epoch.Add(time.Hour)}
 }
 
-func TestStartsUpToTheLimit(t *testing.T) {
+// The queue runs more items than the server can run at once.
+func TestQueueStartsItemsUpToConcurrency(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(2, 1)
 	c.Assert(q.Offer(item(1, "a"), epoch)[0].Verdict, qt.Equals, admission.VerdictStart)
@@ -29,8 +30,8 @@
 	c.Assert(next, qt.DeepEquals, []admission.Decision{{ID: 3, Verdict: admission.VerdictStart}})
 }
 
-// A small hauler's draft waits behind a thousand of a large one's.
-func TestABurstDoesNotStarveAnother(t *testing.T) {
+// A request of a small organisation waits behind a burst of a large one.
+func TestBurstDoesNotStarveOtherOrganisations(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(1, 100)
 	for id := range uint64(101) {
@@ -39,14 +40,14 @@
 	decisions := q.Offer(item(500, "small"), epoch)
 	c.Assert(decisions, qt.HasLen, 2)
 	c.Assert(decisions[0].Verdict, qt.Equals, admission.VerdictWait)
-	c.Assert(decisions[1].Reason, qt.Equals, admission.ReasonShare)
+	c.Assert(decisions[1].Reason, qt.Equals, admission.ReasonOverShare)
 	started := q.Done(0, epoch.Add(time.Millisecond))
 	c.Assert(started[0].ID, qt.Equals, uint64(500))
 }
 
-// A small hauler's first token waits for one of a large one's answers to end,
-// though the engine could batch one more.
-func TestAnIdleOrganisationStartsInTheHeadroom(t *testing.T) {
+// A request of an idle organisation waits until an answer of another one ends,
+// although the engine could batch one more.
+func TestIdleOrganisationStartsInHeadroom(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(4, 100)
 	for id := range uint64(50) {
@@ -58,7 +59,8 @@
 	c.Assert(q.Done(0, epoch), qt.HasLen, 0)
 }
 
-func TestWeightsShareTheServer(t *testing.T) {
+// Organisations don't get work done in proportion to their weights.
+func TestOrganisationsShareByWeight(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(1, 1000)
 	heavy, light := item(0, "heavy"), item(0, "light")
@@ -78,9 +80,9 @@
 	c.Assert(started[true] >= 148 && started[true] <= 152, qt.IsTrue, qt.Commentf("%v", started))
 }
 
-// A request waits for a minute and is refused when its caller has gone, though
-// it was plain at once that its deadline could not be met.
-func TestRefusesAtOnceWhatCannotMeetItsDeadline(t *testing.T) {
+// A request waits in the queue although the prediction already shows that its
+// deadline cannot be met.
+func TestQueueRefusesIfDeadlineCannotBeMet(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(1, 1000)
 	now := epoch
@@ -97,8 +99,8 @@
 	c.Assert(decision.Reason, qt.Equals, admission.ReasonDeadline)
 }
 
-// A request whose deadline passed in the queue is run all the same.
-func TestExpiresInTheQueue(t *testing.T) {
+// A request runs although its deadline passed in the queue.
+func TestWaitingItemExpires(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(1, 10)
 	q.Offer(item(1, "a"), epoch)
@@ -109,9 +111,9 @@
 	c.Assert(q.Waiting(), qt.Equals, 0)
 }
 
-// Priorities order the work of one organisation, and of it alone: marking
-// everything urgent must not push others aside.
-func TestPriorityStaysWithinTheOrganisation(t *testing.T) {
+// An organisation that marks all its requests urgent delays the requests of
+// others.
+func TestPriorityAppliesWithinOneOrganisation(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(1, 10)
 	q.Offer(item(1, "a"), epoch)
@@ -128,9 +130,9 @@
 	c.Assert(order, qt.DeepEquals, []uint64{3, 4, 2})
 }
 
-// A caller left while its request waited, and its place in the queue is never
-// given up.
-func TestWithdraw(t *testing.T) {
+// A caller disconnects while its request waits, and the request keeps its place
+// in the queue.
+func TestCancelWaitingItem(t *testing.T) {
 	c := qt.New(t)
 	q := admission.NewQueue(1, 10)
 	q.Offer(item(1, "a"), epoch)
@@ -141,16 +143,16 @@
 	c.Assert(q.Running()+q.Waiting(), qt.Equals, 0)
 }
 
-// At ten times the load nothing is answered in time any more: all of the
-// server's work goes to requests whose callers have left.
+// At ten times the load no answer is in time any more, because the server only
+// works on requests whose deadlines pass before they end.
 func TestGoodputStaysFlatUnderOverload(t *testing.T) {
 	c := qt.New(t)
 	one, ten := goodput(1), goodput(10)
 	c.Assert(float64(ten) >= 0.95*float64(one), qt.IsTrue, qt.Commentf("%d at 1x, %d at 10x", one, ten))
 }
 
-// goodput returns how many requests of a minute are answered in time by a
-// server of 8 slots at 100 ms a request, offered so many times its capacity.
+// goodput returns how many requests are answered in time within a minute by a
+// server with 8 slots and 100 ms per request, at a multiple of its capacity.
 func goodput(times int) int {
 	const slots, service = 8, 100 * time.Millisecond
 	q := admission.NewQueue(slots, 64)
@@ -188,7 +190,8 @@
 	return good
 }
 
-func TestLimitFallsUnderOverloadAndRecovers(t *testing.T) {
+// The limit does not fall to its minimum under overload, or does not recover.
+func TestLimitDecreasesUnderOverloadAndRecovers(t *testing.T) {
 	c := qt.New(t)
 	l := admission.NewLimit(20, time.Second)
 	now := epoch
--- a/internal/coordination/admission/entry.go
+++ b/internal/coordination/admission/entry.go
@@ -6,146 +6,149 @@
 	"time"
 )
 
-// EntryGate decides at an entry whether a request is sent to the best server
-// found for it, or refused at once. It answers the minutes in which more is
-// asked than all engines can do: a queue then makes every answer late, and a
-// batch gains nothing from requests that wait outside it.
+// EntryGate decides at an entry whether a request is sent to the best server found for it or refused
+// immediately. It matters while demand exceeds the capacity of all engines: a queue then makes every
+// answer late, and requests that wait outside a batch don't make it more efficient.
 type EntryGate struct {
-	// Waiting is how many requests may wait at a server, all kinds alike, so that
-	// those with a short goal are not the ones refused.
+	// MaxQueuePosition is how many requests may wait at a server. It is the same for all kinds of
+	// requests, so that those with a short goal are not the ones refused.
 	Waiting int
-	// Reading is how long a server may still read other prompts. Where it reads much,
-	// all that it has is late, also what came first.
+	// MaxPrefillWait is the longest prefill backlog of a server that gets a request. A longer one
+	// delays all requests of the server, including earlier ones.
 	Reading time.Duration
-	// LateShare is the part of the time left that the predicted first token may
-	// take.
+	// MaxRemainingShare is the largest fraction of the caller's remaining time that the predicted
+	// first token may take.
 	LateShare float64
 }
 
-// DefaultEntryGate returns the bounds used in production. Entries count each other's requests late: a
-// place that one counts as free is often taken, so a request admitted to a queue waits behind more than
-// was counted.
+// DefaultEntryGate returns the bounds used in production. Entries observe each other's requests with
+// a delay: a slot that one entry counts as free is often taken, so a request admitted to a queue waits
+// behind more requests than were counted.
 func DefaultEntryGate() EntryGate {
 	return EntryGate{Waiting: 0, Reading: 100 * time.Millisecond, LateShare: 0.3}
 }
 
-// Bounds of the time to come back.
+// Bounds of the retry delay of requests that an EntryGate refuses.
 const (
-	// earliestReturn is the least time after which a caller comes back. Some full engine mostly
-	// ends a request within it, and the answer can still be in time.
-	earliestReturn = 30 * time.Millisecond
-	// placeTime is how long one more waiting request puts off the next, as the servers of a
-	// region work in parallel.
-	placeTime = 20 * time.Millisecond
-	// returnGoal is the part of its goal after which a caller comes back at the latest where
-	// places are taken, so that its answer can still be in time.
-	returnGoal = 0.25
-	// latestReturn keeps a refused caller within a third of its usual time.
-	latestReturn = 1500 * time.Millisecond
-	// returnSpread spreads callers that were refused together.
-	returnSpread = 0.5
+	// gateMinRetryAfter is the shortest delay. Within it, one of the full engines usually finishes a
+	// request, and the answer can still be in time.
+	gateMinRetryAfter = 30 * time.Millisecond
+	// retryAfterPerSlot is the delay for each request beyond the queue limit. It is short because
+	// the servers of a region work in parallel.
+	retryAfterPerSlot = 20 * time.Millisecond
+	// retryAfterGoalShare bounds the delay for missing slots to a fraction of the caller's goal, so
+	// that the answer can still be in time.
+	retryAfterGoalShare = 0.25
+	// gateMaxRetryAfter keeps the delay within a third of a caller's usual timeout.
+	gateMaxRetryAfter = 1500 * time.Millisecond
+	// retryAfterJitter is the largest random addition, as a fraction of the delay. It spreads the
+	// retries of callers that were refused together.
+	retryAfterJitter = 0.5
 )
 
-// Forecast is what a request would meet at the best server found for it.
+// Forecast is the predicted state of the best server found for a request.
 type Forecast struct {
-	// Ahead is how many requests the server would have beyond those it runs at once, this one
-	// included; 0 or less if none has to wait.
+	// QueuePosition is how many requests the server would have above its concurrency, this one
+	// included. It is 0 or less if the request need not wait.
 	Ahead int
-	// Reading is how long the server still reads the prompts that came before.
+	// PrefillWait is how long the server still prefills earlier prompts.
 	Reading time.Duration
-	// Predicted is when the first token comes.
+	// Predicted is the predicted time to first token.
 	Predicted time.Duration
 }
 
-// Caller is what the caller of a request still has.
+// Caller holds the time limits of a request's caller.
 type Caller struct {
-	// Left is the time until its deadline.
+	// Remaining is the time until the deadline.
 	Left time.Duration
-	// Goal is the time to the first token that the caller expects; 0 if it expects none.
+	// Goal is the time to first token that the caller expects; 0 if there is none.
 	Goal time.Duration
 }
 
-// Admit reports whether a request is sent on. If not, it returns when the caller should come back,
-// spread so that callers do not return together.
+// Admit reports whether a request is sent to the server. If not, it returns the delay after which the
+// caller should retry, with jitter so that callers don't retry together.
 //
-// When a place comes free is not known, so callers ask again while they can still be answered in
-// time. When prompts will have been read is known.
+// It is unknown when a slot becomes free, so callers retry while they can still be answered in time.
+// The end of a prefill backlog is predicted, so callers wait for it.
 func (g EntryGate) Admit(f Forecast, c Caller, rng *rand.Rand) (bool, time.Duration) {
 	if f.Ahead <= g.Waiting && f.Reading <= g.Reading && f.Predicted <= time.Duration(g.LateShare*float64(c.Left)) {
 		return true, 0
 	}
-	places := time.Duration(f.Ahead-g.Waiting-1) * placeTime
+	slotDelay := time.Duration(f.Ahead-g.Waiting-1) * retryAfterPerSlot
 	if c.Goal > 0 {
-		places = min(places, time.Duration(returnGoal*float64(c.Goal)))
+		slotDelay = min(slotDelay, time.Duration(retryAfterGoalShare*float64(c.Goal)))
 	}
-	return false, ReturnTime(max(places, f.Reading-g.Reading), rng)
+	return false, ReturnTime(max(slotDelay, f.Reading-g.Reading), rng)
 }
 
-// ReturnTime returns when a caller should come back that was refused because a
-// queue is this much too long.
-func ReturnTime(over time.Duration, rng *rand.Rand) time.Duration {
-	base := min(max(over, earliestReturn), latestReturn)
-	return base + time.Duration(returnSpread*rng.Float64()*float64(base))
+// RetryAfter returns the retry delay of a caller that was refused because a queue exceeds its bound
+// by excess.
+func ReturnTime(excess time.Duration, rng *rand.Rand) time.Duration {
+	base := min(max(excess, gateMinRetryAfter), gateMaxRetryAfter)
+	return base + time.Duration(retryAfterJitter*rng.Float64()*float64(base))
 }
 
-// Times to come back when no server can take a request.
+// Bounds of the retry delay while no server can take a request.
 const (
-	// readyUnknown is the least of them when it is not known when one will: agents report
-	// within a second.
-	readyUnknown = time.Second
-	// readySpread is the least time over which callers return once servers are ready.
-	readySpread = 200 * time.Millisecond
-	// honoured is the part of the time that a caller has left which it waits at most
-	// before it comes back, and unknownShare the part of that from which on it is told
-	// to if nothing tells when a server will be ready.
-	honoured     = 1.0 / 3
-	unknownShare = 0.75
-	// outageGap is the time without such a refusal after which the next one belongs to
-	// another outage.
-	outageGap = time.Second
+	// outageMinRetryAfter is the shortest delay if it is unknown when a server will be ready. Agents
+	// report within a second.
+	outageMinRetryAfter = time.Second
+	// outageMinJitter is the shortest period over which retries are spread once servers are ready.
+	outageMinJitter = 200 * time.Millisecond
+	// outageRemainingShare is the largest fraction of a caller's remaining time that it waits before
+	// a retry.
+	outageRemainingShare = 1.0 / 3
+
+	// outageUnknownShare is the fraction of that maximum at which the delay starts if it is unknown
+	// when a server will be ready.
+	outageUnknownShare = 0.75
+
+	// outageMaxRefusalGap is the longest time between two refusals of the same outage.
+	outageMaxRefusalGap = time.Second
 )
 
-// Outage is a time in which no server of a service can take a request. The zero value
-// is none.
+// Outage is a period in which no server of a service can take a request. The zero value records no
+// outage.
 type Outage struct {
-	began, last time.Duration
+	start, lastRefusal time.Duration
 }
 
-// Refused notes that a request was refused for want of a server, and returns how long
-// that has gone on.
+// RecordRefusal records that a request was refused because no server can take it, and returns how
+// long the outage has lasted.
 func (o *Outage) Refused(now time.Duration) time.Duration {
-	if o.last == 0 || now-o.last > outageGap {
-		o.began = now
+	if o.lastRefusal == 0 || now-o.lastRefusal > outageMaxRefusalGap {
+		o.start = now
 	}
-	o.last = now
-	return now - o.began
+	o.lastRefusal = now
+	return now - o.start
 }
 
-// Ended returns how long ago the last request was refused; the time since ever if none was.
+// SinceLastRefusal returns the time since the last refusal, or the longest duration if there was
+// none.
 func (o *Outage) Ended(now time.Duration) time.Duration {
-	if o.last == 0 {
+	if o.lastRefusal == 0 {
 		return math.MaxInt64
 	}
-	return now - o.last
+	return now - o.lastRefusal
 }
 
-// Recovery is how long after an outage those who were refused in it still come back, and until what
-// they ask for has been worked off.
+// RecoveryPeriod is the time after an outage in which refused callers still retry and the servers
+// work off their requests.
 const Recovery = 4 * time.Second
 
-// ReturnWhenReady returns when a caller should come back that was refused because no
-// server holds what it needs. Ready is when one will, 0 if unknown; left is what is left
-// of the caller's time, and away how long servers have been away.
+// RetryAfterOutage returns the retry delay of a caller that was refused because no server holds the
+// weights that it needs. The time until a server is ready is readyIn, 0 if unknown; remaining is the
+// caller's remaining time, and outage is how long servers have been unavailable.
 //
-// A caller comes back once or twice. Where it is not known when a server will be ready, it gets the
-// latest time that it waits for, so that it does not come back too early for good. Where it is
-// known, those who were refused while servers were away return over as long a time.
-func ReturnWhenReady(ready, left, away time.Duration, rng *rand.Rand) time.Duration {
-	latest := time.Duration(honoured * float64(left))
-	spread := min(away, latest-ready)
-	if ready <= 0 {
-		ready = max(readyUnknown, time.Duration(unknownShare*float64(latest)))
-		spread = latest - ready
+// A caller retries once or twice. If it is unknown when a server will be ready, the caller gets nearly
+// the longest delay that it can wait, so that its last retry does not come too early. Otherwise the
+// retries are spread over as long a period as the outage has lasted.
+func ReturnWhenReady(readyIn, remaining, outage time.Duration, rng *rand.Rand) time.Duration {
+	latest := time.Duration(outageRemainingShare * float64(remaining))
+	spread := min(outage, latest-readyIn)
+	if readyIn <= 0 {
+		readyIn = max(outageMinRetryAfter, time.Duration(outageUnknownShare*float64(latest)))
+		spread = latest - readyIn
 	}
-	return ready + time.Duration(rng.Float64()*float64(max(spread, readySpread)))
+	return readyIn + time.Duration(rng.Float64()*float64(max(spread, outageMinJitter)))
 }
--- a/internal/coordination/admission/entry_test.go
+++ b/internal/coordination/admission/entry_test.go
@@ -10,9 +10,9 @@
 
 func newRng() *rand.Rand { return rand.New(rand.NewPCG(3, 4)) }
 
-// Kinds with a short goal are refused most while all engines are full, and a
-// kind's callers think the system is down. The gate looks at places alone.
-func TestTheGateTreatsAllKindsAlike(t *testing.T) {
+// While all engines are full, kinds of requests with a short goal are refused
+// more often than others. The gate must only look at the queue position.
+func TestGateTreatsAllKindsEqually(t *testing.T) {
 	c := qt.New(t)
 	gate := DefaultEntryGate()
 	for _, predicted := range []time.Duration{90 * time.Millisecond, 250 * time.Millisecond} {
@@ -23,84 +23,80 @@
 	}
 }
 
-// A request that cannot be answered in the time it has left is refused at once,
-// also if a place is free.
-func TestWhatCannotEndIsRefusedAtOnce(t *testing.T) {
-	admitted, retry := DefaultEntryGate().Admit(Forecast{Ahead: -5, Predicted: time.Second}, Caller{Left: time.Second}, newRng())
+// A request is sent to a free slot although it cannot be answered in its
+// remaining time.
+func TestGateRefusesIfDeadlineCannotBeMet(t *testing.T) {
+	admitted, retryAfter := DefaultEntryGate().Admit(Forecast{Ahead: -5, Predicted: time.Second}, Caller{Left: time.Second}, newRng())
 	qt.Assert(t, admitted, qt.IsFalse)
-	qt.Assert(t, retry > 0, qt.IsTrue)
+	qt.Assert(t, retryAfter > 0, qt.IsTrue)
 }
 
-// Callers refused together come back together and are refused again. Their
-// times are spread, and soon enough that an answer can still be in time.
-func TestRefusedCallersComeBackSpreadAndSoon(t *testing.T) {
+// Callers that were refused together retry together and are refused again, or
+// retry so late that their answers are late.
+func TestRetryAfterIsShortAndJittered(t *testing.T) {
 	c := qt.New(t)
 	rng := newRng()
 	seen := map[time.Duration]bool{}
 	for range 50 {
-		_, retry := DefaultEntryGate().Admit(Forecast{Ahead: 2, Predicted: 200 * time.Millisecond}, Caller{Left: 6 * time.Second}, rng)
-		c.Assert(retry >= earliestReturn && retry <= 2*earliestReturn, qt.IsTrue)
-		seen[retry] = true
+		_, retryAfter := DefaultEntryGate().Admit(Forecast{Ahead: 2, Predicted: 200 * time.Millisecond}, Caller{Left: 6 * time.Second}, rng)
+		c.Assert(retryAfter >= gateMinRetryAfter && retryAfter <= 2*gateMinRetryAfter, qt.IsTrue)
+		seen[retryAfter] = true
 	}
 	c.Assert(len(seen) > 40, qt.IsTrue)
 }
 
-// While weights load, callers are told to come back when they are there, not
-// before and not all in the same moment.
-func TestComeBackWhenTheWeightsAreThere(t *testing.T) {
+// While weights load, callers retry before the weights are ready, or all at the
+// same time.
+func TestRetryAfterOutageIsNotBeforeServersAreReady(t *testing.T) {
 	c := qt.New(t)
 	rng := newRng()
 	for range 50 {
-		retry := ReturnWhenReady(1800*time.Millisecond, 6*time.Second, 3*time.Second, rng)
-		c.Assert(retry >= 1800*time.Millisecond && retry <= 1800*time.Millisecond+readySpread, qt.IsTrue)
+		retryAfter := ReturnWhenReady(1800*time.Millisecond, 6*time.Second, 3*time.Second, rng)
+		c.Assert(retryAfter >= 1800*time.Millisecond && retryAfter <= 1800*time.Millisecond+outageMinJitter, qt.IsTrue)
 	}
-	c.Assert(ReturnWhenReady(0, 6*time.Second, 0, rng) >= readyUnknown, qt.IsTrue)
+	c.Assert(ReturnWhenReady(0, 6*time.Second, 0, rng) >= outageMinRetryAfter, qt.IsTrue)
 }
 
-// No server has had weights for a while, and all are ready at the same moment. Callers
-// come back once, after a third of their time at most. Told to come back after a second
-// and a bit, those who were refused early in the outage were refused for good; told to
-// come back within 0.7 s of its end, all came at once, and engines that read 20 prompts
-// a second each were full.
-func TestCallersOutlastAnOutage(t *testing.T) {
+// All servers become ready together after an outage, and callers retry once. With a delay of just
+// over 1 s, those refused early were refused again for good. With retries within 0.7 s of the end of
+// the outage, engines that prefill 20 prompts per second each were full.
+func TestRetriesAreSpreadAfterOutage(t *testing.T) {
 	c := qt.New(t)
 	rng := newRng()
-	const perSecond, outage, left = 145, 2300 * time.Millisecond, 6 * time.Second
-	// The last half second of it the load is under way, and its end known.
-	const known = outage - 500*time.Millisecond
+	const perSecond, outage, remaining = 145, 2300 * time.Millisecond, 6 * time.Second
+	// The end of the outage is predicted in its last half second, while the weights load.
+	const predictedFrom = outage - 500*time.Millisecond
 	var o Outage
 	early, busiest := 0, 0
-	returns := map[time.Duration]int{}
-	const slice = 100 * time.Millisecond
+	retries := map[time.Duration]int{}
+	const interval = 100 * time.Millisecond
 	for i := range int(outage.Seconds() * perSecond) {
 		now := time.Second + time.Duration(i)*time.Second/perSecond
-		ready := time.Duration(0)
-		if now-time.Second >= known {
-			ready = time.Second + outage - now
+		readyIn := time.Duration(0)
+		if now-time.Second >= predictedFrom {
+			readyIn = time.Second + outage - now
 		}
-		back := now + ReturnWhenReady(ready, left, o.Refused(now), rng)
-		if back < time.Second+outage {
+		retryAt := now + ReturnWhenReady(readyIn, remaining, o.Refused(now), rng)
+		if retryAt < time.Second+outage {
 			early++
 		}
-		c.Assert(back-now <= left/3+readySpread, qt.IsTrue)
-		returns[back/slice]++
-		busiest = max(busiest, returns[back/slice])
+		c.Assert(retryAt-now <= remaining/3+outageMinJitter, qt.IsTrue)
+		retries[retryAt/interval]++
+		busiest = max(busiest, retries[retryAt/interval])
 	}
-	// Only those that cannot wait so long are too early.
-	c.Assert(early < int(perSecond*(outage-left/3+500*time.Millisecond).Seconds()), qt.IsTrue, qt.Commentf("%d came too early", early))
-	c.Assert(busiest <= 2*perSecond*int(slice)/int(time.Second)+8, qt.IsTrue, qt.Commentf("%d came within %v", busiest, slice))
+	// Only callers that cannot wait until the end of the outage may retry too early.
+	c.Assert(early < int(perSecond*(outage-remaining/3+500*time.Millisecond).Seconds()), qt.IsTrue, qt.Commentf("%d callers retried too early", early))
+	c.Assert(busiest <= 2*perSecond*int(interval)/int(time.Second)+8, qt.IsTrue, qt.Commentf("%d callers retried within %v", busiest, interval))
 }
 
-// The load of a day on which 270 streams a second meet 16 engines that can run
-// 190: one region of 6 engines with 16 places, its 3 entries that know each
-// other's requests. Callers get 1.34 s answers from 16 places, so 72 a second
-// can be served; with the gate nearly all of those begin with at most one
-// request ahead, without it every queue grows until the deadline.
-func TestOverloadIsRefusedAndTheRestIsInTime(t *testing.T) {
+// Without the gate, every queue grows until the deadline under overload. Modelled on 270 streams per
+// second for 16 engines that can run 190: one region has 6 engines with 16 slots and 3 entries that
+// observe each other's requests. Answers take 1.34 s, so it can serve 72 requests per second.
+func TestGateKeepsAdmittedRequestsInTimeUnderOverload(t *testing.T) {
 	c := qt.New(t)
 	rng := newRng()
-	const engines, places, perSecond, seconds = 6, 16, 101, 20
-	const service = 1340 * time.Millisecond
+	const engines, slots, perSecond, seconds = 6, 16, 101, 20
+	const serviceTime = 1340 * time.Millisecond
 	run := func(gate EntryGate) (inTime, late int) {
 		var ends [engines][]time.Duration
 		for i := range perSecond * seconds {
@@ -118,13 +114,13 @@
 					best, fewest = e, len(live)
 				}
 			}
-			ahead := fewest + 1 - places
-			wait := time.Duration(max(ahead, 0)) * service / places
-			if ok, _ := gate.Admit(Forecast{Ahead: ahead, Predicted: 130*time.Millisecond + wait}, Caller{Left: 6 * time.Second}, rng); !ok {
+			position := fewest + 1 - slots
+			wait := time.Duration(max(position, 0)) * serviceTime / slots
+			if ok, _ := gate.Admit(Forecast{Ahead: position, Predicted: 130*time.Millisecond + wait}, Caller{Left: 6 * time.Second}, rng); !ok {
 				continue
 			}
-			length := time.Duration(rng.ExpFloat64() * float64(service))
-			ends[best] = append(ends[best], now+wait+length)
+			duration := time.Duration(rng.ExpFloat64() * float64(serviceTime))
+			ends[best] = append(ends[best], now+wait+duration)
 			if 130*time.Millisecond+wait <= 300*time.Millisecond {
 				inTime++
 			} else {
@@ -134,22 +130,22 @@
 		return inTime, late
 	}
 	inTime, late := run(DefaultEntryGate())
-	openInTime, openLate := run(EntryGate{Waiting: 1 << 20, LateShare: 1})
-	t.Logf("with the gate %d in time, %d late; without %d and %d", inTime, late, openInTime, openLate)
+	ungatedInTime, ungatedLate := run(EntryGate{Waiting: 1 << 20, LateShare: 1})
+	t.Logf("with the gate %d in time, %d late; without %d and %d", inTime, late, ungatedInTime, ungatedLate)
 	c.Assert(late, qt.Equals, 0)
-	c.Assert(inTime > 5*openInTime, qt.IsTrue)
+	c.Assert(inTime > 5*ungatedInTime, qt.IsTrue)
 	c.Assert(float64(inTime) > 0.85*72*seconds, qt.IsTrue)
 }
 
-// A thousand requests reach idle engines within half a second. Admitted by free
-// places alone, twelve prompts lay at each, and all their answers were late; those
-// beyond what is read in time are told to come back when that has been read.
-func TestABurstOfPromptsIsRefusedInTime(t *testing.T) {
+// A thousand requests reach idle engines within half a second. Admitted by free slots alone, each
+// engine had twelve prompts to prefill, and all answers were late. Requests beyond the bound must be
+// refused and retry once the backlog is prefilled.
+func TestGateRefusesIfPrefillBacklogIsTooLong(t *testing.T) {
 	c := qt.New(t)
 	gate := DefaultEntryGate()
 	admitted, _ := gate.Admit(Forecast{Ahead: -8, Reading: gate.Reading, Predicted: 300 * time.Millisecond}, Caller{Left: 6 * time.Second}, newRng())
 	c.Assert(admitted, qt.IsTrue)
-	admitted, retry := gate.Admit(Forecast{Ahead: -8, Reading: gate.Reading + 150*time.Millisecond, Predicted: 450 * time.Millisecond}, Caller{Left: 6 * time.Second}, newRng())
+	admitted, retryAfter := gate.Admit(Forecast{Ahead: -8, Reading: gate.Reading + 150*time.Millisecond, Predicted: 450 * time.Millisecond}, Caller{Left: 6 * time.Second}, newRng())
 	c.Assert(admitted, qt.IsFalse)
-	c.Assert(retry >= 150*time.Millisecond, qt.IsTrue)
+	c.Assert(retryAfter >= 150*time.Millisecond, qt.IsTrue)
 }
--- a/internal/coordination/admission/overload_test.go
+++ b/internal/coordination/admission/overload_test.go
@@ -7,76 +7,76 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// playOverload plays 6 s in which 11 engines are asked for two and a half times what they can do.
-// Callers come back once, when back says.
-func playOverload(back func(retry time.Duration) time.Duration) outcome {
-	const step, perSecond, goal, limit = 5 * time.Millisecond, 320, 400 * time.Millisecond, 6 * time.Second
+// simulateOverload runs 11 engines for 6 s at two and a half times their capacity. Refused callers
+// retry once, after the delay that delay returns.
+func simulateOverload(delay func(retryAfter time.Duration) time.Duration) answerCounts {
+	const step, perSecond, goal, timeout = 5 * time.Millisecond, 320, 400 * time.Millisecond, 6 * time.Second
 	rng, gate := newRng(), DefaultEntryGate()
-	e, got := newEngines(11), outcome{}
-	coming := map[time.Duration][]caller{}
+	e, counts := newEngines(11), answerCounts{}
+	retries := map[time.Duration][]simulatedRequest{}
 	for now := time.Duration(0); now < 9*time.Second; now += step {
-		arrivals := coming[now]
+		arrivals := retries[now]
 		if now < 6*time.Second {
 			for range int((now+step)*perSecond/time.Second) - int(now*perSecond/time.Second) {
-				arrivals = append(arrivals, caller{asked: now})
+				arrivals = append(arrivals, simulatedRequest{arrived: now})
 			}
 		}
-		for _, who := range arrivals {
-			best, ahead, reading := e.best(now)
-			first := predict(ahead, reading)
-			ok, retry := gate.Admit(Forecast{Ahead: ahead, Reading: reading, Predicted: first}, Caller{Left: limit - (now - who.asked), Goal: goal}, rng)
+		for _, r := range arrivals {
+			best, position, prefillWait := e.best(now)
+			firstToken := predictFirstToken(position, prefillWait)
+			ok, retryAfter := gate.Admit(Forecast{Ahead: position, Reading: prefillWait, Predicted: firstToken}, Caller{Left: timeout - (now - r.arrived), Goal: goal}, rng)
 			switch {
 			case ok:
-				e.run(best, now, first)
-				if now+first-who.asked <= goal {
-					got.inTime++
+				e.start(best, now, firstToken)
+				if now+firstToken-r.arrived <= goal {
+					counts.inTime++
 				} else {
-					got.late++
+					counts.late++
 				}
-			case who.back:
-				got.refused++
+			case r.retried:
+				counts.refused++
 			default:
-				again := (now + back(retry)).Truncate(step) + step
-				coming[again] = append(coming[again], caller{asked: who.asked, back: true})
+				retryAt := (now + delay(retryAfter)).Truncate(step) + step
+				retries[retryAt] = append(retries[retryAt], simulatedRequest{arrived: r.arrived, retried: true})
 			}
 		}
 	}
-	return got
+	return counts
 }
 
-// Callers that come back a second after a refusal are late whenever they get a place, and take it
-// from one that would be in time.
-func TestRefusedCallersComeBackWhileTheyCanBeInTime(t *testing.T) {
+// Callers that retry a second after a refusal are always late, and take a slot from a request that
+// would be in time.
+func TestShortRetryAfterGivesMoreAnswersInTime(t *testing.T) {
 	c := qt.New(t)
-	soon := playOverload(func(retry time.Duration) time.Duration { return retry })
-	later := playOverload(func(retry time.Duration) time.Duration { return retry + time.Second })
+	soon := simulateOverload(func(retryAfter time.Duration) time.Duration { return retryAfter })
+	later := simulateOverload(func(retryAfter time.Duration) time.Duration { return retryAfter + time.Second })
 	t.Logf("soon %+v, a second later %+v", soon, later)
 	c.Assert(soon.late, qt.Equals, 0)
 	c.Assert(soon.inTime > later.inTime, qt.IsTrue)
 }
 
-// The more requests wait, the later a caller comes back, but not so late that its answer is late; it
-// waits for prompts that are being read as long as that takes.
-func TestWhenToComeBack(t *testing.T) {
+// The retry delay must grow with the queue, but not beyond a share of the caller's goal. It must last
+// as long as a prefill backlog, within its upper bound.
+func TestRetryAfterBounds(t *testing.T) {
 	gate := DefaultEntryGate()
 	const goal = 400 * time.Millisecond
 	tests := []struct {
-		name          string
-		forecast      Forecast
-		goal          time.Duration
-		least, latest time.Duration
+		name     string
+		forecast Forecast
+		goal     time.Duration
+		min, max time.Duration
 	}{
-		{"one place is missing", Forecast{Ahead: 1}, goal, earliestReturn, 2 * earliestReturn},
-		{"three places are missing", Forecast{Ahead: 4}, goal, 3 * placeTime, 5 * placeTime},
-		{"many places are missing", Forecast{Ahead: 40}, goal, goal / 4, goal / 2},
-		{"many places are missing, without a goal", Forecast{Ahead: 40}, 0, 39 * placeTime, 2 * 39 * placeTime},
-		{"prompts are being read", Forecast{Reading: gate.Reading + 300*time.Millisecond}, goal, 300 * time.Millisecond, 450 * time.Millisecond},
-		{"prompts are being read for long", Forecast{Reading: time.Minute}, goal, latestReturn, 2 * latestReturn},
+		{"one slot is missing", Forecast{Ahead: 1}, goal, gateMinRetryAfter, 2 * gateMinRetryAfter},
+		{"three slots are missing", Forecast{Ahead: 4}, goal, 3 * retryAfterPerSlot, 5 * retryAfterPerSlot},
+		{"many slots are missing", Forecast{Ahead: 40}, goal, goal / 4, goal / 2},
+		{"many slots are missing, without a goal", Forecast{Ahead: 40}, 0, 39 * retryAfterPerSlot, 2 * 39 * retryAfterPerSlot},
+		{"short prefill backlog", Forecast{Reading: gate.Reading + 300*time.Millisecond}, goal, 300 * time.Millisecond, 450 * time.Millisecond},
+		{"long prefill backlog", Forecast{Reading: time.Minute}, goal, gateMaxRetryAfter, 2 * gateMaxRetryAfter},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			_, retry := gate.Admit(test.forecast, Caller{Left: 6 * time.Second, Goal: test.goal}, newRng())
-			qt.Assert(t, retry >= test.least && retry <= test.latest, qt.IsTrue, qt.Commentf("%v", retry))
+			_, retryAfter := gate.Admit(test.forecast, Caller{Left: 6 * time.Second, Goal: test.goal}, newRng())
+			qt.Assert(t, retryAfter >= test.min && retryAfter <= test.max, qt.IsTrue, qt.Commentf("%v", retryAfter))
 		})
 	}
 }
--- a/internal/coordination/forward/forward.go
+++ b/internal/coordination/forward/forward.go
@@ -10,8 +10,8 @@
 
 // Budget bounds further attempts.
 type Budget interface {
-	// Again takes one attempt out of the budget if there is room for it.
-	Again(attempt retry.Attempt, remaining, now time.Duration) bool
+	// Allow takes one attempt out of the budget if there is room for it.
+	Allow(attempt retry.Attempt, remaining, now time.Duration) bool
 }
 
 // Class is what may be done with a request.
@@ -57,9 +57,9 @@
 	StepTimeout
 )
 
-// unsentTries bounds connections tried for one request: after three hosts that
+// maxUnsentAttempts bounds connections tried for one request: after three hosts that
 // do not even accept one, the fault is more likely on this side.
-const unsentTries = 3
+const maxUnsentAttempts = 3
 
 // Attempts is the history of one request.
 type Attempts struct {
@@ -84,14 +84,14 @@
 // run it, or an order would be doubled. "Not run" is told only while no attempt
 // may have run, also of a request that may be repeated.
 func (a *Attempts) After(end End, budget Budget, remaining, now time.Duration, elsewhere bool) Step {
-	a.note(end)
+	a.record(end)
 	if remaining <= 0 {
 		if a.mayHaveRun {
 			return StepTimeout
 		}
 		return StepNotRun
 	}
-	if elsewhere && a.mayRepeat(end) && a.affordable(end, budget, remaining, now) {
+	if elsewhere && a.canRetry(end) && a.withinBudget(end, budget, remaining, now) {
 		return StepAgain
 	}
 	switch {
@@ -103,7 +103,7 @@
 	return StepNotRun
 }
 
-func (a *Attempts) note(end End) {
+func (a *Attempts) record(end End) {
 	switch end {
 	case EndUnsent:
 		a.unsent++
@@ -115,10 +115,10 @@
 	}
 }
 
-func (a *Attempts) mayRepeat(end End) bool {
+func (a *Attempts) canRetry(end End) bool {
 	switch end {
 	case EndUnsent:
-		return a.unsent < unsentTries
+		return a.unsent < maxUnsentAttempts
 	case EndMoved:
 		// The server meant was not reached, so it does not count as one.
 		return !a.mayHaveRun || a.Class.Repeatable
@@ -126,19 +126,19 @@
 	return a.sent < a.Class.Servers && (!a.mayHaveRun || a.Class.Repeatable)
 }
 
-// ends maps an end to what the budget of retries tells apart.
-var ends = map[End]retry.End{
+// retryEnds maps an end to what the budget of retries tells apart.
+var retryEnds = map[End]retry.End{
 	EndRefused: retry.EndRefused,
 	EndMoved:   retry.EndRefused,
 	EndLost:    retry.EndLost,
 	EndFailed:  retry.EndFailed,
 }
 
-func (a *Attempts) affordable(end End, budget Budget, remaining, now time.Duration) bool {
+func (a *Attempts) withinBudget(end End, budget Budget, remaining, now time.Duration) bool {
 	if end == EndUnsent {
 		return remaining >= retry.MinRemaining
 	}
-	return budget.Again(retry.Attempt{End: ends[end], Number: a.sent}, remaining, now)
+	return budget.Allow(retry.Attempt{End: retryEnds[end], Number: a.sent}, remaining, now)
 }
 
 var endNames = [...]string{"None", "Unsent", "Refused", "Moved", "Lost", "Failed"}
--- a/internal/coordination/forward/forward_test.go
+++ b/internal/coordination/forward/forward_test.go
@@ -9,22 +9,22 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/retry"
 )
 
-// purse allows as many further attempts as it holds.
-type purse struct{ left int }
+// countedBudget allows as many further attempts as it holds.
+type countedBudget struct{ left int }
 
-func (p *purse) Again(retry.Attempt, time.Duration, time.Duration) bool {
+func (p *countedBudget) Allow(retry.Attempt, time.Duration, time.Duration) bool {
 	p.left--
 	return p.left >= 0
 }
 
 var (
-	order  = Class{Servers: 1}
-	lookup = Class{Repeatable: true, Servers: 2}
+	runOnce    = Class{Servers: 1}
+	repeatable = Class{Repeatable: true, Servers: 2}
 )
 
 // What follows each end of a first attempt, for requests that may run once and
 // for those that may run again.
-func TestFirstAttempts(t *testing.T) {
+func TestStepAfterFirstAttempt(t *testing.T) {
 	tests := []struct {
 		name      string
 		class     Class
@@ -33,43 +33,43 @@
 		budget    int
 		want      Step
 	}{
-		{"an order that reached no server goes to another", order, EndUnsent, time.Second, 0, StepAgain},
-		{"an order that was refused is not run", order, EndRefused, time.Second, 9, StepNotRun},
-		{"an order that met another server goes on", order, EndMoved, time.Second, 9, StepAgain},
-		{"an order whose answer is lost is never sent again", order, EndLost, time.Second, 9, StepUnknown},
-		{"an order that failed is told so", order, EndFailed, time.Second, 9, StepPass},
-		{"a lookup whose answer is lost runs again", lookup, EndLost, time.Second, 9, StepAgain},
-		{"a lookup that failed runs again", lookup, EndFailed, time.Second, 9, StepAgain},
-		{"a lookup that was refused goes to another", lookup, EndRefused, time.Second, 9, StepAgain},
-		{"without budget a refusal is final", lookup, EndRefused, time.Second, 0, StepNotRun},
-		{"without budget a loss is final", lookup, EndLost, time.Second, 0, StepUnknown},
-		{"without budget a failure is passed on", lookup, EndFailed, time.Second, 0, StepPass},
-		{"out of time before any server", order, EndUnsent, 0, 9, StepNotRun},
-		{"out of time after a server", lookup, EndLost, 0, 9, StepTimeout},
+		{"an order that reached no server goes to another", runOnce, EndUnsent, time.Second, 0, StepAgain},
+		{"an order that was refused is not run", runOnce, EndRefused, time.Second, 9, StepNotRun},
+		{"an order that met another server goes on", runOnce, EndMoved, time.Second, 9, StepAgain},
+		{"an order whose answer is lost is never sent again", runOnce, EndLost, time.Second, 9, StepUnknown},
+		{"an order that failed is told so", runOnce, EndFailed, time.Second, 9, StepPass},
+		{"a lookup whose answer is lost runs again", repeatable, EndLost, time.Second, 9, StepAgain},
+		{"a lookup that failed runs again", repeatable, EndFailed, time.Second, 9, StepAgain},
+		{"a lookup that was refused goes to another", repeatable, EndRefused, time.Second, 9, StepAgain},
+		{"without budget a refusal is final", repeatable, EndRefused, time.Second, 0, StepNotRun},
+		{"without budget a loss is final", repeatable, EndLost, time.Second, 0, StepUnknown},
+		{"without budget a failure is passed on", repeatable, EndFailed, time.Second, 0, StepPass},
+		{"out of time before any server", runOnce, EndUnsent, 0, 9, StepNotRun},
+		{"out of time after a server", repeatable, EndLost, 0, 9, StepTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			a := Attempts{Class: test.class}
-			qt.Assert(t, a.After(test.end, &purse{left: test.budget}, test.remaining, 0, true), qt.Equals, test.want)
+			qt.Assert(t, a.After(test.end, &countedBudget{left: test.budget}, test.remaining, 0, true), qt.Equals, test.want)
 		})
 	}
 }
 
 // A caller is told that its lookup did not run, though the first of two servers
 // had run it. The second refused, and only that was looked at.
-func TestNotRunIsNotToldOnceAServerMayHaveRun(t *testing.T) {
+func TestNotRunIsNeverReportedOnceAServerMayHaveRun(t *testing.T) {
 	c := qt.New(t)
-	a := Attempts{Class: lookup}
-	budget := &purse{left: 9}
+	a := Attempts{Class: repeatable}
+	budget := &countedBudget{left: 9}
 	c.Assert(a.After(EndLost, budget, time.Second, 0, true), qt.Equals, StepAgain)
 	c.Assert(a.After(EndRefused, budget, time.Second, 0, true), qt.Equals, StepUnknown)
 }
 
 // A request goes from server to server. A route says how many it may be sent to.
-func TestNoMoreServersThanTheRouteAllows(t *testing.T) {
+func TestRequestIsSentToAtMostMaxServers(t *testing.T) {
 	c := qt.New(t)
-	a := Attempts{Class: lookup}
-	budget := &purse{left: 9}
+	a := Attempts{Class: repeatable}
+	budget := &countedBudget{left: 9}
 	c.Assert(a.After(EndRefused, budget, time.Second, 0, true), qt.Equals, StepAgain)
 	c.Assert(a.After(EndRefused, budget, time.Second, 0, true), qt.Equals, StepNotRun)
 	c.Assert(a.Sent(), qt.Equals, 2)
@@ -79,8 +79,8 @@
 // round all servers.
 func TestUnsentAttemptsAreBounded(t *testing.T) {
 	c := qt.New(t)
-	a := Attempts{Class: order}
-	budget := &purse{left: 9}
+	a := Attempts{Class: runOnce}
+	budget := &countedBudget{left: 9}
 	steps := []Step{}
 	for range 3 {
 		steps = append(steps, a.After(EndUnsent, budget, time.Second, 0, true))
@@ -91,15 +91,15 @@
 // Every order of ends of three attempts, for both classes: a request that may
 // run once is never sent again after it may have run, and "not run" is only
 // said if no attempt may have run.
-func TestAnyOrderOfEnds(t *testing.T) {
+func TestNoOrderOfEndsRepeatsRunOnceRequests(t *testing.T) {
 	ends := []End{EndUnsent, EndRefused, EndMoved, EndLost, EndFailed}
-	for _, class := range []Class{order, lookup} {
+	for _, class := range []Class{runOnce, repeatable} {
 		for code := range len(ends) * len(ends) * len(ends) {
 			a := Attempts{Class: class}
 			mayHaveRun := false
 			for _, end := range []End{ends[code%5], ends[code/5%5], ends[code/25]} {
 				mayHaveRun = mayHaveRun || end == EndLost || end == EndFailed
-				step := a.After(end, &purse{left: 99}, time.Second, 0, true)
+				step := a.After(end, &countedBudget{left: 99}, time.Second, 0, true)
 				if mayHaveRun && !class.Repeatable {
 					qt.Assert(t, step, qt.Not(qt.Equals), StepAgain)
 				}
--- a/internal/coordination/outcome/outcome.go
+++ b/internal/coordination/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome tells from an entry's log lines what became of callers' requests, by
-// second and cause: what was refused, late or broken.
+// Package outcome classifies the requests of callers from the log lines of entries: how each request
+// ended, and why it was refused, late or incomplete, by second.
 package outcome
 
 import (
@@ -10,52 +10,54 @@
 	"time"
 )
 
-// Line is what is used of a line of an entry's log. Fields that a line does not have are
-// empty.
+// Line holds the fields of an entry's log line that are evaluated. Fields that a line lacks are empty.
 type Line struct {
 	Time    time.Time
 	Message string
 	Request string
-	// Fingerprint is what stays the same between the tries of a caller that is refused.
+	// Fingerprint is common to all attempts of a caller that is refused and retries.
 	Fingerprint string
-	// Status is that of the final answer.
+	// Status is the status code of the final answer.
 	Status int
 	// Reason says why the entry itself ended the request.
 	Reason string
-	// Took is from the request's arrival to its end, and First to the first byte of its
-	// answer, 0 if there was none; both in milliseconds.
-	Took, First float64
-	// Servers is how many backend servers made a stream.
+	// Duration is the time from the request's arrival to its end in milliseconds.
+	Duration float64 `json:"Took"`
+	// FirstByte is the time from the request's arrival to the first byte of its answer in
+	// milliseconds, 0 if there was none.
+	FirstByte float64 `json:"First"`
+	// Servers is how many backend servers contributed to a stream.
 	Servers int
 	// End is how an attempt ended.
 	End string
-	// Ahead is how many requests a server had beyond what it runs at once, and Reading
-	// how long it still read prompts, in milliseconds, when an attempt was placed there.
-	Ahead   int
-	Reading float64
-	// Cut is true if the answer was predicted to be broken off for a change of weights.
-	Cut bool
-	// Waited is how long the request waited for a place, in milliseconds.
-	Waited float64
+	// QueuePosition is how many requests the server had above its concurrency when an attempt was
+	// sent there.
+	QueuePosition int `json:"Ahead"`
+	// PrefillWait is the server's prefill backlog at that time in milliseconds.
+	PrefillWait float64 `json:"Reading"`
+	// WillInterrupt is true if a change of weights was predicted to interrupt the answer.
+	WillInterrupt bool `json:"Cut"`
+	// EntryQueueTime is how long the request waited at the entry for a slot, in milliseconds.
+	EntryQueueTime float64 `json:"Waited"`
 }
 
-// Statuses of HTTP that tell kinds apart.
+// HTTP status codes that separate kinds.
 const (
-	statusCallersFault = 400
-	statusServerFailed = 500
-	statusNotRun       = 503
+	statusClientError = 400
+	statusServerError = 500
+	statusUnavailable = 503
 )
 
-// Messages of the lines that are used.
+// Messages of the log lines that are evaluated.
 const (
-	messageEnded   = "request ended"
-	messagePlaced  = "placed"
-	messageAttempt = "attempt ended"
-	messageBack    = "attempt taken back"
-	messageWaited  = "waited for a place"
+	messageRequestEnded     = "request ended"
+	messagePlaced           = "placed"
+	messageAttemptEnded     = "attempt ended"
+	messageAttemptCancelled = "attempt taken back"
+	messageEntryQueued      = "waited for a place"
 )
 
-// Kind is what became of a request, as its caller sees it.
+// Kind is how a request ended, as its caller sees it.
 type Kind string
 
 // The kinds.
@@ -63,45 +65,47 @@
 	// KindInTime is an answer that began within the goal.
 	KindInTime Kind = "InTime"
 	KindLate   Kind = "Late"
-	// KindRefused is a request that did not run, and was told when to come back.
+	// KindRefused is a request that did not run and got a retry delay.
 	KindRefused Kind = "Refused"
-	// KindRefusedAgain is one that had been refused shortly before, at any entry.
+	// KindRefusedAgain is a refused request whose caller had been refused shortly before, at any
+	// entry.
 	KindRefusedAgain Kind = "RefusedAgain"
-	// KindBroken is an answer that is not whole, or unknown.
+	// KindBroken is an answer that is incomplete or unknown.
 	KindBroken Kind = "Broken"
-	// KindFault is the caller's own fault, as an unknown key.
+	// KindCallerError is an error of the caller, such as an unknown key.
 	KindFault Kind = "CallersFault"
-	KindLeft  Kind = "CallerLeft"
+	// KindCallerDisconnected is a request whose caller disconnected.
+	KindLeft Kind = "CallerLeft"
 )
 
 // Cause is why a request is of its kind.
 type Cause string
 
-// The causes. Of a late answer it is the first that fits, in this order.
+// The causes. A late answer gets the first one that applies, in this order.
 const (
 	CauseNone Cause = ""
-	// CauseWaited: it waited at the entry for a place.
-	CauseWaited Cause = "WaitedForAPlace"
-	// CauseTakenBack: it was taken back from a server whose weights were to be old.
-	CauseTakenBack Cause = "TakenBack"
-	// CauseTurnedAway: a server did not run it, and it was placed again.
-	CauseTurnedAway Cause = "TurnedAway"
-	// CauseAgain: an attempt was lost or failed, and it was placed again.
-	CauseAgain Cause = "LostAndPlacedAgain"
-	// CauseChange: its server was about to change its weights.
-	CauseChange Cause = "ChangeOfWeights"
-	// CauseReading: its server read prompts for a third of the goal and more.
-	CauseReading Cause = "ReadPrompts"
-	// CauseQueue: it was placed where others waited.
-	CauseQueue Cause = "Queue"
-	// CauseSlow: none of these; its server took longer than predicted.
-	CauseSlow Cause = "SlowServer"
-	// CauseOther: a reason that has no name here.
+	// CauseEntryQueue: the request waited at the entry for a slot.
+	CauseEntryQueue Cause = "WaitedForAPlace"
+	// CauseCancelled: an attempt was cancelled because the server's weights were to become outdated.
+	CauseCancelled Cause = "TakenBack"
+	// CauseServerRefused: a server did not run the request, and it was sent to another one.
+	CauseServerRefused Cause = "TurnedAway"
+	// CauseRetried: an attempt was lost or failed, and the request was sent to another server.
+	CauseRetried Cause = "LostAndPlacedAgain"
+	// CauseVersionChange: the server was about to change its weights.
+	CauseVersionChange Cause = "ChangeOfWeights"
+	// CausePrefill: the server's prefill backlog took at least a third of the goal.
+	CausePrefill Cause = "ReadPrompts"
+	// CauseServerQueue: the request was sent to a server where others waited.
+	CauseServerQueue Cause = "Queue"
+	// CauseSlowServer: none of these. The server took longer than predicted.
+	CauseSlowServer Cause = "SlowServer"
+	// CauseOther: a reason without a cause of its own.
 	CauseOther Cause = "Other"
 )
 
-// reasons are causes by the beginning of an entry's own reason.
-var reasons = []struct {
+// reasonCauses maps the beginning of an entry's reason to a cause.
+var reasonCauses = []struct {
 	reason string
 	cause  Cause
 }{
@@ -119,40 +123,41 @@
 	{"this request is being tried", "Quarantined"},
 }
 
-// Row is a number of requests that came in one second, of one kind and cause.
+// Row is the number of requests that arrived in one second, of one kind and cause.
 type Row struct {
-	// Second is in Unix time.
+	// Second is the second of arrival in Unix time.
 	Second   int64
 	Kind     Kind
 	Cause    Cause
 	Requests int
 }
 
-// openMost bounds the requests of one entry that are remembered until they end. The oldest is
-// forgotten, and then has no cause.
-const openMost = 12_000
+// maxOpenRequests bounds the requests of one entry that are kept until they end. The oldest is evicted
+// first. What its lines said is then not counted.
+const maxOpenRequests = 12_000
 
-// notes is what was seen of a request that has not ended.
-type notes struct {
-	waited, back, turnedAway, again, cut, queue bool
-	reading                                     float64
+// openRequest holds what the lines said about a request that has not ended.
+type openRequest struct {
+	entryQueued, cancelled, refused, retried, willInterrupt, serverQueued bool
+	prefillWait                                                           float64
 }
 
-// cell is where a request is counted.
-type cell struct {
+// counterKey identifies a counter of requests.
+type counterKey struct {
 	second int64
 	kind   Kind
 	cause  Cause
 }
 
-// Tally counts the requests of one entry's lines, which come in order.
+// Tally counts the requests of one entry. The entry's log lines must be added in order.
 type Tally struct {
-	// goal is the time to the first byte from which an answer is late.
-	goal  time.Duration
-	open  map[string]*notes
-	order []string
-	cells map[cell]int
-	// refusals are those of requests that can be recognised, the latest refusalsMost.
+	// goal is the time to first byte above which an answer is late.
+	goal time.Duration
+	// open holds the requests that have not ended, and order their IDs from the oldest.
+	open   map[string]*openRequest
+	order  []string
+	counts map[counterKey]int
+	// refusals are the latest maxRefusals refused requests that have a fingerprint.
 	refusals []refusal
 }
 
@@ -160,107 +165,108 @@
 type refusal struct {
 	fingerprint string
 	arrived     time.Time
-	at          cell
+	key         counterKey
 }
 
 // Bounds of refusals.
 const (
-	// refusalsMost bounds those that are remembered of an entry.
-	refusalsMost = 180_000
-	// againMost is the longest time after a refusal in which its caller comes back.
-	againMost = 6 * time.Second
+	// maxRefusals bounds the refusals kept per entry.
+	maxRefusals = 180_000
+	// maxReturnDelay is the longest time after a refusal in which its caller retries.
+	maxReturnDelay = 6 * time.Second
 )
 
 // New returns a tally for a goal.
 func New(goal time.Duration) *Tally {
-	return &Tally{goal: goal, open: map[string]*notes{}, cells: map[cell]int{}}
+	return &Tally{goal: goal, open: map[string]*openRequest{}, counts: map[counterKey]int{}}
 }
 
-// Take takes one line.
+// Add evaluates one log line.
 func (t *Tally) Take(line *Line) {
-	if line.Request == "" && line.Message != messageEnded {
+	if line.Request == "" && line.Message != messageRequestEnded {
 		return
 	}
 	switch line.Message {
 	case messagePlaced:
-		n := t.note(line.Request)
-		n.cut, n.queue, n.reading = line.Cut, line.Ahead > 0, line.Reading
-	case messageAttempt:
-		n := t.note(line.Request)
+		r := t.openRequest(line.Request)
+		r.willInterrupt, r.serverQueued, r.prefillWait = line.WillInterrupt, line.QueuePosition > 0, line.PrefillWait
+	case messageAttemptEnded:
+		r := t.openRequest(line.Request)
 		refused := line.End == "Refused" || line.End == "Moved" || line.End == "Unsent"
-		n.turnedAway, n.again = n.turnedAway || refused, n.again || !refused
-	case messageBack:
-		t.note(line.Request).back = true
-	case messageWaited:
-		n := t.note(line.Request)
-		n.waited = n.waited || line.Waited > 0
-	case messageEnded:
-		t.end(line)
+		r.refused, r.retried = r.refused || refused, r.retried || !refused
+	case messageAttemptCancelled:
+		t.openRequest(line.Request).cancelled = true
+	case messageEntryQueued:
+		r := t.openRequest(line.Request)
+		r.entryQueued = r.entryQueued || line.EntryQueueTime > 0
+	case messageRequestEnded:
+		t.endRequest(line)
 	}
 }
 
-// note returns the notes of a request that has not ended.
-func (t *Tally) note(request string) *notes {
-	if n, ok := t.open[request]; ok {
-		return n
+// openRequest returns the state of a request that has not ended, and creates it if needed.
+func (t *Tally) openRequest(request string) *openRequest {
+	if r, ok := t.open[request]; ok {
+		return r
 	}
 	t.order = append(t.order, request)
-	for len(t.order) > openMost {
+	for len(t.order) > maxOpenRequests {
 		delete(t.open, t.order[0])
 		t.order = t.order[1:]
 	}
-	n := &notes{}
-	t.open[request] = n
-	return n
+	r := &openRequest{}
+	t.open[request] = r
+	return r
 }
 
-func (t *Tally) end(line *Line) {
-	n := t.open[line.Request]
-	if n == nil {
-		n = &notes{}
+// endRequest counts a request that ended.
+func (t *Tally) endRequest(line *Line) {
+	r := t.open[line.Request]
+	if r == nil {
+		r = &openRequest{}
 	}
 	delete(t.open, line.Request)
-	kind := kindOf(line, t.goal)
-	arrived := line.Time.Add(-milliseconds(line.Took))
-	at := cell{second: arrived.Unix(), kind: kind, cause: t.cause(kind, line, n)}
-	t.cells[at]++
+	kind := classify(line, t.goal)
+	arrived := line.Time.Add(-milliseconds(line.Duration))
+	key := counterKey{second: arrived.Unix(), kind: kind, cause: t.cause(kind, line, r)}
+	t.counts[key]++
 	if kind == KindRefused && line.Fingerprint != "" {
-		t.refusals = append(t.refusals, refusal{line.Fingerprint, arrived, at})
-		t.refusals = t.refusals[max(len(t.refusals)-refusalsMost, 0):]
+		t.refusals = append(t.refusals, refusal{line.Fingerprint, arrived, key})
+		t.refusals = t.refusals[max(len(t.refusals)-maxRefusals, 0):]
 	}
 }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func kindOf(line *Line, goal time.Duration) Kind {
+func classify(line *Line, goal time.Duration) Kind {
 	switch {
 	case strings.HasPrefix(line.Reason, "the caller left"):
 		return KindLeft
 	case strings.HasPrefix(line.Reason, "the answer broke off"):
 		return KindBroken
-	case line.Status == statusNotRun:
+	case line.Status == statusUnavailable:
 		return KindRefused
-	case line.Status >= statusServerFailed:
+	case line.Status >= statusServerError:
 		return KindBroken
-	case line.Status >= statusCallersFault:
+	case line.Status >= statusClientError:
 		return KindFault
-	case milliseconds(cmp.Or(line.First, line.Took)) > goal:
+	case milliseconds(cmp.Or(line.FirstByte, line.Duration)) > goal:
 		return KindLate
 	}
 	return KindInTime
 }
 
-func (t *Tally) cause(kind Kind, line *Line, n *notes) Cause {
+func (t *Tally) cause(kind Kind, line *Line, r *openRequest) Cause {
 	switch kind {
 	case KindLate:
-		return t.lateCause(line, n)
+		return t.lateCause(line, r)
 	case KindRefused, KindBroken:
-		for _, known := range reasons {
-			if strings.HasPrefix(line.Reason, known.reason) {
-				return known.cause
+		for _, entry := range reasonCauses {
+			if strings.HasPrefix(line.Reason, entry.reason) {
+				return entry.cause
 			}
 		}
-		if line.Reason == "" && line.Status == statusServerFailed {
+		if line.Reason == "" && line.Status == statusServerError {
 			return "ServersOwnFailure"
 		}
 		return CauseOther
@@ -268,66 +274,66 @@
 	return CauseNone
 }
 
-func (t *Tally) lateCause(line *Line, n *notes) Cause {
-	const readingShare = 3
+func (t *Tally) lateCause(line *Line, r *openRequest) Cause {
+	const prefillGoalDivisor = 3
 	switch {
-	case n.waited:
-		return CauseWaited
-	case n.back:
-		return CauseTakenBack
-	case n.turnedAway:
-		return CauseTurnedAway
-	case n.again || line.Servers > 1:
-		return CauseAgain
-	case n.cut:
-		return CauseChange
-	case milliseconds(n.reading) >= t.goal/readingShare:
-		return CauseReading
-	case n.queue:
-		return CauseQueue
+	case r.entryQueued:
+		return CauseEntryQueue
+	case r.cancelled:
+		return CauseCancelled
+	case r.refused:
+		return CauseServerRefused
+	case r.retried || line.Servers > 1:
+		return CauseRetried
+	case r.willInterrupt:
+		return CauseVersionChange
+	case milliseconds(r.prefillWait) >= t.goal/prefillGoalDivisor:
+		return CausePrefill
+	case r.serverQueued:
+		return CauseServerQueue
 	}
-	return CauseSlow
+	return CauseSlowServer
 }
 
-// Day is the sum over entries. The zero value is empty.
+// Totals holds the sums over entries. The zero value is empty.
 type Day struct {
-	cells    map[cell]int
+	counts   map[counterKey]int
 	refusals []refusal
 }
 
-// Add adds an entry's requests.
+// Add adds the requests of an entry.
 func (d *Day) Add(t *Tally) {
-	if d.cells == nil {
-		d.cells = map[cell]int{}
+	if d.counts == nil {
+		d.counts = map[counterKey]int{}
 	}
-	for at, n := range t.cells {
-		d.cells[at] += n
+	for key, n := range t.counts {
+		d.counts[key] += n
 	}
 	d.refusals = append(d.refusals, t.refusals...)
 }
 
-// Rows returns the counts by second, kind and cause. A request that came back after a
-// refusal and was refused again, by whichever entry, is of a kind of its own.
+// Rows returns the counts by second, kind and cause. A request that was refused, retried and refused
+// again, by any entry, is counted as KindRefusedAgain.
 func (d *Day) Rows() []Row {
-	cells := maps.Clone(d.cells)
+	counts := maps.Clone(d.counts)
 	slices.SortStableFunc(d.refusals, func(a, b refusal) int { return a.arrived.Compare(b.arrived) })
 	last := map[string]time.Time{}
 	for _, r := range d.refusals {
 		before, ok := last[r.fingerprint]
 		last[r.fingerprint] = r.arrived
-		if !ok || r.arrived.Sub(before) > againMost {
+		if !ok || r.arrived.Sub(before) > maxReturnDelay {
 			continue
 		}
-		if cells[r.at]--; cells[r.at] == 0 {
-			delete(cells, r.at)
+		if counts[r.key]--; counts[r.key] == 0 {
+			delete(counts, r.key)
 		}
-		again := r.at
+		again := r.key
 		again.kind = KindRefusedAgain
-		cells[again]++
+		counts[again]++
 	}
-	rows := make([]Row, 0, len(cells))
-	for at, n := range cells {
-		rows = append(rows, Row{Second: at.second, Kind: at.kind, Cause: at.cause, Requests: n})
+	rows := make([]Row, 0, len(counts))
+	for key, n := range counts {
+		rows = append(rows, Row{Second: key.second, Kind: key.kind, Cause: key.cause, Requests: n})
 	}
 	sortRows(rows)
 	return rows
--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -7,38 +7,38 @@
 
 // Config holds the shares of a Budget.
 type Config struct {
-	// Share is how many retries each fresh request earns.
-	Share float64
+	// Ratio is how many retries each fresh request earns.
+	Ratio float64
 	// Burst bounds the retries saved up.
 	Burst float64
-	// LossShare and LossBurst are the same for attempts lost to a dead host,
+	// LossRatio and LossBurst are the same for attempts lost to a dead host,
 	// which come in bursts of one host's streams and are no sign of overload.
-	LossShare float64
+	LossRatio float64
 	LossBurst float64
 }
 
 // DefaultConfig returns the shares used in production.
 func DefaultConfig() Config {
-	return Config{Share: 0.05, Burst: 2, LossShare: 0.1, LossBurst: 200}
+	return Config{Ratio: 0.05, Burst: 2, LossRatio: 0.1, LossBurst: 200}
 }
 
 // Budget bounds retries to a share of fresh requests. It is not safe for
 // concurrent use.
 type Budget struct {
-	config Config
-	saved  float64
-	loss   float64
+	config     Config
+	tokens     float64
+	lossTokens float64
 }
 
 // NewBudget returns a full budget.
 func NewBudget(config Config) *Budget {
-	return &Budget{config: config, saved: config.Burst, loss: config.LossBurst}
+	return &Budget{config: config, tokens: config.Burst, lossTokens: config.LossBurst}
 }
 
 // Fresh notes a fresh request.
 func (b *Budget) Fresh() {
-	b.saved = min(b.saved+b.config.Share, b.config.Burst)
-	b.loss = min(b.loss+b.config.LossShare, b.config.LossBurst)
+	b.tokens = min(b.tokens+b.config.Ratio, b.config.Burst)
+	b.lossTokens = min(b.lossTokens+b.config.LossRatio, b.config.LossBurst)
 }
 
 // End is how an attempt ended without finishing the answer.
@@ -85,12 +85,12 @@
 		return true
 	}
 	if attempt.End == EndLost {
-		return take(&b.loss) || take(&b.saved)
+		return takeToken(&b.lossTokens) || takeToken(&b.tokens)
 	}
-	return take(&b.saved)
+	return takeToken(&b.tokens)
 }
 
-func take(saved *float64) bool {
+func takeToken(saved *float64) bool {
 	if *saved < 1 {
 		return false
 	}
--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -11,7 +11,7 @@
 
 // A brown-out of the model engines turns into an outage: every request is
 // tried four times, and the retries keep the engines overloaded.
-func TestRetriesStayAShareOfFreshRequests(t *testing.T) {
+func TestRetriesAreBoundedByShareOfRequests(t *testing.T) {
 	c := qt.New(t)
 	config := retry.DefaultConfig()
 	budget := retry.NewBudget(config)
@@ -23,11 +23,11 @@
 			retries++
 		}
 	}
-	c.Assert(float64(retries) <= fresh*config.Share+config.Burst, qt.IsTrue, qt.Commentf("%d retries", retries))
+	c.Assert(float64(retries) <= fresh*config.Ratio+config.Burst, qt.IsTrue, qt.Commentf("%d retries", retries))
 }
 
 // A request is tried again when its deadline has all but passed.
-func TestNoRetryPastTheDeadline(t *testing.T) {
+func TestNoRetryNearDeadlineOrBeyondMaxAttempts(t *testing.T) {
 	c := qt.New(t)
 	budget := retry.NewBudget(retry.DefaultConfig())
 	c.Assert(budget.Again(retry.Attempt{End: retry.EndLost, Number: 1}, time.Millisecond), qt.IsFalse)
@@ -37,7 +37,7 @@
 
 // A host dies with a hundred answers half written while refusals have used the
 // budget up, and a hundred callers get half an answer.
-func TestLostStreamsHaveABudgetOfTheirOwn(t *testing.T) {
+func TestLostAttemptsHaveSeparateBudget(t *testing.T) {
 	c := qt.New(t)
 	budget := retry.NewBudget(retry.DefaultConfig())
 	for budget.Again(retry.Attempt{End: retry.EndRefused, Number: 1}, time.Minute) {
--- a/internal/coordination/retry/window_test.go
+++ b/internal/coordination/retry/window_test.go
@@ -11,7 +11,7 @@
 // Servers get more repeats than the users allow while half of them fail. Each
 // entry counts within the same sliding time as the users do; whatever comes when,
 // no window of that length may hold more than the entry's part.
-func TestNoWindowHoldsMoreThanItsPart(t *testing.T) {
+func TestRetriesStayWithinSlidingWindowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := SharedWindow(10*time.Second, 0.2, 104, 8)
 		w := NewWindow(config)
@@ -28,13 +28,13 @@
 				marks = append(marks, mark{at: now})
 				continue
 			}
-			if w.Again(Attempt{End: EndLost}, time.Second, now) {
+			if w.Allow(Attempt{End: EndLost}, time.Second, now) {
 				marks = append(marks, mark{at: now, extra: true})
 			}
 		}
 		for end := range marks {
 			extra, fresh := 0, 0
-			for i := end; i >= 0 && marks[end].at-marks[i].at < config.Length*(windowParts-1)/windowParts; i-- {
+			for i := end; i >= 0 && marks[end].at-marks[i].at < config.Length*(windowBuckets-1)/windowBuckets; i-- {
 				if marks[i].extra {
 					extra++
 				} else {
@@ -56,17 +56,17 @@
 
 // Overload uses up all retries on refusals, and answers that break off have none
 // left. Half is kept for them.
-func TestRefusalsLeaveRoomForLosses(t *testing.T) {
+func TestRefusalRetriesLeaveBudgetForLostAttempts(t *testing.T) {
 	c := qt.New(t)
 	w := NewWindow(WindowConfig{Length: 10 * time.Second, Slack: 10})
 	refused, lost := 0, 0
 	for range 20 {
-		if w.Again(Attempt{End: EndRefused}, time.Second, time.Second) {
+		if w.Allow(Attempt{End: EndRefused}, time.Second, time.Second) {
 			refused++
 		}
 	}
 	for range 20 {
-		if w.Again(Attempt{End: EndLost}, time.Second, time.Second) {
+		if w.Allow(Attempt{End: EndLost}, time.Second, time.Second) {
 			lost++
 		}
 	}
@@ -75,16 +75,16 @@
 }
 
 // After a quiet time the whole part is there again.
-func TestTheWindowSlides(t *testing.T) {
+func TestWindowBudgetRecovers(t *testing.T) {
 	c := qt.New(t)
 	w := NewWindow(WindowConfig{Length: 10 * time.Second, Slack: 1})
-	c.Assert(w.Again(Attempt{End: EndLost}, time.Second, time.Second), qt.IsTrue)
-	c.Assert(w.Again(Attempt{End: EndLost}, time.Second, 5*time.Second), qt.IsFalse)
-	c.Assert(w.Again(Attempt{End: EndLost}, time.Second, 12*time.Second), qt.IsTrue)
+	c.Assert(w.Allow(Attempt{End: EndLost}, time.Second, time.Second), qt.IsTrue)
+	c.Assert(w.Allow(Attempt{End: EndLost}, time.Second, 5*time.Second), qt.IsFalse)
+	c.Assert(w.Allow(Attempt{End: EndLost}, time.Second, 12*time.Second), qt.IsTrue)
 }
 
 // A try that cannot end before the deadline only costs.
-func TestNoTryWithoutTime(t *testing.T) {
+func TestWindowAllowsNoRetryNearDeadline(t *testing.T) {
 	w := NewWindow(WindowConfig{Length: 10 * time.Second, Slack: 10})
-	qt.Assert(t, w.Again(Attempt{End: EndLost}, time.Millisecond, 0), qt.IsFalse)
+	qt.Assert(t, w.Allow(Attempt{End: EndLost}, time.Millisecond, 0), qt.IsFalse)
 }
--- a/internal/coordination/routing/policies.go
+++ b/internal/coordination/routing/policies.go
@@ -17,40 +17,40 @@
 	PolicyTwoRandom Policy = "TwoRandom"
 )
 
-// picker returns one of hosts, which are fit.
-type picker func(r *Router, hosts []int32) int32
+// pickFunc returns one of hosts, which are fit.
+type pickFunc func(r *Router, hosts []int32) int32
 
-var policies = map[Policy]picker{
-	PolicyRoundRobin:    pickNext,
-	PolicyLeastReported: pickLeast,
-	PolicyTwoRandom:     pickOfTwo,
+var pickFuncs = map[Policy]pickFunc{
+	PolicyRoundRobin:    pickRoundRobin,
+	PolicyLeastReported: pickLeastReported,
+	PolicyTwoRandom:     pickTwoRandom,
 }
 
-func (r *Router) chooseBy(pick picker, p *pool, request *Request) Choice {
-	fit := slices.DeleteFunc(slices.Clone(p.hosts), func(i int32) bool { return !r.fit(i, request.Avoid) })
+func (r *Router) chooseByPolicy(pick pickFunc, p *pool, request *Request) Choice {
+	fit := slices.DeleteFunc(slices.Clone(p.hosts), func(i int32) bool { return !r.eligible(i, request.Avoid) })
 	if len(fit) == 0 {
 		return Choice{Reason: ReasonNone}
 	}
 	i := pick(r, fit)
-	r.sent(i, 0)
+	r.recordSent(i, 0)
 	return Choice{Host: r.hosts[i].id, Reason: Reason(r.config.Policy)}
 }
 
-func pickNext(r *Router, hosts []int32) int32 {
-	r.turn++
-	return hosts[r.turn%len(hosts)]
+func pickRoundRobin(r *Router, hosts []int32) int32 {
+	r.roundRobin++
+	return hosts[r.roundRobin%len(hosts)]
 }
 
-func pickLeast(r *Router, hosts []int32) int32 {
-	return slices.MinFunc(hosts, func(a, b int32) int { return r.reported(a) - r.reported(b) })
+func pickLeastReported(r *Router, hosts []int32) int32 {
+	return slices.MinFunc(hosts, func(a, b int32) int { return r.reportedLoad(a) - r.reportedLoad(b) })
 }
 
-func pickOfTwo(r *Router, hosts []int32) int32 {
+func pickTwoRandom(r *Router, hosts []int32) int32 {
 	a, b := hosts[r.rng.IntN(len(hosts))], hosts[r.rng.IntN(len(hosts))]
-	if r.reported(b) < r.reported(a) {
+	if r.reportedLoad(b) < r.reportedLoad(a) {
 		return b
 	}
 	return a
 }
 
-func (r *Router) reported(i int32) int { return r.hosts[i].load.Running + r.hosts[i].load.Queued }
+func (r *Router) reportedLoad(i int32) int { return r.hosts[i].load.Running + r.hosts[i].load.Queued }
--- a/internal/coordination/routing/pool.go
+++ b/internal/coordination/routing/pool.go
@@ -45,9 +45,9 @@
 func (p *pool) add(i int32, id filbertlever.HostID) {
 	p.hosts = append(p.hosts, i)
 	point := xxhash.Sum64String(string(id))
-	for range ringPoints {
+	for range ringPointsPerHost {
 		// Steps of a golden-ratio generator spread a host's points.
-		point = mix(point)
+		point = splitmix64(point)
 		p.ring = append(p.ring, ringPoint{hash: point, host: i})
 	}
 	p.unsorted = true
@@ -65,8 +65,8 @@
 	p.ring = slices.DeleteFunc(p.ring, func(point ringPoint) bool { return point.host == i })
 }
 
-// mix is the output function of splitmix64 (Steele, Lea and Flood, 2014).
-func mix(x uint64) uint64 {
+// splitmix64 is the output function of splitmix64 (Steele, Lea and Flood, 2014).
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/coordination/routing/predict.go
+++ b/internal/coordination/routing/predict.go
@@ -12,7 +12,7 @@
 func (r *Router) predict(i int32, request *Request, owner bool) time.Duration {
 	h := &r.hosts[i]
 	prefill := float64(request.PromptTokens)
-	if owner || r.hit(i, request.Prefix) {
+	if owner || r.prefixCached(i, request.Prefix) {
 		prefill *= 1 - r.config.HitShare
 	}
 	predicted := time.Duration(prefill * float64(r.config.PrefillToken))
@@ -24,66 +24,66 @@
 	}
 	if request.Now > 0 {
 		// An engine reads prompts one after the other and makes no token meanwhile.
-		predicted += max(h.readUntil-request.Now, 0) + h.biasNow(request.Now)
+		predicted += max(h.prefillUntil-request.Now, 0) + h.currentBias(request.Now)
 	}
-	return predicted + r.config.FirstToken + r.wait(h)
+	return predicted + r.config.FirstToken + r.predictWait(h)
 }
 
-// wait predicts the queueing time: what the report says, corrected by what
+// predictWait predicts the queueing time: what the report says, corrected by what
 // was sent since. Below the concurrency limit a busier host is still a little
 // slower, since engines batch.
-func (r *Router) wait(h *host) time.Duration {
+func (r *Router) predictWait(h *host) time.Duration {
 	concurrency := max(h.load.Concurrency, 1)
-	busy := h.load.Running + h.load.Queued + h.sent
-	over := h.over()
+	busy := h.load.Running + h.load.Queued + h.inFlight
+	over := h.queuePosition()
 	service := r.config.Service
 	if h.load.Queued > 0 && h.load.Wait > 0 {
 		service = h.load.Wait * time.Duration(concurrency) / time.Duration(h.load.Queued+1)
 	}
 	share := service / time.Duration(concurrency)
 	if over <= 0 {
-		return share * time.Duration(busy) / time.Duration(batchShare*concurrency)
+		return share * time.Duration(busy) / time.Duration(batchDivisor*concurrency)
 	}
 	// One place is free half a turn from now on average.
-	return share*time.Duration(over) - share/2 + share/batchShare
+	return share*time.Duration(over) - share/2 + share/batchDivisor
 }
 
-// cut reports whether an answer would be broken off at host i, which leaves.
-func (r *Router) cut(i int32, request *Request, predicted time.Duration) bool {
-	leaves := r.hosts[i].leavesAt
+// willInterrupt reports whether an answer would be broken off at host i, which leaves.
+func (r *Router) willInterrupt(i int32, request *Request, predicted time.Duration) bool {
+	leaves := r.hosts[i].interruptAt
 	return leaves > request.Now && request.Lasts > 0 && request.Now+predicted+request.Lasts > leaves
 }
 
-// finalCuts is how many times more than another an answer suffers that cannot go
+// lastAttemptCostFactor is how many times more than another an answer suffers that cannot go
 // on elsewhere: it is lost, where others have a pause.
-const finalCuts = 12
+const lastAttemptCostFactor = 12
 
-func (r *Router) cutCost(cut bool, request *Request) time.Duration {
+func (r *Router) interruptCost(cut bool, request *Request) time.Duration {
 	switch {
 	case !cut:
 		return 0
 	case request.Final:
-		return finalCuts * r.config.Cut
+		return lastAttemptCostFactor * r.config.Cut
 	}
 	return r.config.Cut
 }
 
-// over is how many requests would wait with one more.
-func (h *host) over() int {
-	return h.load.Running + h.load.Queued + h.sent + 1 - max(h.load.Concurrency, 1)
+// queuePosition is how many requests would wait with one more.
+func (h *host) queuePosition() int {
+	return h.load.Running + h.load.Queued + h.inFlight + 1 - max(h.load.Concurrency, 1)
 }
 
-func (r *Router) hit(i int32, prefix uint64) bool {
+func (r *Router) prefixCached(i int32, prefix uint64) bool {
 	if prefix == 0 {
 		return false
 	}
-	hint := r.prefixes[prefix%prefixSlots]
+	hint := r.prefixHints[prefix%prefixSlots]
 	return hint.prefix == prefix && hint.host == i
 }
 
-// biasNow returns what is left of the bias.
-func (h *host) biasNow(now time.Duration) time.Duration {
-	left := 1 - float64(now-h.biasAt)/float64(biasLasts)
+// currentBias returns what is left of the bias.
+func (h *host) currentBias(now time.Duration) time.Duration {
+	left := 1 - float64(now-h.biasAt)/float64(biasDecay)
 	return time.Duration(max(left, 0) * float64(h.bias))
 }
 
@@ -97,27 +97,27 @@
 		return
 	}
 	h := &r.hosts[i]
-	old := h.biasNow(now)
+	old := h.currentBias(now)
 	// The prediction holds the bias already; what it was without is compared.
 	late := took - max(predicted-old, 0)
-	h.bias = min(max(old+time.Duration(biasShare*float64(late-old)), 0), biasMost)
+	h.bias = min(max(old+time.Duration(biasWeight*float64(late-old)), 0), maxBias)
 	h.biasAt = now
 }
 
-// reads notes that a host has one more prompt to read.
-func (r *Router) reads(i int32, request *Request) {
+// addPrefill notes that a host has one more prompt to read.
+func (r *Router) addPrefill(i int32, request *Request) {
 	h := &r.hosts[i]
-	h.readUntil = max(h.readUntil, request.Now) + time.Duration(request.PromptTokens)*r.config.PrefillToken
+	h.prefillUntil = max(h.prefillUntil, request.Now) + time.Duration(request.PromptTokens)*r.config.PrefillToken
 }
 
-// batchShare is how many times less a full batch slows a request than one place in the queue does.
-const batchShare = 2
+// batchDivisor is how many times less a full batch slows a request than one place in the queue does.
+const batchDivisor = 2
 
 const (
-	// biasShare is the weight of the newest observation.
-	biasShare = 0.3
-	// biasLasts is how long a bias takes to fade, so that a host that was slow is
+	// biasWeight is the weight of the newest observation.
+	biasWeight = 0.3
+	// biasDecay is how long a bias takes to fade, so that a host that was slow is
 	// tried again: a few requests a second then tell how it is.
-	biasLasts = 4 * time.Second
-	biasMost  = 2 * time.Second
+	biasDecay = 4 * time.Second
+	maxBias   = 2 * time.Second
 )
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -135,29 +135,29 @@
 	load   Load
 	// dispatched is how many requests this router sent to the incarnation.
 	dispatched uint64
-	// sent is how many of them the last report had not seen, or, where others'
+	// inFlight is how many of them the last report had not seen, or, where others'
 	// requests are counted, how many have not ended.
-	sent int
-	// readUntil is when the host is predicted to have read the prompts that were
+	inFlight int
+	// prefillUntil is when the host is predicted to have read the prompts that were
 	// sent to it lately.
-	readUntil time.Duration
+	prefillUntil time.Duration
 	// bias is how much later than predicted the host's first tokens came, as of
 	// biasAt.
 	bias   time.Duration
 	biasAt time.Duration
-	// leavesAt is when the host breaks off what it does, as for a change of its
+	// interruptAt is when the host breaks off what it does, as for a change of its
 	// weights; 0 if it does not.
-	leavesAt time.Duration
-	// doubtful is true while the host may be gone.
-	doubtful bool
-	// loaded are the targets that the host serves.
-	loaded []Target
+	interruptAt time.Duration
+	// suspect is true while the host may be gone.
+	suspect bool
+	// targets are the targets that the host serves.
+	targets []Target
 }
 
 const (
-	ringPoints  = 8
-	prefixSlots = 1 << 14
-	maxDraws    = 12
+	ringPointsPerHost = 8
+	prefixSlots       = 1 << 14
+	maxSampleAttempts = 12
 )
 
 // Router keeps what one entry believes of the backend servers. It is not safe
@@ -170,13 +170,13 @@
 	hosts  []host
 	index  map[filbertlever.HostID]int32
 	pools  map[Target]*pool
-	// prefixes remembers, by slot, which prefix was last sent to which host: a
+	// prefixHints remembers, by slot, which prefix was last sent to which host: a
 	// hint about caches, never a truth.
-	prefixes [prefixSlots]prefixHint
-	// hinted is true once there is a hint.
-	hinted bool
-	// turn counts choices, for policies that take turns.
-	turn int
+	prefixHints [prefixSlots]prefixHint
+	// hasHints is true once there is a hint.
+	hasHints bool
+	// roundRobin counts choices, for policies that take turns.
+	roundRobin int
 }
 
 type prefixHint struct {
@@ -213,13 +213,13 @@
 // SetLoaded says which targets a host serves.
 func (r *Router) SetLoaded(id filbertlever.HostID, targets []Target) {
 	i, ok := r.index[id]
-	if !ok || slices.Equal(r.hosts[i].loaded, targets) {
+	if !ok || slices.Equal(r.hosts[i].targets, targets) {
 		return
 	}
-	for _, target := range r.hosts[i].loaded {
+	for _, target := range r.hosts[i].targets {
 		r.pools[target].remove(i)
 	}
-	r.hosts[i].loaded = slices.Clone(targets)
+	r.hosts[i].targets = slices.Clone(targets)
 	for _, target := range targets {
 		p, ok := r.pools[target]
 		if !ok {
@@ -247,7 +247,7 @@
 		h.dispatched = load.Seen
 	}
 	h.load = load
-	h.sent = int(h.dispatched - min(load.Seen, h.dispatched))
+	h.inFlight = int(h.dispatched - min(load.Seen, h.dispatched))
 }
 
 // SetOthers says how many requests of other routers a host has now. It takes
@@ -260,7 +260,7 @@
 	}
 	h := &r.hosts[i]
 	if more := count - h.load.Running; more > 0 && now > 0 {
-		h.readUntil = max(h.readUntil, now) + time.Duration(more)*r.config.UsualPrompt
+		h.prefillUntil = max(h.prefillUntil, now) + time.Duration(more)*r.config.UsualPrompt
 	}
 	h.load = Load{Running: count, Concurrency: concurrency}
 }
@@ -269,14 +269,14 @@
 // weights; 0 if it does not.
 func (r *Router) SetLeaves(id filbertlever.HostID, at time.Duration) {
 	if i, ok := r.index[id]; ok {
-		r.hosts[i].leavesAt = at
+		r.hosts[i].interruptAt = at
 	}
 }
 
 // SetDoubtful says whether a host may be gone.
 func (r *Router) SetDoubtful(id filbertlever.HostID, doubtful bool) {
 	if i, ok := r.index[id]; ok {
-		r.hosts[i].doubtful = doubtful
+		r.hosts[i].suspect = doubtful
 	}
 }
 
@@ -288,8 +288,8 @@
 		return
 	}
 	h := &r.hosts[i]
-	if h.sent > 0 {
-		h.sent--
+	if h.inFlight > 0 {
+		h.inFlight--
 		return
 	}
 	if h.load.Queued > 0 {
@@ -308,14 +308,14 @@
 		choice.Reason = ReasonNone
 		return choice
 	}
-	if pick, ok := policies[r.config.Policy]; ok {
-		return r.chooseBy(pick, p, request)
+	if pick, ok := pickFuncs[r.config.Policy]; ok {
+		return r.chooseByPolicy(pick, p, request)
 	}
 	var weighed [maxCandidates]int32
 	best, owner := int32(-1), int32(-1)
 	bestCost := time.Duration(0)
 	consider := func(i int32) {
-		if choice.Weighed == maxCandidates || !r.fit(i, request.Avoid) {
+		if choice.Weighed == maxCandidates || !r.eligible(i, request.Avoid) {
 			return
 		}
 		if slices.Contains(weighed[:choice.Weighed], i) {
@@ -325,9 +325,9 @@
 		weighed[choice.Weighed] = i
 		choice.Candidates[choice.Weighed] = Candidate{Host: r.hosts[i].id, Predicted: predicted}
 		choice.Weighed++
-		cut := r.cut(i, request, predicted)
-		cost := predicted + r.cutCost(cut, request)
-		if r.hosts[i].doubtful {
+		cut := r.willInterrupt(i, request, predicted)
+		cost := predicted + r.interruptCost(cut, request)
+		if r.hosts[i].suspect {
 			cost += r.config.Doubtful
 		}
 		if best < 0 || cost < bestCost {
@@ -353,34 +353,34 @@
 		return choice
 	}
 	choice.Reason = ReasonLeast
-	if best == owner || r.hit(best, request.Prefix) {
+	if best == owner || r.prefixCached(best, request.Prefix) {
 		choice.Reason = ReasonPrefix
 	}
 	choice.Host = r.hosts[best].id
-	choice.Ahead = r.hosts[best].over()
-	choice.Reading = max(r.hosts[best].readUntil-request.Now, 0)
-	r.sent(best, request.Prefix)
-	r.reads(best, request)
+	choice.Ahead = r.hosts[best].queuePosition()
+	choice.Reading = max(r.hosts[best].prefillUntil-request.Now, 0)
+	r.recordSent(best, request.Prefix)
+	r.addPrefill(best, request)
 	return choice
 }
 
 // sample draws hosts at random until enough new ones were weighed.
 func (r *Router) sample(p *pool, consider func(int32), weighed *int) {
 	want := min(*weighed+r.config.Samples, len(p.hosts))
-	for draws := 0; draws < maxDraws && *weighed < want; draws++ {
+	for draws := 0; draws < maxSampleAttempts && *weighed < want; draws++ {
 		consider(p.hosts[r.rng.IntN(len(p.hosts))])
 	}
 }
 
-func (r *Router) fit(i int32, avoid []filbertlever.HostID) bool {
+func (r *Router) eligible(i int32, avoid []filbertlever.HostID) bool {
 	return r.hosts[i].usable && !slices.Contains(avoid, r.hosts[i].id)
 }
 
-func (r *Router) sent(i int32, prefix uint64) {
-	r.hosts[i].sent++
+func (r *Router) recordSent(i int32, prefix uint64) {
+	r.hosts[i].inFlight++
 	r.hosts[i].dispatched++
 	if prefix != 0 {
-		r.prefixes[prefix%prefixSlots] = prefixHint{prefix: prefix, host: i}
-		r.hinted = true
+		r.prefixHints[prefix%prefixSlots] = prefixHint{prefix: prefix, host: i}
+		r.hasHints = true
 	}
 }
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -27,7 +27,7 @@
 
 func id(i int) filbertlever.HostID { return filbertlever.HostID(fmt.Sprint("model-", i)) }
 
-func TestChoosesTheIdleHost(t *testing.T) {
+func TestChoosesIdleHost(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 3)
 	for i := range 2 {
@@ -39,7 +39,7 @@
 }
 
 // A request goes to a host that has another model, or none.
-func TestOnlyHostsWithTheWeights(t *testing.T) {
+func TestChoosesOnlyHostsServingTheTarget(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 3)
 	r.SetLoaded(id(0), nil)
@@ -51,7 +51,7 @@
 }
 
 // Requests go on to a host that died or leaves, or back to where they failed.
-func TestUnfitHostsAreNotChosen(t *testing.T) {
+func TestIneligibleHostsAreNotChosen(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 3)
 	r.SetHost(filbertlever.Host{ID: id(0)}, false)
@@ -64,7 +64,7 @@
 }
 
 // All but one of many hosts are gone, and the random draws miss the one left.
-func TestFindsTheLastFitHost(t *testing.T) {
+func TestFindsTheOnlyEligibleHost(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 500)
 	for i := range 499 {
@@ -75,7 +75,7 @@
 
 // The host that is idle in the latest report gets every request of a second
 // from every entry, and all of them queue there.
-func TestEntriesDoNotHerd(t *testing.T) {
+func TestEntriesDoNotOverloadOneIdleHost(t *testing.T) {
 	c := qt.New(t)
 	const hosts, entries, requests = 16, 8, 20
 	load := map[filbertlever.HostID]int{}
@@ -108,7 +108,7 @@
 
 // A report that left the host before the last requests arrived makes it look
 // idle, and more requests follow.
-func TestRequestsOnTheirWayAreCounted(t *testing.T) {
+func TestUnreportedRequestsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 1)
 	for range 40 {
@@ -122,7 +122,7 @@
 }
 
 // A long clause is prefilled anew at another host each time it is asked about.
-func TestPrefixGoesWhereItIsCached(t *testing.T) {
+func TestPrefixIsRoutedToItsCache(t *testing.T) {
 	c := qt.New(t)
 	request := &routing.Request{Target: drafter, Prefix: routing.PrefixHash("hauler-1", "a long clause"), PromptTokens: 4000}
 	first := newRouter(1, 64).Choose(request)
@@ -140,7 +140,7 @@
 	c.Assert(routing.PrefixHash("a", "bc"), qt.Not(qt.Equals), routing.PrefixHash("ab", "c"))
 }
 
-func TestDecisionAllocatesNothing(t *testing.T) {
+func TestChooseDoesNotAllocate(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 2700)
 	request := &routing.Request{Target: drafter, Prefix: 77, PromptTokens: 500}
@@ -185,7 +185,7 @@
 // A version changes on one server after the other. Long answers that began shortly
 // before were broken off and went on elsewhere with a pause, some twice, which
 // lost them. Short ones are done in time and keep the server busy.
-func TestLongAnswersAvoidHostsThatLeave(t *testing.T) {
+func TestLongAnswersAvoidHostsDueForInterruption(t *testing.T) {
 	c := qt.New(t)
 	config := routing.DefaultConfig()
 	config.Cut = 150 * time.Millisecond
@@ -222,7 +222,7 @@
 // All entries come back at once, and each thinks the engines idle: twelve prompts
 // reached each of them in the same moment, and every answer was late. What others
 // send is read too, and delays whatever comes next.
-func TestPromptsOfOthersAreReadToo(t *testing.T) {
+func TestPrefillOfOtherRoutersIsCounted(t *testing.T) {
 	c := qt.New(t)
 	config := routing.DefaultConfig()
 	config.UsualPrompt = 30 * time.Millisecond
@@ -247,7 +247,7 @@
 
 // A prompt is sent where it was read last, to a process that has read nothing: the one
 // before is gone, with its caches, its counts and its lateness.
-func TestAHostWhoseProcessIsGoneIsForgotten(t *testing.T) {
+func TestResetHostDropsStateOfPreviousProcess(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 4)
 	request := &routing.Request{Target: drafter, Prefix: 7, PromptTokens: 1000, Now: time.Second}
--- a/internal/coordination/stream/events_test.go
+++ b/internal/coordination/stream/events_test.go
@@ -8,7 +8,7 @@
 
 // An answer that goes on at another server holds an event twice, or misses one
 // and looks whole. The other server may begin before or after what was asked.
-func TestEventsReachTheCallerOnceAndInOrder(t *testing.T) {
+func TestEventsAreDeliveredOnceAndInOrder(t *testing.T) {
 	c := qt.New(t)
 	var e Events
 	e.From(-1)
@@ -21,7 +21,7 @@
 }
 
 // The same where the caller itself resumes after event 12.
-func TestEventsGoOnWhereTheCallerIs(t *testing.T) {
+func TestEventsResumeAfterCallersLastEvent(t *testing.T) {
 	c := qt.New(t)
 	var e Events
 	e.From(12)
--- a/internal/coordination/stream/stream_test.go
+++ b/internal/coordination/stream/stream_test.go
@@ -24,7 +24,7 @@
 
 // The caller reads a clause with a sentence twice: a frame of the attempt that
 // was given up arrives after the next attempt began.
-func TestFrameOfAnEarlierAttempt(t *testing.T) {
+func TestFrameOfEarlierAttemptIsDropped(t *testing.T) {
 	c := qt.New(t)
 	a := stream.New(version, nil)
 	first := a.Begin()
@@ -39,7 +39,7 @@
 }
 
 // The caller reads a clause with a hole in it: a frame was lost on the way.
-func TestGapBreaksTheAttempt(t *testing.T) {
+func TestGapEndsTheAttempt(t *testing.T) {
 	c := qt.New(t)
 	a := stream.New(version, nil)
 	attempt := a.Begin()
@@ -50,7 +50,7 @@
 
 // The caller reads the beginning of one model version's answer and the end of
 // another's: the host switched versions, and the request was resumed there.
-func TestOtherWeightsBreakTheAttempt(t *testing.T) {
+func TestOtherWeightsEndTheAttempt(t *testing.T) {
 	c := qt.New(t)
 	a := stream.New(version, []string{"a"})
 	attempt := a.Begin()
@@ -61,7 +61,7 @@
 
 // Any order of frames, twice, late, out of order and from any attempt: the
 // caller is given a beginning of the one true answer, and all of it at the end.
-func TestAnyOrderOfFrames(t *testing.T) {
+func TestFramesInAnyOrderGiveOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := answer(12)
 		a := stream.New(version, nil)
