--- a/internal/coordination/forward/forward.go
+++ b/internal/coordination/forward/forward.go
@@ -1,5 +1,5 @@
-// Package forward decides what follows when one attempt to have a request
-// answered has ended: another attempt, or which final answer the caller gets.
+// Package forward decides what follows when an attempt to answer a request has
+// ended: another attempt, or which final answer the caller gets.
 package forward
 
 import (
@@ -8,31 +8,31 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/retry"
 )
 
-// Budget bounds further attempts.
+// Budget bounds the retries.
 type Budget interface {
-	// Allow takes one attempt out of the budget if there is room for it.
+	// Allow takes one retry from the budget and reports whether there was one left.
 	Allow(attempt retry.Attempt, remaining, now time.Duration) bool
 }
 
-// Class is what may be done with a request.
+// Class limits the attempts of a request.
 type Class struct {
-	// Repeatable requests may run more than once.
+	// Repeatable is true if the request may run more than once.
 	Repeatable bool
-	// Servers is how many servers the request may be sent to.
+	// MaxServers is how many servers the request may be sent to.
 	Servers int
 }
 
-// End is how an attempt ended without a whole answer.
+// End is how an attempt ended without a complete answer.
 type End int
 
 // The ends.
 const (
-	// EndUnsent means that no server can have read the request.
+	// EndUnsent means that no server can have received the request.
 	EndUnsent End = iota + 1
-	// EndRefused means that the server says that it did not run the request.
+	// EndRefused means that the server reported that it did not run the request.
 	EndRefused
-	// EndMoved means that another server, or another version, was met at the
-	// address. It says so, and did not run the request.
+	// EndWrongServer means that the address belongs to another server or version.
+	// That server reported it and did not run the request.
 	EndMoved
 	// EndLost means that the server may have run the request.
 	EndLost
@@ -40,50 +40,52 @@
 	EndFailed
 )
 
-// Step is what to do next.
+// Step is what follows after an attempt.
 type Step int
 
 // The steps.
 const (
-	// StepAgain sends the request to another server.
+	// StepRetry sends the request to another server.
 	StepAgain Step = iota + 1
-	// StepNotRun tells the caller, truly, that the request did not run.
+	// StepNotRun answers that the request did not run. It is used only if that is
+	// certain.
 	StepNotRun
-	// StepUnknown tells the caller that the request may have run.
+	// StepUnknown answers that the request may have run.
 	StepUnknown
-	// StepPass hands the server's failure to the caller.
+	// StepForwardFailure forwards the server's failure to the caller.
 	StepPass
-	// StepTimeout tells the caller that time ran out.
+	// StepTimeout answers that the deadline of the request has passed.
 	StepTimeout
 )
 
-// maxUnsentAttempts bounds connections tried for one request: after three hosts that
-// do not even accept one, the fault is more likely on this side.
+// maxUnsentAttempts bounds the connection attempts of one request. After three hosts that did not
+// accept a connection, the fault is more likely on this host.
 const maxUnsentAttempts = 3
 
-// Attempts is the history of one request.
+// Attempts is the history of attempts of one request.
 type Attempts struct {
 	Class Class
-	// unsent and sent count attempts by whether a server can have read them.
+	// unsent and sent count the attempts by whether a server can have received them.
 	unsent int
 	sent   int
-	// mayHaveRun is true once a server may have begun to work on the request.
+	// mayHaveRun is true once a server may have started the request.
 	mayHaveRun bool
 }
 
 // Sent returns how many servers the request was sent to.
 func (a *Attempts) Sent() int { return a.sent }
 
-// MayHaveRun reports whether a server may have worked on the request.
+// MayHaveRun reports whether a server may have started the request.
 func (a *Attempts) MayHaveRun() bool { return a.mayHaveRun }
 
-// After decides what follows an attempt that ended so. Remaining is the time
-// left of the request, and elsewhere tells whether another server could take it.
+// NextStep records how an attempt ended and decides what follows. The time until
+// the request's deadline is remaining, and hasAlternative is true if another
+// server could take the request.
 //
-// Guards: a request that may run once is sent again only if no server can have
-// run it, or an order would be doubled. "Not run" is told only while no attempt
-// may have run, also of a request that may be repeated.
-func (a *Attempts) After(end End, budget Budget, remaining, now time.Duration, elsewhere bool) Step {
+// A request that must not be repeated is retried only if no server can have run
+// it, since it would otherwise be executed twice. StepNotRun is returned only if
+// no attempt may have run, also for repeatable requests.
+func (a *Attempts) After(end End, budget Budget, remaining, now time.Duration, hasAlternative bool) Step {
 	a.record(end)
 	if remaining <= 0 {
 		if a.mayHaveRun {
@@ -91,7 +93,7 @@
 		}
 		return StepNotRun
 	}
-	if elsewhere && a.canRetry(end) && a.withinBudget(end, budget, remaining, now) {
+	if hasAlternative && a.canRetry(end) && a.withinBudget(end, budget, remaining, now) {
 		return StepAgain
 	}
 	switch {
@@ -103,6 +105,7 @@
 	return StepNotRun
 }
 
+// record counts an attempt.
 func (a *Attempts) record(end End) {
 	switch end {
 	case EndUnsent:
@@ -115,18 +118,20 @@
 	}
 }
 
+// canRetry reports whether the request may be sent to another server, without
+// regard to the budget.
 func (a *Attempts) canRetry(end End) bool {
 	switch end {
 	case EndUnsent:
 		return a.unsent < maxUnsentAttempts
 	case EndMoved:
-		// The server meant was not reached, so it does not count as one.
+		// The intended server was not reached, so it does not count towards the limit.
 		return !a.mayHaveRun || a.Class.Repeatable
 	}
 	return a.sent < a.Class.Servers && (!a.mayHaveRun || a.Class.Repeatable)
 }
 
-// retryEnds maps an end to what the budget of retries tells apart.
+// retryEnds maps an End to the one that the retry budget distinguishes.
 var retryEnds = map[End]retry.End{
 	EndRefused: retry.EndRefused,
 	EndMoved:   retry.EndRefused,
@@ -134,6 +139,7 @@
 	EndFailed:  retry.EndFailed,
 }
 
+// withinBudget reports whether the budget allows a retry, and takes it.
 func (a *Attempts) withinBudget(end End, budget Budget, remaining, now time.Duration) bool {
 	if end == EndUnsent {
 		return remaining >= retry.MinRemaining
@@ -143,10 +149,10 @@
 
 var endNames = [...]string{"None", "Unsent", "Refused", "Moved", "Lost", "Failed"}
 
-// String returns the end's name.
+// String returns the name of the end.
 func (e End) String() string { return endNames[e] }
 
 var stepNames = [...]string{"None", "Again", "NotRun", "Unknown", "Pass", "Timeout"}
 
-// String returns the step's name.
+// String returns the name of the step.
 func (s Step) String() string { return stepNames[s] }
--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -1,29 +1,29 @@
-// Package retry decides whether a model request that an attempt did not
-// finish is tried again. Only entries retry; agents and engines never do, so
-// retries do not multiply.
+// Package retry decides whether a model request is retried after an attempt that
+// did not finish the answer. Only entries retry. Agents and engines never do, so
+// that retries don't multiply.
 package retry
 
 import "time"
 
-// Config holds the shares of a Budget.
+// Config holds the parameters of a Budget.
 type Config struct {
-	// Ratio is how many retries each fresh request earns.
+	// Ratio is how many retries each new request adds to the budget.
 	Ratio float64
-	// Burst bounds the retries saved up.
+	// Burst is the largest number of retries that the budget holds.
 	Burst float64
-	// LossRatio and LossBurst are the same for attempts lost to a dead host,
-	// which come in bursts of one host's streams and are no sign of overload.
+	// LossRatio and LossBurst are the same for lost attempts. When a host fails,
+	// all its streams are lost together, which is no sign of overload.
 	LossRatio float64
 	LossBurst float64
 }
 
-// DefaultConfig returns the shares used in production.
+// DefaultConfig returns the parameters used in production.
 func DefaultConfig() Config {
 	return Config{Ratio: 0.05, Burst: 2, LossRatio: 0.1, LossBurst: 200}
 }
 
-// Budget bounds retries to a share of fresh requests. It is not safe for
-// concurrent use.
+// Budget bounds retries to a fraction of new requests with token buckets. It is
+// not safe for concurrent use.
 type Budget struct {
 	config     Config
 	tokens     float64
@@ -35,48 +35,49 @@
 	return &Budget{config: config, tokens: config.Burst, lossTokens: config.LossBurst}
 }
 
-// Fresh notes a fresh request.
+// RecordRequest records a new request.
 func (b *Budget) Fresh() {
 	b.tokens = min(b.tokens+b.config.Ratio, b.config.Burst)
 	b.lossTokens = min(b.lossTokens+b.config.LossRatio, b.config.LossBurst)
 }
 
-// End is how an attempt ended without finishing the answer.
+// End is how an attempt ended that did not finish the answer.
 type End int
 
 // The ends of attempts.
 const (
-	// EndRefused means that the agent refused; nothing started.
+	// EndRefused means that the agent refused the request before it started.
 	EndRefused End = iota + 1
 	// EndFailed means that the engine failed before the first token.
 	EndFailed
-	// EndNotLive means that the host serves other weights than was believed,
-	// and said which. It is no sign of overload and costs no budget.
+	// EndWrongWeights means that the host serves other weights than expected and
+	// reported which. It is no sign of overload, so the retry costs no budget.
 	EndNotLive
-	// EndLost means that the host died, went silent or broke its stream.
+	// EndLost means that the host failed, stopped responding or broke its stream.
 	EndLost
 )
 
-// Attempt is an attempt that ended without finishing the answer.
+// Attempt describes an attempt that did not finish the answer.
 type Attempt struct {
 	End End
-	// Number counts attempts of the request from 1.
+	// Number is the number of the attempt, starting at 1.
 	Number int
-	// Delivered is true if the caller already has a part of the answer.
+	// Delivered is true if the caller has received a part of the answer.
 	Delivered bool
-	// RetryAfter is what the agent that refused asked for.
+	// RetryAfter is the retry delay that the refusing agent requested.
 	RetryAfter time.Duration
 }
 
 // MaxAttempts bounds the attempts of one request at one entry.
 const MaxAttempts = 4
 
-// MinRemaining is the least time before the deadline in which another
-// attempt makes sense.
+// MinRemaining is the shortest time before the deadline in which a retry is
+// allowed.
 const MinRemaining = 20 * time.Millisecond
 
-// Again reports whether to try elsewhere now, and takes the try out of the
-// budget. Remaining is the time to the request's deadline.
+// Allow reports whether the request may be retried on another server now, and
+// takes the retry from the budget. The time until the request's deadline is
+// remaining.
 func (b *Budget) Again(attempt Attempt, remaining time.Duration) bool {
 	if attempt.Number >= MaxAttempts || remaining < MinRemaining {
 		return false
@@ -90,10 +91,11 @@
 	return takeToken(&b.tokens)
 }
 
-func takeToken(saved *float64) bool {
-	if *saved < 1 {
+// takeToken takes one token if there is one.
+func takeToken(tokens *float64) bool {
+	if *tokens < 1 {
 		return false
 	}
-	*saved--
+	*tokens--
 	return true
 }
--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -9,24 +9,24 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/retry"
 )
 
-// A brown-out of the model engines turns into an outage: every request is
-// tried four times, and the retries keep the engines overloaded.
+// A partial overload of the engines turns into an outage: every request is tried
+// four times, and the retries keep the engines overloaded.
 func TestRetriesAreBoundedByShareOfRequests(t *testing.T) {
 	c := qt.New(t)
 	config := retry.DefaultConfig()
 	budget := retry.NewBudget(config)
-	const fresh = 10_000
+	const requests = 10_000
 	retries := 0
-	for range fresh {
+	for range requests {
 		budget.Fresh()
 		for number := 1; budget.Again(retry.Attempt{End: retry.EndRefused, Number: number}, time.Minute); number++ {
 			retries++
 		}
 	}
-	c.Assert(float64(retries) <= fresh*config.Ratio+config.Burst, qt.IsTrue, qt.Commentf("%d retries", retries))
+	c.Assert(float64(retries) <= requests*config.Ratio+config.Burst, qt.IsTrue, qt.Commentf("%d retries", retries))
 }
 
-// A request is tried again when its deadline has all but passed.
+// A request is retried shortly before its deadline, or too many times.
 func TestNoRetryNearDeadlineOrBeyondMaxAttempts(t *testing.T) {
 	c := qt.New(t)
 	budget := retry.NewBudget(retry.DefaultConfig())
@@ -35,8 +35,8 @@
 	c.Assert(budget.Again(retry.Attempt{End: retry.EndLost, Number: 1}, time.Minute), qt.IsTrue)
 }
 
-// A host dies with a hundred answers half written while refusals have used the
-// budget up, and a hundred callers get half an answer.
+// Refusals have exhausted the budget when a host fails that streams a hundred
+// answers, and a hundred callers get an incomplete answer.
 func TestLostAttemptsHaveSeparateBudget(t *testing.T) {
 	c := qt.New(t)
 	budget := retry.NewBudget(retry.DefaultConfig())
--- a/internal/coordination/retry/window.go
+++ b/internal/coordination/retry/window.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// windowBuckets is in how many parts a Window's time is counted.
+// windowBuckets is the number of time buckets of a Window.
 const windowBuckets = 20
 
-// maxRefusalShare is the part of a Window that retries of refused requests may
-// take, so that under overload enough is left for answers that broke off.
+// maxRefusalShare is the fraction of the allowed retries that refused requests may
+// use, so that enough are left for interrupted answers under overload.
 const maxRefusalShare = 0.5
 
-// WindowConfig is one process's part of a bound that several share: within any
-// Length, all together make at most Ratio of the fresh requests and Slack more
-// attempts beyond the first.
+// WindowConfig is one process's share of a bound on retries. Within any period of
+// Length, the retries of all processes together are at most Ratio times the new
+// requests, plus Slack.
 type WindowConfig struct {
 	Length time.Duration
 	Ratio  float64
 	Slack  float64
 }
 
-// windowBoundShare is what is used of the bound: views of how many processes there
-// are differ for a moment when one comes or goes.
+// windowBoundShare is the fraction of the bound that is used, because views of the
+// number of processes differ for a moment when a process starts or stops.
 const windowBoundShare = 0.85
 
-// SharedWindow returns the part of one of several processes.
+// SharedWindow returns the share of one of several processes in a common bound.
 func SharedWindow(length time.Duration, ratio, slack float64, processes int) WindowConfig {
 	return WindowConfig{Length: length, Ratio: windowBoundShare * ratio, Slack: windowBoundShare * slack / float64(max(processes, 1))}
 }
 
-// Window bounds retries over a sliding time. It is not safe for concurrent use.
+// Window bounds retries in a sliding time window. It is not safe for concurrent
+// use.
 type Window struct {
 	config WindowConfig
-	// bucket is the number of the newest part since the clock's start.
+	// bucket is the number of the newest bucket since the start of the clock.
 	bucket   int64
 	requests [windowBuckets]int
 	retries  [windowBuckets]int
-	// refusalRetries are those of extra that followed a refusal.
+	// refusalRetries counts the retries that followed a refusal.
 	refusalRetries [windowBuckets]int
 }
 
-// NewWindow returns a window in which nothing has happened.
+// NewWindow returns an empty window.
 func NewWindow(config WindowConfig) *Window { return &Window{config: config} }
 
-// Resize changes the bound; what was counted stays.
+// Resize changes the bound and keeps the counts.
 func (w *Window) Resize(config WindowConfig) { w.config = config }
 
-// Fresh notes a fresh request.
+// RecordRequest records a new request.
 func (w *Window) Fresh(now time.Duration) {
 	w.advance(now)
 	w.requests[w.bucket%windowBuckets]++
 }
 
-// Allow reports whether to try elsewhere now, and counts the try.
+// Allow reports whether the request may be retried on another server now, and
+// counts the retry.
 func (w *Window) Allow(attempt Attempt, remaining, now time.Duration) bool {
 	if remaining < MinRemaining {
 		return false
@@ -70,20 +72,20 @@
 	return true
 }
 
-// advance clears the parts that have passed out of the window.
+// advance clears the buckets that are no longer in the window.
 func (w *Window) advance(now time.Duration) {
-	part := int64(now / max(w.config.Length/windowBuckets, 1))
-	for steps := 0; w.bucket < part && steps < windowBuckets; steps++ {
+	bucket := int64(now / max(w.config.Length/windowBuckets, 1))
+	for steps := 0; w.bucket < bucket && steps < windowBuckets; steps++ {
 		w.bucket++
-		at := w.bucket % windowBuckets
-		w.requests[at], w.retries[at], w.refusalRetries[at] = 0, 0, 0
+		i := w.bucket % windowBuckets
+		w.requests[i], w.retries[i], w.refusalRetries[i] = 0, 0, 0
 	}
-	w.bucket = max(w.bucket, part)
+	w.bucket = max(w.bucket, bucket)
 }
 
-func sum(parts [windowBuckets]int) int {
+func sum(buckets [windowBuckets]int) int {
 	total := 0
-	for _, n := range parts {
+	for _, n := range buckets {
 		total += n
 	}
 	return total
--- a/internal/coordination/retry/window_test.go
+++ b/internal/coordination/retry/window_test.go
@@ -8,54 +8,53 @@
 	"pgregory.net/rapid"
 )
 
-// Servers get more repeats than the users allow while half of them fail. Each
-// entry counts within the same sliding time as the users do; whatever comes when,
-// no window of that length may hold more than the entry's part.
+// Servers get more retries than users allow while half of the servers fail. In any order of requests
+// and retries, no window of the configured length may hold more retries than the entry's share.
 func TestRetriesStayWithinSlidingWindowBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := SharedWindow(10*time.Second, 0.2, 104, 8)
 		w := NewWindow(config)
-		type mark struct {
+		type event struct {
 			at    time.Duration
-			extra bool
+			retry bool
 		}
-		var marks []mark
+		var events []event
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "fresh") {
 				w.Fresh(now)
-				marks = append(marks, mark{at: now})
+				events = append(events, event{at: now})
 				continue
 			}
 			if w.Allow(Attempt{End: EndLost}, time.Second, now) {
-				marks = append(marks, mark{at: now, extra: true})
+				events = append(events, event{at: now, retry: true})
 			}
 		}
-		for end := range marks {
-			extra, fresh := 0, 0
-			for i := end; i >= 0 && marks[end].at-marks[i].at < config.Length*(windowBuckets-1)/windowBuckets; i-- {
-				if marks[i].extra {
-					extra++
+		for end := range events {
+			retries, requests := 0, 0
+			for i := end; i >= 0 && events[end].at-events[i].at < config.Length*(windowBuckets-1)/windowBuckets; i-- {
+				if events[i].retry {
+					retries++
 				} else {
-					fresh++
+					requests++
 				}
 			}
-			// What was fresh up to one window earlier counts too.
-			for i := end; i >= 0 && marks[end].at-marks[i].at < 2*config.Length; i-- {
-				if !marks[i].extra {
-					fresh++
+			// New requests up to one window earlier count too.
+			for i := end; i >= 0 && events[end].at-events[i].at < 2*config.Length; i-- {
+				if !events[i].retry {
+					requests++
 				}
 			}
-			if float64(extra) > config.Ratio*float64(fresh)+config.Slack {
-				t.Fatalf("%d repeats beside %d fresh requests", extra, fresh)
+			if float64(retries) > config.Ratio*float64(requests)+config.Slack {
+				t.Fatalf("%d retries for %d new requests", retries, requests)
 			}
 		}
 	})
 }
 
-// Overload uses up all retries on refusals, and answers that break off have none
-// left. Half is kept for them.
+// Refusals under overload use up all retries, and none are left for interrupted answers. Half of the
+// retries must be reserved for them.
 func TestRefusalRetriesLeaveBudgetForLostAttempts(t *testing.T) {
 	c := qt.New(t)
 	w := NewWindow(WindowConfig{Length: 10 * time.Second, Slack: 10})
@@ -74,7 +73,7 @@
 	c.Assert(lost, qt.Equals, 5)
 }
 
-// After a quiet time the whole part is there again.
+// Retries from before the window still count against the bound.
 func TestWindowBudgetRecovers(t *testing.T) {
 	c := qt.New(t)
 	w := NewWindow(WindowConfig{Length: 10 * time.Second, Slack: 1})
@@ -83,7 +82,7 @@
 	c.Assert(w.Allow(Attempt{End: EndLost}, time.Second, 12*time.Second), qt.IsTrue)
 }
 
-// A try that cannot end before the deadline only costs.
+// A request is retried although the deadline leaves no time for the answer.
 func TestWindowAllowsNoRetryNearDeadline(t *testing.T) {
 	w := NewWindow(WindowConfig{Length: 10 * time.Second, Slack: 10})
 	qt.Assert(t, w.Allow(Attempt{End: EndLost}, time.Millisecond, 0), qt.IsFalse)
--- a/internal/coordination/routing/policies.go
+++ b/internal/coordination/routing/policies.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Policy is a way to pick a host.
+// Policy names a load balancing policy.
 type Policy string
 
-// The policies. Those but PolicyPredicted are there to be measured against it.
+// The policies. All but PolicyPredicted only serve as baselines in benchmarks.
 const (
-	// PolicyPredicted takes the least predicted time to the first token.
+	// PolicyPredicted picks the host with the shortest predicted time to first token.
 	PolicyPredicted Policy = ""
-	// PolicyRoundRobin takes one host after the other.
+	// PolicyRoundRobin picks the hosts in turn.
 	PolicyRoundRobin Policy = "RoundRobin"
-	// PolicyLeastReported takes the host that reported the least load.
+	// PolicyLeastReported picks the host that reported the least load.
 	PolicyLeastReported Policy = "LeastReported"
-	// PolicyTwoRandom takes the less loaded of two random hosts, by report.
+	// PolicyTwoRandom picks the host with the lower reported load of two random ones.
 	PolicyTwoRandom Policy = "TwoRandom"
 )
 
-// pickFunc returns one of hosts, which are fit.
+// pickFunc returns one of the hosts. All of them are eligible.
 type pickFunc func(r *Router, hosts []int32) int32
 
 var pickFuncs = map[Policy]pickFunc{
@@ -26,12 +26,13 @@
 	PolicyTwoRandom:     pickTwoRandom,
 }
 
+// chooseByPolicy chooses a host for a request with a policy other than PolicyPredicted.
 func (r *Router) chooseByPolicy(pick pickFunc, p *pool, request *Request) Choice {
-	fit := slices.DeleteFunc(slices.Clone(p.hosts), func(i int32) bool { return !r.eligible(i, request.Avoid) })
-	if len(fit) == 0 {
+	eligible := slices.DeleteFunc(slices.Clone(p.hosts), func(i int32) bool { return !r.eligible(i, request.Avoid) })
+	if len(eligible) == 0 {
 		return Choice{Reason: ReasonNone}
 	}
-	i := pick(r, fit)
+	i := pick(r, eligible)
 	r.recordSent(i, 0)
 	return Choice{Host: r.hosts[i].id, Reason: Reason(r.config.Policy)}
 }
@@ -53,4 +54,5 @@
 	return a
 }
 
+// reportedLoad returns the number of requests that a host last reported.
 func (r *Router) reportedLoad(i int32) int { return r.hosts[i].load.Running + r.hosts[i].load.Queued }
--- a/internal/coordination/routing/pool.go
+++ b/internal/coordination/routing/pool.go
@@ -10,22 +10,22 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// ringPoint is one of the points of a host on the ring of prefixes.
+// ringPoint is one of a host's points on the consistent hashing ring of prefixes.
 type ringPoint struct {
 	hash uint64
 	host int32
 }
 
-// pool is the hosts that serve one target.
+// pool holds the hosts that serve one target.
 type pool struct {
 	hosts []int32
 	ring  []ringPoint
-	// unsorted is true while points were added to the ring since its last use.
+	// unsorted is true if points were added to the ring since it was last sorted.
 	unsorted bool
 }
 
-// owners returns the two hosts that a prefix belongs to, the same at every
-// entry, so that its cache is in few places.
+// owners returns the two hosts that a prefix is assigned to. They are the same
+// at every entry, so that few hosts cache the prefix.
 func (p *pool) owners(prefix uint64) (first, second int32) {
 	if p.unsorted {
 		p.sortRing()
@@ -46,7 +46,7 @@
 	p.hosts = append(p.hosts, i)
 	point := xxhash.Sum64String(string(id))
 	for range ringPointsPerHost {
-		// Steps of a golden-ratio generator spread a host's points.
+		// Repeated hashing spreads a host's points over the ring.
 		point = splitmix64(point)
 		p.ring = append(p.ring, ringPoint{hash: point, host: i})
 	}
@@ -73,7 +73,7 @@
 	return x ^ x>>31
 }
 
-// PrefixHash returns the hash of an organisation and the beginning of a prompt.
+// PrefixHash returns the hash of an organisation and the beginning of a prompt. It is never 0.
 func PrefixHash(organisation filbertlever.OrganisationID, prefix string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/coordination/routing/predict.go
+++ b/internal/coordination/routing/predict.go
@@ -6,9 +6,9 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// predict returns the time to the first token if the request went to host i.
-// The prefix's owner is taken to have it cached: every entry sends it there, so
-// if it is not true yet it soon is.
+// predict returns the time to first token if the request were sent to host i. The
+// first owner of the prefix is assumed to have it cached: every entry sends the
+// prefix there, so the host caches it soon.
 func (r *Router) predict(i int32, request *Request, owner bool) time.Duration {
 	h := &r.hosts[i]
 	prefill := float64(request.PromptTokens)
@@ -23,44 +23,45 @@
 		predicted += r.config.OtherSite
 	}
 	if request.Now > 0 {
-		// An engine reads prompts one after the other and makes no token meanwhile.
+		// An engine prefills prompts one at a time and generates no tokens meanwhile.
 		predicted += max(h.prefillUntil-request.Now, 0) + h.currentBias(request.Now)
 	}
 	return predicted + r.config.FirstToken + r.predictWait(h)
 }
 
-// predictWait predicts the queueing time: what the report says, corrected by what
-// was sent since. Below the concurrency limit a busier host is still a little
-// slower, since engines batch.
+// predictWait predicts the queueing time from the last report and the requests
+// sent since. Below the concurrency limit a busier host is still slightly slower,
+// since engines batch.
 func (r *Router) predictWait(h *host) time.Duration {
 	concurrency := max(h.load.Concurrency, 1)
 	busy := h.load.Running + h.load.Queued + h.inFlight
-	over := h.queuePosition()
-	service := r.config.Service
+	position := h.queuePosition()
+	serviceTime := r.config.Service
 	if h.load.Queued > 0 && h.load.Wait > 0 {
-		service = h.load.Wait * time.Duration(concurrency) / time.Duration(h.load.Queued+1)
+		serviceTime = h.load.Wait * time.Duration(concurrency) / time.Duration(h.load.Queued+1)
 	}
-	share := service / time.Duration(concurrency)
-	if over <= 0 {
-		return share * time.Duration(busy) / time.Duration(batchDivisor*concurrency)
+	slotInterval := serviceTime / time.Duration(concurrency)
+	if position <= 0 {
+		return slotInterval * time.Duration(busy) / time.Duration(batchDivisor*concurrency)
 	}
-	// One place is free half a turn from now on average.
-	return share*time.Duration(over) - share/2 + share/batchDivisor
+	// A slot becomes free every slotInterval, the next one after half of it on average.
+	return slotInterval*time.Duration(position) - slotInterval/2 + slotInterval/batchDivisor
 }
 
-// willInterrupt reports whether an answer would be broken off at host i, which leaves.
+// willInterrupt reports whether host i is predicted to interrupt the answer before its end.
 func (r *Router) willInterrupt(i int32, request *Request, predicted time.Duration) bool {
-	leaves := r.hosts[i].interruptAt
-	return leaves > request.Now && request.Lasts > 0 && request.Now+predicted+request.Lasts > leaves
+	interruptAt := r.hosts[i].interruptAt
+	return interruptAt > request.Now && request.Lasts > 0 && request.Now+predicted+request.Lasts > interruptAt
 }
 
-// lastAttemptCostFactor is how many times more than another an answer suffers that cannot go
-// on elsewhere: it is lost, where others have a pause.
+// lastAttemptCostFactor multiplies the cost of an interruption on the last attempt: the answer is
+// lost, while other answers only pause.
 const lastAttemptCostFactor = 12
 
-func (r *Router) interruptCost(cut bool, request *Request) time.Duration {
+// interruptCost returns the cost of a predicted interruption, 0 if there is none.
+func (r *Router) interruptCost(willInterrupt bool, request *Request) time.Duration {
 	switch {
-	case !cut:
+	case !willInterrupt:
 		return 0
 	case request.Final:
 		return lastAttemptCostFactor * r.config.Cut
@@ -68,11 +69,13 @@
 	return r.config.Cut
 }
 
-// queuePosition is how many requests would wait with one more.
+// queuePosition returns how many requests above its concurrency the host would
+// have with one more.
 func (h *host) queuePosition() int {
 	return h.load.Running + h.load.Queued + h.inFlight + 1 - max(h.load.Concurrency, 1)
 }
 
+// prefixCached reports whether a prefix was last sent to host i.
 func (r *Router) prefixCached(i int32, prefix uint64) bool {
 	if prefix == 0 {
 		return false
@@ -81,16 +84,15 @@
 	return hint.prefix == prefix && hint.host == i
 }
 
-// currentBias returns what is left of the bias.
+// currentBias returns the bias after its linear decay.
 func (h *host) currentBias(now time.Duration) time.Duration {
-	left := 1 - float64(now-h.biasAt)/float64(biasDecay)
-	return time.Duration(max(left, 0) * float64(h.bias))
+	weight := 1 - float64(now-h.biasAt)/float64(biasDecay)
+	return time.Duration(max(weight, 0) * float64(h.bias))
 }
 
-// Observe notes the time to a first token beside what was predicted for it.
-//
-// Guard: a host whose link or processor is slow has as few requests as a sound
-// one, and its callers wait; what its answers took is the only sign.
+// Observe records the measured time to a first token with the predicted one. A
+// host with a slow link or processor has as few requests as a healthy one, so
+// the time that its answers took is the only sign that it is slow.
 func (r *Router) Observe(id filbertlever.HostID, predicted, took, now time.Duration) {
 	i, ok := r.index[id]
 	if !ok {
@@ -98,26 +100,26 @@
 	}
 	h := &r.hosts[i]
 	old := h.currentBias(now)
-	// The prediction holds the bias already; what it was without is compared.
-	late := took - max(predicted-old, 0)
-	h.bias = min(max(old+time.Duration(biasWeight*float64(late-old)), 0), maxBias)
+	// The prediction includes the bias, so the bias is subtracted before the comparison.
+	lateness := took - max(predicted-old, 0)
+	h.bias = min(max(old+time.Duration(biasWeight*float64(lateness-old)), 0), maxBias)
 	h.biasAt = now
 }
 
-// addPrefill notes that a host has one more prompt to read.
+// addPrefill adds a request's prompt to the prefill backlog of a host.
 func (r *Router) addPrefill(i int32, request *Request) {
 	h := &r.hosts[i]
 	h.prefillUntil = max(h.prefillUntil, request.Now) + time.Duration(request.PromptTokens)*r.config.PrefillToken
 }
 
-// batchDivisor is how many times less a full batch slows a request than one place in the queue does.
+// batchDivisor is the delay of one queue position divided by the delay that a full batch causes.
 const batchDivisor = 2
 
 const (
-	// biasWeight is the weight of the newest observation.
+	// biasWeight is the weight of the newest observation in the smoothed bias.
 	biasWeight = 0.3
-	// biasDecay is how long a bias takes to fade, so that a host that was slow is
-	// tried again: a few requests a second then tell how it is.
+	// biasDecay is the time in which a bias decays to 0, so that a slow host is
+	// tried again. A few requests per second then show whether it is still slow.
 	biasDecay = 4 * time.Second
 	maxBias   = 2 * time.Second
 )
--- a/internal/coordination/routing/reports.go
+++ b/internal/coordination/routing/reports.go
@@ -6,29 +6,29 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// Bounds of reports between agents and entries.
+// Bounds of load reports from agents to entries.
 const (
-	// hostsPerEntry is how many hosts of each pool an entry hears from, so that it
-	// has a choice.
+	// hostsPerEntry is how many hosts of each pool report to an entry on average,
+	// so that it has enough candidates.
 	hostsPerEntry = 32
-	// minEntries is how many entries each agent reports to at least.
+	// minEntries is the smallest number of entries that an agent reports to.
 	minEntries = 8
-	// entriesPerPeriod is how many entries an agent can report to each period
-	// within its budget of bytes; more stretch the period.
+	// entriesPerPeriod is how many entries an agent can report to in each period
+	// within its bandwidth budget. With more entries the period becomes longer.
 	entriesPerPeriod = 24
 )
 
-// ReportPlan says to how many entries an agent reports, and how often, given
-// how many entries and how many agents of its pool there are. An entry routes
-// to the agents that report to it: of a large pool a part, of a small one all.
-func ReportPlan(entries, pool int, period time.Duration) (to int, every time.Duration) {
-	to = (hostsPerEntry*entries + max(pool, 1) - 1) / max(pool, 1)
-	to = min(max(to, minEntries), entries)
-	return to, period * time.Duration(max(to, entriesPerPeriod)) / entriesPerPeriod
+// ReportPlan returns to how many entries an agent reports and at which interval,
+// given the number of entries and the number of agents in its pool. An entry
+// routes only to the agents that report to it: some of a large pool, and all of a
+// small one.
+func ReportPlan(entries, agents int, period time.Duration) (count int, interval time.Duration) {
+	count = (hostsPerEntry*entries + max(agents, 1) - 1) / max(agents, 1)
+	count = min(max(count, minEntries), entries)
+	return count, period * time.Duration(max(count, entriesPerPeriod)) / entriesPerPeriod
 }
 
-// Forget drops what was sent to a host and learnt from its answers, as when another
-// process runs there now.
+// ResetHost drops the counts and observations of a host, for use when a new process runs there.
 func (r *Router) Forget(id filbertlever.HostID) {
 	i, ok := r.index[id]
 	if !ok {
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing decides which backend server gets a model request: the one
-// with the least predicted time to the first token among a few candidates.
+// Package routing chooses the backend server for a model request: the one with
+// the shortest predicted time to first token among a few candidates.
 package routing
 
 import (
@@ -10,31 +10,34 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// Config holds the costs of a Router's predictions.
+// Config holds the parameters of a Router's predictions.
 type Config struct {
-	// Policy picks among fit hosts; the zero value is the one in use.
+	// Policy picks among eligible hosts. The zero value is PolicyPredicted, the
+	// one used in production.
 	Policy Policy
-	// Service is how long a request occupies a slot, until reports tell.
+	// ServiceTime is how long a request occupies a slot. It applies until load
+	// reports give an estimate.
 	Service time.Duration
-	// FirstToken is what an idle host takes to the first token of an empty prompt.
+	// FirstToken is the time to first token of an idle host for an empty prompt.
 	FirstToken time.Duration
-	// PrefillToken is the time to prefill one prompt token.
+	// PrefillPerToken is the time to prefill one prompt token.
 	PrefillToken time.Duration
-	// UsualPrompt is the time to prefill a usual prompt, by which requests of other
-	// routers are counted.
+	// TypicalPrefill is the time to prefill a prompt of typical length. It is
+	// assumed for each request of other routers.
 	UsualPrompt time.Duration
-	// OtherSite and OtherRegion are what a host there costs more.
+	// OtherSiteCost and OtherRegionCost are added for hosts at another site or in
+	// another region.
 	OtherSite   time.Duration
 	OtherRegion time.Duration
-	// Samples is how many hosts are drawn at random for each request, besides
-	// the two that the prompt's prefix belongs to.
+	// Samples is how many hosts are sampled at random for each request, besides
+	// the two owners of the prompt's prefix.
 	Samples int
-	// HitShare is the part of a prompt that a seen prefix covers.
+	// PrefixShare is the fraction of a prompt that a cached prefix covers.
 	HitShare float64
-	// Cut is what it costs to begin an answer at a host that leaves before its
-	// end; it then goes on elsewhere, where its prompt is read again.
+	// InterruptCost is added for hosts that are predicted to interrupt the answer.
+	// It then resumes on another host, where its prompt is prefilled again.
 	Cut time.Duration
-	// Doubtful is what a host that may be gone must be better by.
+	// SuspectCost is added for hosts that may have failed.
 	Doubtful time.Duration
 }
 
@@ -50,7 +53,7 @@
 	}
 }
 
-// Load is a backend server's load as its agent reported it.
+// Load is a backend server's load as reported by its agent.
 type Load struct {
 	// Sequence orders the reports of one incarnation.
 	Sequence uint64
@@ -58,60 +61,62 @@
 	Queued   int
 	// Concurrency is how many requests the server runs at once.
 	Concurrency int
-	// Wait is the agent's prediction for a new request.
+	// PredictedWait is the queueing time that the agent predicts for a new request.
 	Wait time.Duration
-	// Incarnation is the life of the agent that counted.
+	// Incarnation identifies the process of the agent that made the report.
 	Incarnation filbertlever.Incarnation
-	// Seen is how many requests of this router the agent had received when it
-	// counted, so that those still on their way can be added.
+	// Received is how many requests of this router the agent had received when it
+	// made the report, so that those in transit can be added.
 	Seen uint64
 }
 
-// Target is one kind of work: a set of weights that hosts have loaded.
+// Target identifies a set of weights that hosts have loaded.
 type Target string
 
 // Request is a model request to route.
 type Request struct {
 	Target Target
-	// Prefix is the hash of organisation and the prompt's beginning, so that
-	// no hint crosses organisations. 0 means none.
+	// Prefix is the hash of the organisation and the beginning of the prompt, so
+	// that organisations share no cache hints. 0 means none.
 	Prefix uint64
-	// PromptTokens is the length of the prompt.
+	// PromptTokens is the length of the prompt in tokens.
 	PromptTokens int
-	// Avoid are hosts that the request has already failed at.
+	// Avoid lists the hosts where the request has already failed.
 	Avoid []filbertlever.HostID
-	// Lasts is how long the answer is predicted to take; 0 if that is not known.
+	// AnswerDuration is how long the answer is predicted to take, 0 if unknown.
 	Lasts time.Duration
-	// Final is true if the answer cannot go on elsewhere once more.
+	// LastAttempt is true if the answer cannot resume on another host again.
 	Final bool
-	// Now is the time on any steady clock. Without it, prompts that are still
-	// being read and hosts that were late are not counted.
+	// Now is the time on any monotonic clock. If it is 0, prefill backlogs and the
+	// bias of slow hosts are ignored.
 	Now time.Duration
 }
 
-// Candidate is a host that was weighed.
+// Candidate is a host that was considered for a request.
 type Candidate struct {
-	Host      filbertlever.HostID
+	Host filbertlever.HostID
+	// Predicted is the predicted time to first token.
 	Predicted time.Duration
 }
 
-// maxCandidates bounds how many hosts are weighed for a request.
+// maxCandidates bounds the hosts considered for a request.
 const maxCandidates = 8
 
-// Choice is the decision on one request. It holds no pointers into the
+// Choice is the routing decision on one request. It holds no pointers into the
 // router, so it can be logged later.
 type Choice struct {
-	Host      filbertlever.HostID
+	Host filbertlever.HostID
+	// Predicted is the predicted time to first token.
 	Predicted time.Duration
-	// Reading is how long the host still reads prompts that were sent before.
+	// PrefillWait is the host's prefill backlog of earlier prompts.
 	Reading time.Duration
-	// Cut is true if the host is predicted to leave before the answer's end.
+	// WillInterrupt is true if the host is predicted to interrupt the answer.
 	Cut bool
-	// Ahead is how many requests the host has beyond what it runs at once, this
-	// one included; negative if places are free.
+	// QueuePosition is how many requests the host has above its concurrency, this
+	// one included. It is negative if slots are free.
 	Ahead  int
 	Reason Reason
-	// Weighed is how many of Candidates are set.
+	// CandidateCount is how many of Candidates are set.
 	Weighed    int
 	Candidates [maxCandidates]Candidate
 }
@@ -126,31 +131,31 @@
 	ReasonNone   Reason = "NoHost"
 )
 
-// host is what the router knows of one backend server.
+// host is the router's state of one backend server.
 type host struct {
 	id     filbertlever.HostID
 	site   string
 	region string
 	usable bool
 	load   Load
-	// dispatched is how many requests this router sent to the incarnation.
+	// dispatched is how many requests this router sent to the current incarnation.
 	dispatched uint64
-	// inFlight is how many of them the last report had not seen, or, where others'
-	// requests are counted, how many have not ended.
+	// inFlight is how many of them the last report did not include. With
+	// SetOtherRequests it is how many have not ended.
 	inFlight int
-	// prefillUntil is when the host is predicted to have read the prompts that were
-	// sent to it lately.
+	// prefillUntil is when the host is predicted to have prefilled all prompts
+	// sent to it.
 	prefillUntil time.Duration
-	// bias is how much later than predicted the host's first tokens came, as of
-	// biasAt.
+	// bias is the smoothed difference between the measured and the predicted time
+	// to first token, as of biasAt.
 	bias   time.Duration
 	biasAt time.Duration
-	// interruptAt is when the host breaks off what it does, as for a change of its
-	// weights; 0 if it does not.
+	// interruptAt is when the host interrupts its answers, for instance to change
+	// its weights, 0 if it does not.
 	interruptAt time.Duration
-	// suspect is true while the host may be gone.
+	// suspect is true while the host may have failed.
 	suspect bool
-	// targets are the targets that the host serves.
+	// targets lists the targets that the host serves.
 	targets []Target
 }
 
@@ -160,8 +165,8 @@
 	maxSampleAttempts = 12
 )
 
-// Router keeps what one entry believes of the backend servers. It is not safe
-// for concurrent use.
+// Router chooses backend servers for one entry and keeps the entry's view of
+// their load. It is not safe for concurrent use.
 type Router struct {
 	config Config
 	site   string
@@ -170,12 +175,12 @@
 	hosts  []host
 	index  map[filbertlever.HostID]int32
 	pools  map[Target]*pool
-	// prefixHints remembers, by slot, which prefix was last sent to which host: a
-	// hint about caches, never a truth.
+	// prefixHints records, by hash slot, which prefix was last sent to which host.
+	// It is only a hint about the host's cache.
 	prefixHints [prefixSlots]prefixHint
-	// hasHints is true once there is a hint.
+	// hasHints is true once a hint has been recorded.
 	hasHints bool
-	// roundRobin counts choices, for policies that take turns.
+	// roundRobin counts the choices of PolicyRoundRobin.
 	roundRobin int
 }
 
@@ -184,8 +189,8 @@
 	host   int32
 }
 
-// New returns a router for an entry at a site, with its own source of random
-// numbers so that entries do not choose alike.
+// New returns a router for an entry at a site. Each router needs its own source
+// of random numbers, so that entries don't make the same choices.
 func New(config Config, site, region string, rng *rand.Rand) *Router {
 	return &Router{
 		config: config,
@@ -197,7 +202,7 @@
 	}
 }
 
-// SetHost adds a host or changes what is known of it.
+// SetHost adds or updates a host.
 func (r *Router) SetHost(h filbertlever.Host, usable bool) {
 	i, ok := r.index[h.ID]
 	if !ok {
@@ -210,7 +215,7 @@
 	r.hosts[i].usable = usable
 }
 
-// SetLoaded says which targets a host serves.
+// SetTargets sets the targets that a host serves.
 func (r *Router) SetLoaded(id filbertlever.HostID, targets []Target) {
 	i, ok := r.index[id]
 	if !ok || slices.Equal(r.hosts[i].targets, targets) {
@@ -230,10 +235,9 @@
 	}
 }
 
-// Report takes a load report, from the host's own answers or through others.
-//
-// Guard: reports arrive late and out of order; one that is older than the
-// last taken, of the same incarnation, would bring back a load long past.
+// Report applies a load report, which the host's answers or other processes
+// deliver. Reports arrive late and out of order, so one that is older than the
+// last report of the same incarnation is ignored. It would restore outdated load.
 func (r *Router) Report(id filbertlever.HostID, load Load) {
 	i, ok := r.index[id]
 	if !ok {
@@ -250,38 +254,38 @@
 	h.inFlight = int(h.dispatched - min(load.Seen, h.dispatched))
 }
 
-// SetOthers says how many requests of other routers a host has now. It takes
-// the place of reports where all routers tell each other what they have sent. Each
-// one more has a prompt that the host has to read.
+// SetOtherRequests sets how many requests of other routers a host has. It replaces
+// reports if all routers exchange their counts. Each additional request adds a
+// typical prompt to the host's prefill backlog.
 func (r *Router) SetOthers(id filbertlever.HostID, count, concurrency int, now time.Duration) {
 	i, ok := r.index[id]
 	if !ok {
 		return
 	}
 	h := &r.hosts[i]
-	if more := count - h.load.Running; more > 0 && now > 0 {
-		h.prefillUntil = max(h.prefillUntil, now) + time.Duration(more)*r.config.UsualPrompt
+	if added := count - h.load.Running; added > 0 && now > 0 {
+		h.prefillUntil = max(h.prefillUntil, now) + time.Duration(added)*r.config.UsualPrompt
 	}
 	h.load = Load{Running: count, Concurrency: concurrency}
 }
 
-// SetLeaves says when a host breaks off what it does, as for a change of its
-// weights; 0 if it does not.
+// SetInterruptAt sets when a host interrupts its answers, for instance to change
+// its weights, 0 if it does not.
 func (r *Router) SetLeaves(id filbertlever.HostID, at time.Duration) {
 	if i, ok := r.index[id]; ok {
 		r.hosts[i].interruptAt = at
 	}
 }
 
-// SetDoubtful says whether a host may be gone.
-func (r *Router) SetDoubtful(id filbertlever.HostID, doubtful bool) {
+// SetSuspect sets whether a host may have failed.
+func (r *Router) SetDoubtful(id filbertlever.HostID, suspect bool) {
 	if i, ok := r.index[id]; ok {
-		r.hosts[i].suspect = doubtful
+		r.hosts[i].suspect = suspect
 	}
 }
 
-// Ended notes that a request sent to a host ended without a report of the
-// host's load, as when the host died.
+// Release records that a request sent to a host ended without a load report, for
+// instance because the host failed.
 func (r *Router) Ended(id filbertlever.HostID) {
 	i, ok := r.index[id]
 	if !ok {
@@ -299,8 +303,8 @@
 	h.load.Running = max(h.load.Running-1, 0)
 }
 
-// Choose picks a host for a request and counts it as sent there. Choice.Host
-// is empty if no host serves the target.
+// Choose chooses a host for a request and counts the request as sent there.
+// Choice.Host is empty if no eligible host serves the target.
 func (r *Router) Choose(request *Request) Choice {
 	var choice Choice
 	p, ok := r.pools[request.Target]
@@ -311,28 +315,28 @@
 	if pick, ok := pickFuncs[r.config.Policy]; ok {
 		return r.chooseByPolicy(pick, p, request)
 	}
-	var weighed [maxCandidates]int32
+	var considered [maxCandidates]int32
 	best, owner := int32(-1), int32(-1)
 	bestCost := time.Duration(0)
 	consider := func(i int32) {
 		if choice.Weighed == maxCandidates || !r.eligible(i, request.Avoid) {
 			return
 		}
-		if slices.Contains(weighed[:choice.Weighed], i) {
+		if slices.Contains(considered[:choice.Weighed], i) {
 			return
 		}
 		predicted := r.predict(i, request, i == owner)
-		weighed[choice.Weighed] = i
+		considered[choice.Weighed] = i
 		choice.Candidates[choice.Weighed] = Candidate{Host: r.hosts[i].id, Predicted: predicted}
 		choice.Weighed++
-		cut := r.willInterrupt(i, request, predicted)
-		cost := predicted + r.interruptCost(cut, request)
+		interrupt := r.willInterrupt(i, request, predicted)
+		cost := predicted + r.interruptCost(interrupt, request)
 		if r.hosts[i].suspect {
 			cost += r.config.Doubtful
 		}
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
-			choice.Predicted, choice.Cut = predicted, cut
+			choice.Predicted, choice.Cut = predicted, interrupt
 		}
 	}
 	if request.Prefix != 0 {
@@ -343,7 +347,8 @@
 	}
 	r.sample(p, consider, &choice.Weighed)
 	if choice.Weighed == 0 {
-		// Every draw was unfit, as after the loss of a site: look at all.
+		// No sampled host was eligible, for instance after the failure of a site, so all hosts are
+		// considered.
 		for _, i := range p.hosts {
 			consider(i)
 		}
@@ -364,18 +369,20 @@
 	return choice
 }
 
-// sample draws hosts at random until enough new ones were weighed.
-func (r *Router) sample(p *pool, consider func(int32), weighed *int) {
-	want := min(*weighed+r.config.Samples, len(p.hosts))
-	for draws := 0; draws < maxSampleAttempts && *weighed < want; draws++ {
+// sample considers random hosts until enough new candidates were found.
+func (r *Router) sample(p *pool, consider func(int32), count *int) {
+	want := min(*count+r.config.Samples, len(p.hosts))
+	for attempts := 0; attempts < maxSampleAttempts && *count < want; attempts++ {
 		consider(p.hosts[r.rng.IntN(len(p.hosts))])
 	}
 }
 
+// eligible reports whether host i may get a request that avoids some hosts.
 func (r *Router) eligible(i int32, avoid []filbertlever.HostID) bool {
 	return r.hosts[i].usable && !slices.Contains(avoid, r.hosts[i].id)
 }
 
+// recordSent counts a request as sent to host i and records its prefix.
 func (r *Router) recordSent(i int32, prefix uint64) {
 	r.hosts[i].inFlight++
 	r.hosts[i].dispatched++
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -27,6 +27,7 @@
 
 func id(i int) filbertlever.HostID { return filbertlever.HostID(fmt.Sprint("model-", i)) }
 
+// Requests go to busy hosts although another one is idle.
 func TestChoosesIdleHost(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 3)
@@ -38,7 +39,7 @@
 	}
 }
 
-// A request goes to a host that has another model, or none.
+// A request goes to a host that serves another model or none.
 func TestChoosesOnlyHostsServingTheTarget(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 3)
@@ -50,7 +51,7 @@
 	c.Assert(r.Choose(&routing.Request{Target: "missing"}).Reason, qt.Equals, routing.ReasonNone)
 }
 
-// Requests go on to a host that died or leaves, or back to where they failed.
+// Requests go to a host that is unusable, or again to a host where they failed.
 func TestIneligibleHostsAreNotChosen(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 3)
@@ -63,7 +64,7 @@
 	c.Assert(choice.Host, qt.Equals, filbertlever.HostID(""))
 }
 
-// All but one of many hosts are gone, and the random draws miss the one left.
+// All but one of many hosts are unusable, and random sampling misses the remaining one.
 func TestFindsTheOnlyEligibleHost(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 500)
@@ -73,8 +74,8 @@
 	c.Assert(r.Choose(&routing.Request{Target: drafter}).Host, qt.Equals, id(499))
 }
 
-// The host that is idle in the latest report gets every request of a second
-// from every entry, and all of them queue there.
+// All entries send all their requests to the host that was idle in the latest
+// report, and the requests queue there.
 func TestEntriesDoNotOverloadOneIdleHost(t *testing.T) {
 	c := qt.New(t)
 	const hosts, entries, requests = 16, 8, 20
@@ -97,7 +98,7 @@
 	}
 }
 
-// A report that overtook another brings back a load long past.
+// An older report that arrives late restores outdated load.
 func TestOlderReportIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 2)
@@ -106,8 +107,8 @@
 	c.Assert(r.Choose(&routing.Request{Target: drafter}).Host, qt.Equals, id(1))
 }
 
-// A report that left the host before the last requests arrived makes it look
-// idle, and more requests follow.
+// A report that was made before the last requests arrived makes the host look
+// idle, and it gets more requests.
 func TestUnreportedRequestsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 1)
@@ -121,7 +122,7 @@
 	c.Assert(r.Choose(&routing.Request{Target: drafter}).Host, qt.Equals, filbertlever.HostID("model-9"))
 }
 
-// A long clause is prefilled anew at another host each time it is asked about.
+// Requests with the same long prefix go to different hosts, and each one prefills it again.
 func TestPrefixIsRoutedToItsCache(t *testing.T) {
 	c := qt.New(t)
 	request := &routing.Request{Target: drafter, Prefix: routing.PrefixHash("hauler-1", "a long clause"), PromptTokens: 4000}
@@ -133,13 +134,14 @@
 	c.Assert([]filbertlever.HostID{first.Candidates[0].Host, first.Candidates[1].Host}, qt.Contains, again.Host)
 }
 
-// One organisation learns from the speed of an answer what another has asked.
+// One organisation can infer from the speed of an answer what another one asked.
 func TestPrefixesDoNotCrossOrganisations(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(routing.PrefixHash("hauler-1", "clause"), qt.Not(qt.Equals), routing.PrefixHash("hauler-2", "clause"))
 	c.Assert(routing.PrefixHash("a", "bc"), qt.Not(qt.Equals), routing.PrefixHash("ab", "c"))
 }
 
+// Choosing a host allocates memory.
 func TestChooseDoesNotAllocate(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 2700)
@@ -161,14 +163,13 @@
 	}
 }
 
-// A model that three hosts serve is known to a few of 460 entries, and callers
-// of the others are told that nobody has it; or an agent's reports take more
-// than its share of the line.
+// Three hosts that serve a model report to a few of 460 entries, and the others
+// refuse requests for it; or the reports of an agent exceed their bandwidth.
 func TestReportsReachEnoughEntries(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
-		entries, pool, to int
-		every             time.Duration
+		entries, agents, count int
+		interval               time.Duration
 	}{
 		{8, 16, 8, time.Second},
 		{460, 2200, 8, time.Second},
@@ -176,52 +177,52 @@
 		{460, 3, 460, 19166666666},
 		{0, 0, 0, time.Second},
 	} {
-		to, every := routing.ReportPlan(test.entries, test.pool, time.Second)
-		c.Assert(to, qt.Equals, test.to)
-		c.Assert(every, qt.Equals, test.every)
+		count, interval := routing.ReportPlan(test.entries, test.agents, time.Second)
+		c.Assert(count, qt.Equals, test.count)
+		c.Assert(interval, qt.Equals, test.interval)
 	}
 }
 
-// A version changes on one server after the other. Long answers that began shortly
-// before were broken off and went on elsewhere with a pause, some twice, which
-// lost them. Short ones are done in time and keep the server busy.
+// During a rolling version change, long answers that began shortly before were interrupted and resumed
+// on another host, and those interrupted twice were lost. Short answers end in time and may still use
+// the host.
 func TestLongAnswersAvoidHostsDueForInterruption(t *testing.T) {
 	c := qt.New(t)
 	config := routing.DefaultConfig()
 	config.Cut = 150 * time.Millisecond
-	const leaving, staying filbertlever.HostID = "leaving", "staying"
+	const interrupted, available filbertlever.HostID = "leaving", "staying"
 	tests := []struct {
-		name    string
-		lasts   time.Duration
-		final   bool
-		waiting int
-		want    filbertlever.HostID
-		cut     bool
+		name           string
+		answerDuration time.Duration
+		lastAttempt    bool
+		waiting        int
+		want           filbertlever.HostID
+		willInterrupt  bool
 	}{
-		{"a short answer", 300 * time.Millisecond, false, 8, leaving, false},
-		{"a long answer", 2 * time.Second, false, 8, staying, false},
-		{"a long answer, but the other host has a long queue", 2 * time.Second, false, 20, leaving, true},
-		{"the last try", 2 * time.Second, true, 20, staying, false},
-		{"an answer of unknown length", 0, false, 8, leaving, false},
+		{"a short answer", 300 * time.Millisecond, false, 8, interrupted, false},
+		{"a long answer", 2 * time.Second, false, 8, available, false},
+		{"a long answer, but the other host has a long queue", 2 * time.Second, false, 20, interrupted, true},
+		{"the last attempt", 2 * time.Second, true, 20, available, false},
+		{"an answer of unknown length", 0, false, 8, interrupted, false},
 	}
 	for _, test := range tests {
 		r := routing.New(config, "a", "ra", rand.New(rand.NewPCG(1, 2)))
-		for _, id := range []filbertlever.HostID{leaving, staying} {
+		for _, id := range []filbertlever.HostID{interrupted, available} {
 			r.SetHost(filbertlever.Host{ID: id, Site: "a", Region: "ra"}, true)
 			r.SetLoaded(id, []routing.Target{"m"})
 			r.SetOthers(id, 0, 16, 0)
 		}
-		r.SetOthers(staying, test.waiting, 16, 0)
-		r.SetLeaves(leaving, 11*time.Second)
-		choice := r.Choose(&routing.Request{Target: "m", Now: 10 * time.Second, Lasts: test.lasts, Final: test.final})
+		r.SetOthers(available, test.waiting, 16, 0)
+		r.SetLeaves(interrupted, 11*time.Second)
+		choice := r.Choose(&routing.Request{Target: "m", Now: 10 * time.Second, Lasts: test.answerDuration, Final: test.lastAttempt})
 		c.Check(choice.Host, qt.Equals, test.want, qt.Commentf(test.name))
-		c.Check(choice.Cut, qt.Equals, test.cut, qt.Commentf(test.name))
+		c.Check(choice.Cut, qt.Equals, test.willInterrupt, qt.Commentf(test.name))
 	}
 }
 
-// All entries come back at once, and each thinks the engines idle: twelve prompts
-// reached each of them in the same moment, and every answer was late. What others
-// send is read too, and delays whatever comes next.
+// All entries became available at once and each considered the engines idle. Twelve prompts reached
+// each engine at the same time, and all answers were late. The prompts of other entries must count
+// towards the prefill backlog.
 func TestPrefillOfOtherRoutersIsCounted(t *testing.T) {
 	c := qt.New(t)
 	config := routing.DefaultConfig()
@@ -239,14 +240,14 @@
 	c.Assert(choice.Reading, qt.Equals, time.Duration(0))
 	choice = r.Choose(&routing.Request{Target: "m", PromptTokens: 900, Now: now, Avoid: []filbertlever.HostID{"free"}})
 	c.Assert(choice.Reading, qt.Equals, 240*time.Millisecond)
-	// Fewer of them, or none, bring no more to read.
+	// Fewer requests of other routers add nothing to the prefill backlog.
 	r.SetOthers("busy", 2, 16, now+time.Second)
 	choice = r.Choose(&routing.Request{Target: "m", PromptTokens: 900, Now: now + time.Second, Avoid: []filbertlever.HostID{"free"}})
 	c.Assert(choice.Reading, qt.Equals, time.Duration(0))
 }
 
-// A prompt is sent where it was read last, to a process that has read nothing: the one
-// before is gone, with its caches, its counts and its lateness.
+// A prompt is sent to a host that cached its prefix, but a new process runs there now. The caches,
+// counts and bias of the previous process no longer apply.
 func TestResetHostDropsStateOfPreviousProcess(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 4)
@@ -268,7 +269,7 @@
 	r.Forget(first.Host)
 	request.Lasts = time.Hour
 	again := r.Choose(request)
-	c.Assert(again.Host, qt.Equals, first.Host, qt.Commentf("what it serves is told beside"))
+	c.Assert(again.Host, qt.Equals, first.Host, qt.Commentf("targets are set separately"))
 	c.Assert(again.Predicted, qt.Equals, first.Predicted)
 	c.Assert(again.Cut, qt.IsFalse)
 	c.Assert(again.Reading, qt.Equals, time.Duration(0))
--- a/internal/coordination/stream/events.go
+++ b/internal/coordination/stream/events.go
@@ -1,22 +1,23 @@
 package stream
 
-// Events follows the numbered events of one answer over several attempts, so
-// that each reaches the caller once and in order. The zero value knows nothing
-// and takes any first event.
+// Events checks the event numbers of one answer across several attempts, so that
+// each event is delivered to the caller once and in order. The zero value accepts
+// any first event.
 type Events struct {
+	// last is the number of the last event delivered, if started is true.
 	last    int64
 	started bool
 }
 
-// From says that the caller has all events up to last; negative means none.
+// ResumeAfter sets the number of the last event that the caller has received. A
+// negative number means none.
 func (e *Events) From(last int64) {
 	e.last, e.started = last, last >= 0
 }
 
-// Next tells what to do with the event of a number.
-//
-// Guard: a server that goes on with a stream may begin too early, which would
-// double events, or too late, which would leave a hole that looks whole.
+// Check returns what to do with the event of a number. A server that resumes a
+// stream may begin too early, which would duplicate events, or too late, which
+// would leave an undetected gap.
 func (e *Events) Next(number int64) Verdict {
 	switch {
 	case e.started && number <= e.last:
--- a/internal/coordination/stream/events_test.go
+++ b/internal/coordination/stream/events_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An answer that goes on at another server holds an event twice, or misses one
-// and looks whole. The other server may begin before or after what was asked.
+// An answer that resumes on another server repeats an event, or lacks one without an error. The other
+// server may begin before or after the requested event.
 func TestEventsAreDeliveredOnceAndInOrder(t *testing.T) {
 	c := qt.New(t)
 	var e Events
@@ -20,7 +20,7 @@
 	c.Assert(e.Next(6), qt.Equals, VerdictDeliver)
 }
 
-// The same where the caller itself resumes after event 12.
+// The same if the caller itself resumes the answer, after event 12.
 func TestEventsResumeAfterCallersLastEvent(t *testing.T) {
 	c := qt.New(t)
 	var e Events
--- a/internal/coordination/stream/stream.go
+++ b/internal/coordination/stream/stream.go
@@ -1,37 +1,41 @@
-// Package stream assembles one whole answer from the frames of one or more
+// Package stream assembles one complete answer from the frames of one or more
 // attempts.
 package stream
 
 import "github.com/filbertlever/filbertlever"
 
-// Frame is a part of an answer as an attempt delivered it.
+// Frame is a part of an answer, received from an attempt.
 type Frame struct {
 	Attempt uint32
-	// Offset is the position of Pieces[0] in the whole answer.
+	// Offset is the position of Pieces[0] in the answer.
 	Offset uint32
 	Pieces []string
-	// Version is the digest that the engine attested for these pieces.
+	// Version is the digest of the weights that the engine attested for these pieces.
 	Version filbertlever.Digest
-	Done    bool
+	// Done is true in the last frame of the answer.
+	Done bool
 }
 
-// Verdict is what to do with a frame.
+// Verdict is what to do with a frame or an event.
 type Verdict int
 
 // The verdicts.
 const (
-	// VerdictDeliver hands the returned pieces to the caller; there may be none.
+	// VerdictDeliver means that the returned pieces are delivered to the caller. There
+	// may be none.
 	VerdictDeliver Verdict = iota + 1
-	// VerdictDone hands over the returned pieces, which end the answer.
+	// VerdictDone means that the returned pieces are delivered and complete the answer.
 	VerdictDone
-	// VerdictDrop ignores a frame of an attempt given up.
+	// VerdictDrop means that the frame or event is ignored because it belongs to an
+	// earlier attempt or was delivered before.
 	VerdictDrop
-	// VerdictBroken ends the attempt: the frame leaves a gap or comes from
-	// other weights. Nothing of it is delivered.
+	// VerdictBroken means that the attempt ends because the frame or event leaves a gap
+	// or comes from other weights. Nothing of it is delivered.
 	VerdictBroken
 )
 
-// Assembler keeps what the caller of one request has been given.
+// Assembler assembles the answer to one request and keeps the pieces delivered to
+// its caller.
 type Assembler struct {
 	attempt   uint32
 	version   filbertlever.Digest
@@ -39,37 +43,37 @@
 	done      bool
 }
 
-// New returns an assembler for an answer that begins after delivered, all of
-// it from the weights with digest version.
+// New returns an assembler for an answer that continues after the pieces in
+// delivered. All of the answer comes from the weights with the digest version.
 func New(version filbertlever.Digest, delivered []string) *Assembler {
 	return &Assembler{version: version, delivered: append([]string(nil), delivered...)}
 }
 
-// Begin starts the next attempt and returns its number. Frames of earlier
-// attempts are dropped from here on.
+// BeginAttempt starts the next attempt and returns its number. From then on,
+// frames of earlier attempts are dropped.
 func (a *Assembler) Begin() uint32 {
 	a.attempt++
 	return a.attempt
 }
 
-// Delivered returns the pieces given to the caller; the caller must not
-// change them.
+// Delivered returns the pieces delivered so far. The slice must not be changed.
 func (a *Assembler) Delivered() []string { return a.delivered }
 
-// Version returns the weights that the answer comes from.
+// Version returns the digest of the weights that the answer comes from.
 func (a *Assembler) Version() filbertlever.Digest { return a.version }
 
-// Done reports whether the answer is whole.
+// Done reports whether the answer is complete.
 func (a *Assembler) Done() bool { return a.done }
 
-// Frame takes a frame and returns the pieces to deliver.
-//
-// Guards: a frame of an attempt given up may still arrive and would double
-// tokens, so the attempt number must match; a frame may repeat tokens already
-// delivered, so those before the next offset are cut off; a lost frame would
-// leave a hole, so an offset beyond the next one breaks the attempt; an engine
-// that switched versions would mix two answers, so the attested digest must be
-// the one the answer began with.
+// Accept checks a frame and returns the pieces to deliver:
+//   - A frame of an earlier attempt may still arrive and would duplicate tokens, so
+//     the attempt number must match.
+//   - A frame may repeat delivered tokens, so those before the next offset are
+//     removed.
+//   - A lost frame would leave a gap, so an offset beyond the next one ends the
+//     attempt.
+//   - An engine that switched versions would mix two answers, so the attested
+//     digest must be the one that the answer began with.
 func (a *Assembler) Frame(frame Frame) ([]string, Verdict) {
 	if frame.Attempt != a.attempt || a.done {
 		return nil, VerdictDrop
--- a/internal/coordination/stream/stream_test.go
+++ b/internal/coordination/stream/stream_test.go
@@ -22,8 +22,8 @@
 	return pieces
 }
 
-// The caller reads a clause with a sentence twice: a frame of the attempt that
-// was given up arrives after the next attempt began.
+// The caller gets tokens twice, because a frame of an earlier attempt arrives after the next attempt
+// began.
 func TestFrameOfEarlierAttemptIsDropped(t *testing.T) {
 	c := qt.New(t)
 	a := stream.New(version, nil)
@@ -38,7 +38,7 @@
 	c.Assert(pieces, qt.DeepEquals, []string{"b"})
 }
 
-// The caller reads a clause with a hole in it: a frame was lost on the way.
+// The caller gets an answer with a gap, because a frame was lost.
 func TestGapEndsTheAttempt(t *testing.T) {
 	c := qt.New(t)
 	a := stream.New(version, nil)
@@ -48,8 +48,8 @@
 	c.Assert(a.Delivered(), qt.HasLen, 0)
 }
 
-// The caller reads the beginning of one model version's answer and the end of
-// another's: the host switched versions, and the request was resumed there.
+// The caller gets parts of the answers of two model versions, because the request was resumed on a
+// host that had switched versions.
 func TestOtherWeightsEndTheAttempt(t *testing.T) {
 	c := qt.New(t)
 	a := stream.New(version, []string{"a"})
@@ -59,11 +59,11 @@
 	c.Assert(a.Delivered(), qt.DeepEquals, []string{"a"})
 }
 
-// Any order of frames, twice, late, out of order and from any attempt: the
-// caller is given a beginning of the one true answer, and all of it at the end.
+// Frames that are duplicated, late, out of order or from any attempt corrupt the answer. The caller
+// must always have a prefix of the correct answer, and all of it once it is done.
 func TestFramesInAnyOrderGiveOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := answer(12)
+		complete := answer(12)
 		a := stream.New(version, nil)
 		var delivered []string
 		var sent []stream.Frame
@@ -72,9 +72,9 @@
 			if rapid.IntRange(0, 9).Draw(t, "again") == 0 {
 				attempt = a.Begin()
 			}
-			from := rapid.IntRange(0, len(whole)).Draw(t, "from")
-			to := rapid.IntRange(from, min(from+3, len(whole))).Draw(t, "to")
-			frame := stream.Frame{Attempt: attempt, Offset: uint32(from), Pieces: whole[from:to], Version: version, Done: to == len(whole)}
+			from := rapid.IntRange(0, len(complete)).Draw(t, "from")
+			to := rapid.IntRange(from, min(from+3, len(complete))).Draw(t, "to")
+			frame := stream.Frame{Attempt: attempt, Offset: uint32(from), Pieces: complete[from:to], Version: version, Done: to == len(complete)}
 			if rapid.IntRange(0, 5).Draw(t, "other") == 0 {
 				frame.Version = "sha256:other"
 				frame.Pieces = []string{"from other weights"}
@@ -83,11 +83,11 @@
 			frame = sent[rapid.IntRange(0, len(sent)-1).Draw(t, "frame")]
 			pieces, _ := a.Frame(frame)
 			delivered = append(delivered, pieces...)
-			if !slices.Equal(delivered, whole[:len(delivered)]) {
-				t.Fatalf("caller was given %v", delivered)
+			if !slices.Equal(delivered, complete[:len(delivered)]) {
+				t.Fatalf("caller received %v", delivered)
 			}
-			if a.Done() && len(delivered) != len(whole) {
-				t.Fatalf("answer ended after %d of %d tokens", len(delivered), len(whole))
+			if a.Done() && len(delivered) != len(complete) {
+				t.Fatalf("answer ended after %d of %d tokens", len(delivered), len(complete))
 			}
 		}
 	})
