--- a/internal/coordination/outcome/outcome.go
+++ b/internal/coordination/outcome/outcome.go
@@ -238,6 +238,7 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
+// classify returns the kind of a request from its last log line.
 func classify(line *Line, goal time.Duration) Kind {
 	switch {
 	case strings.HasPrefix(line.Reason, "the caller left"):
@@ -274,6 +275,7 @@
 	return CauseNone
 }
 
+// lateCause returns the first cause that applies to a late answer.
 func (t *Tally) lateCause(line *Line, r *openRequest) Cause {
 	const prefillGoalDivisor = 3
 	switch {
@@ -327,9 +329,9 @@
 		if counts[r.key]--; counts[r.key] == 0 {
 			delete(counts, r.key)
 		}
-		again := r.key
-		again.kind = KindRefusedAgain
-		counts[again]++
+		repeated := r.key
+		repeated.kind = KindRefusedAgain
+		counts[repeated]++
 	}
 	rows := make([]Row, 0, len(counts))
 	for key, n := range counts {
--- a/internal/coordination/routing/predict.go
+++ b/internal/coordination/routing/predict.go
@@ -13,7 +13,7 @@
 	h := &r.hosts[i]
 	prefill := float64(request.PromptTokens)
 	if owner || r.prefixCached(i, request.Prefix) {
-		prefill *= 1 - r.config.HitShare
+		prefill *= 1 - r.config.PrefixShare
 	}
 	predicted := time.Duration(prefill * float64(r.config.PrefillToken))
 	switch {
@@ -112,7 +112,8 @@
 	h.prefillUntil = max(h.prefillUntil, request.Now) + time.Duration(request.PromptTokens)*r.config.PrefillToken
 }
 
-// batchDivisor is the delay of one queue position divided by the delay that a full batch causes.
+// batchDivisor is how many times smaller the delay in a full batch is than the delay by one queue
+// position.
 const batchDivisor = 2
 
 const (
@@ -121,5 +122,6 @@
 	// biasDecay is the time in which a bias decays to 0, so that a slow host is
 	// tried again. A few requests per second then show whether it is still slow.
 	biasDecay = 4 * time.Second
-	maxBias   = 2 * time.Second
+	// maxBias is the upper bound of the bias.
+	maxBias = 2 * time.Second
 )
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -33,7 +33,7 @@
 	// the two owners of the prompt's prefix.
 	Samples int
 	// PrefixShare is the fraction of a prompt that a cached prefix covers.
-	HitShare float64
+	PrefixShare float64
 	// InterruptCost is added for hosts that are predicted to interrupt the answer.
 	// It then resumes on another host, where its prompt is prefilled again.
 	Cut time.Duration
@@ -49,7 +49,7 @@
 		OtherSite:    time.Millisecond,
 		OtherRegion:  2 * time.Millisecond,
 		Samples:      3,
-		HitShare:     0.8,
+		PrefixShare:  0.8,
 	}
 }
 
@@ -126,9 +126,9 @@
 
 // The reasons.
 const (
-	ReasonLeast  Reason = "LeastPredicted"
-	ReasonPrefix Reason = "PrefixCached"
-	ReasonNone   Reason = "NoHost"
+	ReasonLeastPredicted Reason = "LeastPredicted"
+	ReasonPrefixCached   Reason = "PrefixCached"
+	ReasonNone           Reason = "NoHost"
 )
 
 // host is the router's state of one backend server.
@@ -161,7 +161,10 @@
 
 const (
 	ringPointsPerHost = 8
-	prefixSlots       = 1 << 14
+	// prefixSlots is the size of the table of prefix hints.
+	prefixSlots = 1 << 14
+	// maxSampleAttempts bounds the random hosts looked at for a request. A host may be sampled twice or
+	// be ineligible.
 	maxSampleAttempts = 12
 )
 
@@ -357,9 +360,9 @@
 		choice.Reason = ReasonNone
 		return choice
 	}
-	choice.Reason = ReasonLeast
+	choice.Reason = ReasonLeastPredicted
 	if best == owner || r.prefixCached(best, request.Prefix) {
-		choice.Reason = ReasonPrefix
+		choice.Reason = ReasonPrefixCached
 	}
 	choice.Host = r.hosts[best].id
 	choice.Ahead = r.hosts[best].queuePosition()
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -130,7 +130,7 @@
 	r := newRouter(2, 64)
 	r.Choose(request)
 	again := r.Choose(request)
-	c.Assert(again.Reason, qt.Equals, routing.ReasonPrefix)
+	c.Assert(again.Reason, qt.Equals, routing.ReasonPrefixCached)
 	c.Assert([]filbertlever.HostID{first.Candidates[0].Host, first.Candidates[1].Host}, qt.Contains, again.Host)
 }
 
@@ -273,5 +273,5 @@
 	c.Assert(again.Predicted, qt.Equals, first.Predicted)
 	c.Assert(again.Cut, qt.IsFalse)
 	c.Assert(again.Reading, qt.Equals, time.Duration(0))
-	c.Assert(again.Reason, qt.Equals, routing.ReasonLeast)
+	c.Assert(again.Reason, qt.Equals, routing.ReasonLeastPredicted)
 }
