--- a/internal/coordination/routing/policies.go
+++ b/internal/coordination/routing/policies.go
@@ -2,55 +2,57 @@
 
 import "slices"
 
-// Policy is a way to pick a host.
+// Policy names a load balancing policy.
 type Policy string
 
-// The policies. Those but PolicyPredicted are there to be measured against it.
+// The policies. All but PolicyPredicted only serve as baselines in benchmarks.
 const (
-	// PolicyPredicted takes the least predicted time to the first token.
+	// PolicyPredicted picks the host with the shortest predicted time to first token.
 	PolicyPredicted Policy = ""
-	// PolicyRoundRobin takes one host after the other.
+	// PolicyRoundRobin picks the hosts in turn.
 	PolicyRoundRobin Policy = "RoundRobin"
-	// PolicyLeastReported takes the host that reported the least load.
+	// PolicyLeastReported picks the host that reported the least load.
 	PolicyLeastReported Policy = "LeastReported"
-	// PolicyTwoRandom takes the less loaded of two random hosts, by report.
+	// PolicyTwoRandom picks the host with the lower reported load of two random ones.
 	PolicyTwoRandom Policy = "TwoRandom"
 )
 
-// picker returns one of hosts, which are fit.
-type picker func(r *Router, hosts []int32) int32
+// pickFunc returns one of the hosts. All of them are eligible.
+type pickFunc func(r *Router, hosts []int32) int32
 
-var policies = map[Policy]picker{
-	PolicyRoundRobin:    pickNext,
-	PolicyLeastReported: pickLeast,
-	PolicyTwoRandom:     pickOfTwo,
+var pickFuncs = map[Policy]pickFunc{
+	PolicyRoundRobin:    pickRoundRobin,
+	PolicyLeastReported: pickLeastReported,
+	PolicyTwoRandom:     pickTwoRandom,
 }
 
-func (r *Router) chooseBy(pick picker, p *pool, request *Request) Choice {
-	fit := slices.DeleteFunc(slices.Clone(p.hosts), func(i int32) bool { return !r.fit(i, request.Avoid) })
-	if len(fit) == 0 {
+// chooseByPolicy chooses a host for a request with a policy other than PolicyPredicted.
+func (r *Router) chooseByPolicy(pick pickFunc, p *pool, request *Request) Choice {
+	eligible := slices.DeleteFunc(slices.Clone(p.hosts), func(i int32) bool { return !r.eligible(i, request.Avoid) })
+	if len(eligible) == 0 {
 		return Choice{Reason: ReasonNone}
 	}
-	i := pick(r, fit)
-	r.sent(i, 0)
+	i := pick(r, eligible)
+	r.recordSent(i, 0)
 	return Choice{Host: r.hosts[i].id, Reason: Reason(r.config.Policy)}
 }
 
-func pickNext(r *Router, hosts []int32) int32 {
-	r.turn++
-	return hosts[r.turn%len(hosts)]
+func pickRoundRobin(r *Router, hosts []int32) int32 {
+	r.roundRobin++
+	return hosts[r.roundRobin%len(hosts)]
 }
 
-func pickLeast(r *Router, hosts []int32) int32 {
-	return slices.MinFunc(hosts, func(a, b int32) int { return r.reported(a) - r.reported(b) })
+func pickLeastReported(r *Router, hosts []int32) int32 {
+	return slices.MinFunc(hosts, func(a, b int32) int { return r.reportedLoad(a) - r.reportedLoad(b) })
 }
 
-func pickOfTwo(r *Router, hosts []int32) int32 {
+func pickTwoRandom(r *Router, hosts []int32) int32 {
 	a, b := hosts[r.rng.IntN(len(hosts))], hosts[r.rng.IntN(len(hosts))]
-	if r.reported(b) < r.reported(a) {
+	if r.reportedLoad(b) < r.reportedLoad(a) {
 		return b
 	}
 	return a
 }
 
-func (r *Router) reported(i int32) int { return r.hosts[i].load.Running + r.hosts[i].load.Queued }
+// reportedLoad returns the number of requests that a host last reported.
+func (r *Router) reportedLoad(i int32) int { return r.hosts[i].load.Running + r.hosts[i].load.Queued }
