--- a/internal/coordination/order/gate.go
+++ b/internal/coordination/order/gate.go
@@ -6,26 +6,27 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// Key names an order.
+// Key identifies an order within an organisation.
 type Key struct {
 	Organisation filbertlever.OrganisationID
 	Key          string
 }
 
-// Gate is the one place where an order starts. It lives as long as its agent;
-// the incarnation in each claim says which life knows of the order. It is not
-// safe for concurrent use.
+// Gate is the only place where an order starts. It exists as long as its agent
+// process. The incarnation in each claim identifies the process whose gate holds
+// the state of the order. Gate is not safe for concurrent use.
 type Gate struct {
 	incarnation filbertlever.Incarnation
 	entries     map[Key]*gateEntry
-	// keep is how long a recorded order stays known after its record.
-	keep time.Duration
+	// retention is the time for which an order is kept after the platform
+	// recorded its outcome.
+	retention time.Duration
 }
 
 type gateState int
 
 const (
-	gateForbidden gateState = iota + 1
+	gateFenced gateState = iota + 1
 	gateRunning
 	gateDone
 	gateUnknown
@@ -35,20 +36,22 @@
 	state  gateState
 	fence  uint64
 	answer []byte
-	// recorded is when the platform was known to hold the end of the order.
-	recorded time.Time
+	// recordedAt is when the gate was notified that the platform holds the
+	// outcome of the order; zero until then.
+	recordedAt time.Time
 }
 
-// NewGate returns the gate of one life of an agent.
-func NewGate(incarnation filbertlever.Incarnation, keep time.Duration) *Gate {
-	return &Gate{incarnation: incarnation, entries: map[Key]*gateEntry{}, keep: keep}
+// NewGate returns the gate of one incarnation of an agent.
+func NewGate(incarnation filbertlever.Incarnation, retention time.Duration) *Gate {
+	return &Gate{incarnation: incarnation, entries: map[Key]*gateEntry{}, retention: retention}
 }
 
-// Begin asks whether to start an order now, under the claim with this fence.
+// Begin reports whether the caller must start an order under the claim with
+// this fence.
 //
-// Guard: the same order may arrive from several entries, late, or after its
-// claim was given up. The first arrival under a fence that was not forbidden
-// gets GateStart, every other one the state of that start.
+// The same order may arrive from several entries, late, or after its claim was
+// released. The first request whose fence is still valid gets GateStart. Every
+// other request gets the state of the order.
 func (g *Gate) Begin(key Key, incarnation filbertlever.Incarnation, fence uint64) GateReply {
 	if incarnation != g.incarnation {
 		return GateReply{Gate: GateOther, Reason: "agent was restarted"}
@@ -58,14 +61,14 @@
 		g.entries[key] = &gateEntry{state: gateRunning, fence: fence}
 		return GateReply{Gate: GateStart}
 	}
-	if entry.state == gateForbidden && fence > entry.fence {
+	if entry.state == gateFenced && fence > entry.fence {
 		*entry = gateEntry{state: gateRunning, fence: fence}
 		return GateReply{Gate: GateStart}
 	}
 	return entry.reply()
 }
 
-// Finish notes that the order ran and gave answer.
+// Finish records that the order ran and returned answer.
 func (g *Gate) Finish(key Key, answer []byte) {
 	if entry, ok := g.entries[key]; ok && entry.state == gateRunning {
 		entry.state = gateDone
@@ -73,65 +76,66 @@
 	}
 }
 
-// Fail notes that the start came to nothing that is known: the service may or
-// may not have run the order.
+// Fail records that the outcome of a start is unknown: the service may or may
+// not have run the order.
 func (g *Gate) Fail(key Key) {
 	if entry, ok := g.entries[key]; ok && entry.state == gateRunning {
 		entry.state = gateUnknown
 	}
 }
 
-// Revoke notes that the start reached nobody: the order did not run, and does
-// not under this fence.
+// Revoke records that the order never reached the service. It did not run and
+// cannot start under this fence any more.
 func (g *Gate) Revoke(key Key) {
 	if entry, ok := g.entries[key]; ok && entry.state == gateRunning {
-		entry.state = gateForbidden
+		entry.state = gateFenced
 	}
 }
 
-// Settle says what became of an order claimed with this fence and, if it has
-// not started, forbids it.
+// Resolve returns the state of an order claimed with this fence. If the order
+// has not started, Resolve fences it off.
 //
-// Guard: an order dispatched by a claimant that was paused or cut off may
-// arrive after somebody was told that it did not run; once forbidden, it is
-// refused.
+// A claimant that was paused or disconnected may dispatch the order after
+// another caller got the result that it did not run. The gate refuses such a
+// dispatch because its fence is no longer valid.
 func (g *Gate) Settle(key Key, incarnation filbertlever.Incarnation, fence uint64) GateReply {
 	if incarnation != g.incarnation {
 		return GateReply{Gate: GateOther, Reason: "agent was restarted"}
 	}
 	entry, ok := g.entries[key]
 	if !ok {
-		entry = &gateEntry{state: gateForbidden, fence: fence}
+		entry = &gateEntry{state: gateFenced, fence: fence}
 		g.entries[key] = entry
 	}
-	if entry.state == gateForbidden {
+	if entry.state == gateFenced {
 		entry.fence = max(entry.fence, fence)
 	}
 	return entry.reply()
 }
 
-// Recorded notes that the platform holds the end of the order, so that nobody
-// needs to ask this gate again.
+// MarkRecorded records that the platform holds the outcome of the order, so
+// that the gate is no longer needed to resolve it.
 func (g *Gate) Recorded(key Key, now time.Time) {
 	if entry, ok := g.entries[key]; ok && entry.state != gateRunning {
-		entry.recorded = now
+		entry.recordedAt = now
 	}
 }
 
-// Expire forgets orders recorded long ago. An order whose end is not recorded
-// is never forgotten: forgetting would let it start again.
+// Expire removes orders whose outcome was recorded longer than the retention
+// time ago. An order without a recorded outcome is never removed, because it
+// could then start again.
 func (g *Gate) Expire(now time.Time) {
 	for key, entry := range g.entries {
-		if !entry.recorded.IsZero() && now.Sub(entry.recorded) > g.keep {
+		if !entry.recordedAt.IsZero() && now.Sub(entry.recordedAt) > g.retention {
 			delete(g.entries, key)
 		}
 	}
 }
 
-// Len returns how many orders the gate knows.
+// Len returns the number of orders that the gate holds.
 func (g *Gate) Len() int { return len(g.entries) }
 
-// Running returns how many orders have started and not ended.
+// Running returns the number of orders that have started and not ended.
 func (g *Gate) Running() int {
 	running := 0
 	for _, entry := range g.entries {
@@ -144,13 +148,13 @@
 
 func (e *gateEntry) reply() GateReply {
 	switch e.state {
-	case gateForbidden:
+	case gateFenced:
 		return GateReply{Gate: GateNever, Reason: "the claim was given up"}
 	case gateRunning:
 		return GateReply{Gate: GateRunning}
 	case gateDone:
 		return GateReply{Gate: GateDone, Answer: e.answer}
 	default:
-		return GateReply{Gate: GateUnknown, Reason: ReasonServiceLost}
+		return GateReply{Gate: GateUnknown, Reason: ReasonServiceFailed}
 	}
 }
--- a/internal/coordination/order/order_test.go
+++ b/internal/coordination/order/order_test.go
@@ -12,225 +12,225 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/order"
 )
 
-func TestOrderRunsAndIsRecorded(t *testing.T) {
+func TestOrderIsAnsweredAndRecorded(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	result := w.finish(w.arrive("claim-1", a, false))
+	s := newSimulation(a)
+	result := s.finish(s.start("claim-1", a, false))
 	c.Assert(result.Outcome, qt.Equals, filbertlever.OutcomeAnswered)
 	c.Assert(string(result.Answer), qt.Equals, "confirmed")
-	c.Assert(w.runs(), qt.Equals, 1)
-	c.Assert(w.table.row.State, qt.Equals, order.StateDone)
+	c.Assert(s.runs(), qt.Equals, 1)
+	c.Assert(s.table.row.State, qt.Equals, order.StateDone)
 }
 
-// A client is billed for two pickups. The caller sends the same order to all
-// eight entries at once, and every entry claims and dispatches it.
+// A caller sends the same order to eight entries at once. If each entry claims
+// and dispatches it, the order runs more than once.
 func TestSameKeyAtEightEntriesRunsOnce(t *testing.T) {
 	c := qt.New(t)
 	agents := []*agent{newAgent("billing-1"), newAgent("billing-2"), newAgent("billing-3")}
-	w := newWorld(agents...)
-	var arrivals []*arrival
+	s := newSimulation(agents...)
+	var requests []*request
 	for i := range 8 {
-		arrivals = append(arrivals, w.arrive(fmt.Sprint("claim-", i), agents[i%3], false))
+		requests = append(requests, s.start(fmt.Sprint("claim-", i), agents[i%3], false))
 	}
 	for range 64 {
-		for _, a := range arrivals {
+		for _, a := range requests {
 			if a.result == nil {
-				w.step(a)
+				s.step(a)
 			}
 		}
 	}
-	for _, a := range arrivals {
+	for _, a := range requests {
 		c.Assert(a.result, qt.IsNotNil)
 		c.Assert(a.result.Outcome, qt.Equals, filbertlever.OutcomeAnswered)
 	}
-	c.Assert(w.runs(), qt.Equals, 1)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// A pickup is billed twice. The platform stores the claim but its answer is
-// lost; the entry claims again and dispatches under both claims.
-func TestLostAcknowledgementOfTheClaim(t *testing.T) {
+// The platform stores the claim but its acknowledgement is lost. If the entry
+// claims again and dispatches under both claims, the order runs twice.
+func TestLostClaimAckDispatchesOnce(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	w.table.loseAcks = 1
-	result := w.finish(w.arrive("claim-1", a, false))
+	s := newSimulation(a)
+	s.table.loseAcks = 1
+	result := s.finish(s.start("claim-1", a, false))
 	c.Assert(result.Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(w.runs(), qt.Equals, 1)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// The pickup ran, but the caller is told that nothing is known of it, because
-// the acknowledgement of the record was lost.
-func TestLostAcknowledgementOfTheRecord(t *testing.T) {
+// The order ran and its outcome was recorded, but the acknowledgement of the
+// write was lost. The caller must get the answer, not an unknown outcome.
+func TestLostResultAckStillAnswers(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	one := w.arrive("claim-1", a, false)
-	w.until(one, order.ActionDispatch)
-	w.table.loseAcks = 1
-	c.Assert(w.finish(one).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(w.table.row.State, qt.Equals, order.StateDone)
-	c.Assert(w.runs(), qt.Equals, 1)
+	s := newSimulation(a)
+	one := s.start("claim-1", a, false)
+	s.runUntil(one, order.ActionDispatch)
+	s.table.loseAcks = 1
+	c.Assert(s.finish(one).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
+	c.Assert(s.table.row.State, qt.Equals, order.StateDone)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// A caller is told "not run", orders again at another entry, and is billed
-// twice: the first entry was paused between claim and dispatch, and dispatches
-// when it wakes.
-func TestPausedClaimantWakesAfterTheOrderWasGivenAway(t *testing.T) {
+// An entry is paused between claim and dispatch while a retry at another entry
+// runs the order. If the first entry still dispatches when it resumes, the order
+// runs twice.
+func TestPausedClaimantResumesAfterRetryRanTheOrder(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	paused := w.arrive("claim-1", a, false)
-	w.until(paused, order.ActionDispatch)
-	other := w.arrive("claim-2", a, true)
-	c.Assert(w.finish(other).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(w.finish(paused).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(w.runs(), qt.Equals, 1)
+	s := newSimulation(a)
+	paused := s.start("claim-1", a, false)
+	s.runUntil(paused, order.ActionDispatch)
+	other := s.start("claim-2", a, true)
+	c.Assert(s.finish(other).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
+	c.Assert(s.finish(paused).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// The same, and the order was given to another agent: the first agent's gate
-// knows nothing of it and starts it a second time.
-func TestPausedClaimantWakesAfterAnotherAgentRanTheOrder(t *testing.T) {
+// As above, but the retry targets another agent. The gate of the first agent
+// holds no state of the order and could start it a second time.
+func TestPausedClaimantResumesAfterAnotherAgentRanTheOrder(t *testing.T) {
 	c := qt.New(t)
 	one, two := newAgent("billing-1"), newAgent("billing-2")
-	w := newWorld(one, two)
-	paused := w.arrive("claim-1", one, false)
-	w.until(paused, order.ActionDispatch)
-	c.Assert(w.finish(w.arrive("claim-2", two, true)).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(w.finish(paused).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(w.runs(), qt.Equals, 1)
+	s := newSimulation(one, two)
+	paused := s.start("claim-1", one, false)
+	s.runUntil(paused, order.ActionDispatch)
+	c.Assert(s.finish(s.start("claim-2", two, true)).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
+	c.Assert(s.finish(paused).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// A urea order is delivered an hour late: the entry was paused after its claim
-// and dispatches though the caller's deadline is long past.
-func TestPausedClaimantDispatchesNothingAfterTheDeadline(t *testing.T) {
+// An entry is paused after its claim and resumes an hour after the caller's
+// deadline. It must not dispatch the order any more.
+func TestPausedClaimantDoesNotDispatchAfterTheDeadline(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("orders-1")
-	w := newWorld(a)
-	paused := w.arriveWith(order.Request{ClaimID: "claim-1", Body: body, Target: a.target(), Deadline: epoch.Add(time.Second)})
-	w.now = epoch.Add(time.Hour)
-	result := w.finish(paused)
+	s := newSimulation(a)
+	paused := s.startWith(order.Request{ClaimID: "claim-1", Body: body, Target: a.target(), Deadline: epoch.Add(time.Second)})
+	s.now = epoch.Add(time.Hour)
+	result := s.finish(paused)
 	c.Assert(result.Outcome, qt.Equals, filbertlever.OutcomeNotRun)
-	c.Assert(result.Reason, qt.Equals, order.ReasonLate)
-	c.Assert(w.runs(), qt.Equals, 0)
-	c.Assert(w.table.row.State, qt.Equals, order.StateReleased)
+	c.Assert(result.Reason, qt.Equals, order.ReasonDeadlinePassed)
+	c.Assert(s.runs(), qt.Equals, 0)
+	c.Assert(s.table.row.State, qt.Equals, order.StateReleased)
 }
 
-// A pickup runs twice: the agent ran it and died before it answered; the
-// entry sees a fresh agent that knows nothing and starts the order again.
-func TestAgentDiesAfterTheOrderRan(t *testing.T) {
+// The agent runs the order and crashes before it replies. The restarted agent
+// has no state of the order and must not start it again.
+func TestAgentCrashAfterTheOrderRan(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	one := w.arrive("claim-1", a, false)
-	w.until(one, order.ActionDispatch)
+	s := newSimulation(a)
+	one := s.start("claim-1", a, false)
+	s.runUntil(one, order.ActionDispatch)
 	a.loseReplies = 1
-	w.step(one)
+	s.step(one)
 	a.restart("2")
-	c.Assert(w.finish(one).Outcome, qt.Equals, filbertlever.OutcomeUnknown)
-	c.Assert(w.table.row.State, qt.Equals, order.StateUnknown)
-	again := w.arrive("claim-2", a, true)
-	c.Assert(w.finish(again).Outcome, qt.Equals, filbertlever.OutcomeUnknown)
-	c.Assert(w.runs(), qt.Equals, 1)
+	c.Assert(s.finish(one).Outcome, qt.Equals, filbertlever.OutcomeUnknown)
+	c.Assert(s.table.row.State, qt.Equals, order.StateUnknown)
+	again := s.start("claim-2", a, true)
+	c.Assert(s.finish(again).Outcome, qt.Equals, filbertlever.OutcomeUnknown)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// Every order to a restarted agent is lost as unknown, although the new life
-// refused it and nothing ran.
-func TestAgentRestartedBeforeTheDispatch(t *testing.T) {
+// The agent restarts before the dispatch, so its new incarnation refuses the
+// order. The outcome must be "not run", not unknown.
+func TestAgentRestartBeforeTheDispatch(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	one := w.arrive("claim-1", a, false)
-	w.until(one, order.ActionDispatch)
+	s := newSimulation(a)
+	one := s.start("claim-1", a, false)
+	s.runUntil(one, order.ActionDispatch)
 	a.restart("2")
-	c.Assert(w.finish(one).Outcome, qt.Equals, filbertlever.OutcomeNotRun)
-	c.Assert(w.finish(w.arrive("claim-2", a, false)).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(w.runs(), qt.Equals, 1)
+	c.Assert(s.finish(one).Outcome, qt.Equals, filbertlever.OutcomeNotRun)
+	c.Assert(s.finish(s.start("claim-2", a, false)).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// The caller waits for an order whose reply was lost and never hears that it
-// ran.
-func TestLostReplyIsSettledAtTheGate(t *testing.T) {
+// The order ran but the reply to the dispatch was lost. The entry must resolve
+// the outcome at the gate.
+func TestLostReplyIsResolvedAtTheGate(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
+	s := newSimulation(a)
 	a.loseReplies = 1
-	c.Assert(w.finish(w.arrive("claim-1", a, false)).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(w.runs(), qt.Equals, 1)
+	c.Assert(s.finish(s.start("claim-1", a, false)).Outcome, qt.Equals, filbertlever.OutcomeAnswered)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// The caller's first entry claimed the order and died. The retry at another
-// entry is told "unknown", although the gate can prove that nothing started.
-func TestClaimantDiesBeforeTheDispatch(t *testing.T) {
+// The first entry crashes after its claim. The retry at another entry must not
+// end as unknown, because the gate can confirm that the order has not started.
+func TestClaimantCrashBeforeTheDispatch(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	dead := w.arrive("claim-1", a, false)
-	w.until(dead, order.ActionDispatch)
-	result := w.finish(w.arrive("claim-2", a, true))
+	s := newSimulation(a)
+	crashed := s.start("claim-1", a, false)
+	s.runUntil(crashed, order.ActionDispatch)
+	result := s.finish(s.start("claim-2", a, true))
 	c.Assert(result.Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(w.runs(), qt.Equals, 1)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// One key, two bodies: the second caller gets the first one's confirmation
-// for an order that it never placed.
-func TestReusedKeyWithAnotherBody(t *testing.T) {
+// Two requests use one key with different bodies. The second caller must not
+// get the answer to the first request.
+func TestReusedKeyWithDifferentBody(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	w.finish(w.arrive("claim-1", a, false))
-	request := order.Request{ClaimID: "claim-2", Body: order.BodyDigest("billing", "OrderPickup", []byte("skip 8")), Target: a.target(), Deadline: epoch.Add(time.Minute)}
-	result := w.finish(w.arriveWith(request))
+	s := newSimulation(a)
+	s.finish(s.start("claim-1", a, false))
+	mismatched := order.Request{ClaimID: "claim-2", Body: order.BodyDigest("billing", "OrderPickup", []byte("skip 8")), Target: a.target(), Deadline: epoch.Add(time.Minute)}
+	result := s.finish(s.startWith(mismatched))
 	c.Assert(result.Outcome, qt.Equals, filbertlever.OutcomeNotRun)
-	c.Assert(result.Reason, qt.Equals, order.ReasonOtherBody)
+	c.Assert(result.Reason, qt.Equals, order.ReasonBodyMismatch)
 	c.Assert(result.Answer, qt.IsNil)
-	c.Assert(w.runs(), qt.Equals, 1)
+	c.Assert(s.runs(), qt.Equals, 1)
 }
 
-// Orders hang until their deadline while the platform is down, or are said to
-// be unknown although nothing was claimed.
-func TestPlatformDownAtTheClaim(t *testing.T) {
+// While the platform is down nothing can be claimed. The order must end as "not
+// run" at once, neither as unknown nor only at its deadline.
+func TestPlatformDownDuringTheClaim(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	w.table.down = true
-	result := w.finish(w.arrive("claim-1", a, false))
+	s := newSimulation(a)
+	s.table.down = true
+	result := s.finish(s.start("claim-1", a, false))
 	c.Assert(result.Outcome, qt.Equals, filbertlever.OutcomeNotRun)
 	c.Assert(result.RetryAfter > 0, qt.IsTrue)
-	c.Assert(w.now.Sub(epoch) < time.Second, qt.IsTrue)
-	c.Assert(w.runs(), qt.Equals, 0)
+	c.Assert(s.now.Sub(epoch) < time.Second, qt.IsTrue)
+	c.Assert(s.runs(), qt.Equals, 0)
 }
 
-// A pickup is billed twice: the first entry runs it and its connection to the
-// caller breaks; the second cannot read the platform and says "not run", so
-// the caller orders anew under another key.
+// The first entry runs the order but loses the connection to the caller. The
+// second entry cannot read the platform: if it returned "not run", the caller
+// would submit the order again under another key.
 func TestPlatformDownForARepeatedOrder(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	w.finish(w.arrive("claim-1", a, false))
-	w.table.down = true
-	c.Assert(w.finish(w.arrive("claim-2", a, true)).Outcome, qt.Equals, filbertlever.OutcomeUnknown)
+	s := newSimulation(a)
+	s.finish(s.start("claim-1", a, false))
+	s.table.down = true
+	c.Assert(s.finish(s.start("claim-2", a, true)).Outcome, qt.Equals, filbertlever.OutcomeUnknown)
 }
 
-// The pickup ran and the caller is told "unknown" because the platform went
-// down before the record.
-func TestPlatformDownAtTheRecord(t *testing.T) {
+// The order ran and the platform went down before the outcome was recorded. The
+// caller must still get the answer, not an unknown outcome.
+func TestPlatformDownDuringTheResultWrite(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
-	w := newWorld(a)
-	one := w.arrive("claim-1", a, false)
-	w.until(one, order.ActionDispatch)
-	w.table.down = true
-	result := w.finish(one)
+	s := newSimulation(a)
+	one := s.start("claim-1", a, false)
+	s.runUntil(one, order.ActionDispatch)
+	s.table.down = true
+	result := s.finish(one)
 	c.Assert(result.Outcome, qt.Equals, filbertlever.OutcomeAnswered)
 	c.Assert(result.Record.State, qt.Equals, order.StateDone)
-	c.Assert(result.Revision, qt.Equals, w.table.revision)
+	c.Assert(result.Revision, qt.Equals, s.table.revision)
 }
 
-// A gate forgets an order that is done and starts it again when it arrives a
-// second time.
-func TestGateNeverForgetsWhatIsNotRecorded(t *testing.T) {
+// A gate that removes an order before its outcome is recorded starts the order
+// again when it arrives a second time.
+func TestGateKeepsUnrecordedOrders(t *testing.T) {
 	c := qt.New(t)
 	gate := order.NewGate("life", time.Minute)
 	c.Assert(gate.Begin(key, "life", 1).Gate, qt.Equals, order.GateStart)
@@ -244,9 +244,9 @@
 	c.Assert(gate.Len(), qt.Equals, 0)
 }
 
-// The service broke off after it may have run the order, and the order is
-// started again under a higher fence.
-func TestGateKeepsAFailedStart(t *testing.T) {
+// The service failed after it may have run the order. The order must not start
+// again under a higher fence.
+func TestGateDoesNotRestartAFailedOrder(t *testing.T) {
 	c := qt.New(t)
 	gate := order.NewGate("life", time.Minute)
 	gate.Begin(key, "life", 1)
@@ -254,9 +254,9 @@
 	c.Assert(gate.Begin(key, "life", 2).Gate, qt.Equals, order.GateUnknown)
 }
 
-// The service was not reachable, and the order is lost as unknown although
-// nothing was sent.
-func TestGateRevokesAStartThatReachedNobody(t *testing.T) {
+// The service was unreachable, so nothing was sent. The order must not end as
+// unknown and may start under a higher fence.
+func TestRevokedStartRunsUnderAHigherFence(t *testing.T) {
 	c := qt.New(t)
 	gate := order.NewGate("life", time.Minute)
 	gate.Begin(key, "life", 1)
@@ -266,7 +266,7 @@
 	c.Assert(gate.Begin(key, "life", 2).Gate, qt.Equals, order.GateStart)
 }
 
-func TestBudgetKeepsOrdersInsideThePlatformsWrites(t *testing.T) {
+func TestBudgetLimitsPlatformWrites(t *testing.T) {
 	c := qt.New(t)
 	budget := order.NewBudget(320, 8)
 	now, taken := epoch, 0
@@ -278,14 +278,14 @@
 			c.Assert(after > 0, qt.IsTrue)
 		}
 	}
-	// 320 writes a second are 160 orders, of which one entry of eight has 20.
+	// 320 writes per second allow 160 orders, 20 for each of eight entries.
 	c.Assert(taken <= 20*10+20, qt.IsTrue, qt.Commentf("taken %d", taken))
 	c.Assert(taken >= 20*10, qt.IsTrue, qt.Commentf("taken %d", taken))
 }
 
-// Any order of arrivals, lost answers, outages, pauses and restarts: the order
-// runs at most once, "not run" is true of the arrival that was told so, and an
-// arrival that is told the answer was preceded by a run.
+// Random sequences of requests, lost replies, outages, pauses and restarts: the
+// order runs at most once, it has not run if all requests end as "not run", and
+// it has run if any request gets the answer.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, checkAnyOrderOfEvents)
 }
@@ -296,51 +296,51 @@
 
 func checkAnyOrderOfEvents(t *rapid.T) {
 	agents := []*agent{newAgent("billing-1"), newAgent("billing-2")}
-	w := newWorld(agents...)
-	var arrivals []*arrival
-	lives, steps := 1, rapid.IntRange(5, 80).Draw(t, "steps")
+	s := newSimulation(agents...)
+	var requests []*request
+	incarnations, steps := 1, rapid.IntRange(5, 80).Draw(t, "steps")
 	for range steps {
 		a := agents[rapid.IntRange(0, 1).Draw(t, "agent")]
 		switch rapid.IntRange(0, 12).Draw(t, "event") {
 		case 0:
-			claim := fmt.Sprint("claim-", len(arrivals))
-			arrivals = append(arrivals, w.arrive(claim, a, len(arrivals) > 0))
+			claim := fmt.Sprint("claim-", len(requests))
+			requests = append(requests, s.start(claim, a, len(requests) > 0))
 		case 1:
-			w.table.loseAcks = rapid.IntRange(0, 2).Draw(t, "loseAcks")
+			s.table.loseAcks = rapid.IntRange(0, 2).Draw(t, "loseAcks")
 		case 2:
-			w.table.down = !w.table.down
+			s.table.down = !s.table.down
 		case 3:
 			a.loseReplies = 1
 		case 4:
 			a.down = !a.down
 		case 5:
-			lives++
-			a.restart(fmt.Sprint(lives))
+			incarnations++
+			a.restart(fmt.Sprint(incarnations))
 		case 6:
-			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 12).Draw(t, "pause")) * time.Second)
+			s.now = s.now.Add(time.Duration(rapid.IntRange(0, 12).Draw(t, "pause")) * time.Second)
 		default:
-			if len(arrivals) > 0 {
-				w.step(arrivals[rapid.IntRange(0, len(arrivals)-1).Draw(t, "arrival")])
+			if len(requests) > 0 {
+				s.step(requests[rapid.IntRange(0, len(requests)-1).Draw(t, "request")])
 			}
 		}
 	}
-	w.table.down, w.table.loseAcks = false, 0
+	s.table.down, s.table.loseAcks = false, 0
 	answered, notRun := 0, 0
-	for _, a := range arrivals {
-		switch w.finish(a).Outcome {
+	for _, a := range requests {
+		switch s.finish(a).Outcome {
 		case filbertlever.OutcomeAnswered:
 			answered++
 		case filbertlever.OutcomeNotRun:
 			notRun++
 		}
 	}
-	if w.runs() > 1 {
-		t.Fatalf("order ran %d times", w.runs())
+	if s.runs() > 1 {
+		t.Fatalf("order ran %d times", s.runs())
 	}
-	if answered > 0 && w.runs() != 1 {
-		t.Fatalf("%d answers without a run", answered)
+	if answered > 0 && s.runs() != 1 {
+		t.Fatalf("%d requests got an answer, but the order did not run", answered)
 	}
-	if len(arrivals) > 0 && notRun == len(arrivals) && w.runs() > 0 {
-		t.Fatalf("all %d arrivals were told not run, and the order ran", notRun)
+	if len(requests) > 0 && notRun == len(requests) && s.runs() > 0 {
+		t.Fatalf("all %d requests ended as not run, but the order ran", notRun)
 	}
 }
--- a/internal/coordination/order/row.go
+++ b/internal/coordination/order/row.go
@@ -1,6 +1,6 @@
-// Package order decides how a call that may not be repeated runs at most
-// once: a claim row in the platform names one life of one agent, and the gate
-// of that agent is the only place where the order can start.
+// Package order runs a call that must not be repeated at most once. A claim
+// row in the platform names one incarnation of one agent, and the order can
+// start only at the gate of that agent.
 package order
 
 import (
@@ -14,14 +14,14 @@
 
 // The states of a row.
 const (
-	// StateClaimed means that the order may be running at the agent named.
+	// StateClaimed means that the order may be running at the named agent.
 	StateClaimed State = "Claimed"
-	// StateReleased means that the claim's gate never started the order and
-	// never will; the next claim takes a higher fence.
+	// StateReleased means that the order did not start under the claim's fence
+	// and cannot start under it any more. The next claim uses a higher fence.
 	StateReleased State = "Released"
-	// StateDone means that the order ran; the answer is in the row. Final.
+	// StateDone means that the order ran and the row holds its answer. It is final.
 	StateDone State = "Done"
-	// StateUnknown means that the order may have run. Final.
+	// StateUnknown means that the order may have run. It is final.
 	StateUnknown State = "Unknown"
 )
 
@@ -30,17 +30,19 @@
 	State State
 	// Body is the digest of service, call and body.
 	Body filbertlever.Digest
-	// ClaimID names the claim, so that its writer recognises it.
+	// ClaimID identifies the claim, so that the run that wrote it recognises it.
 	ClaimID string
-	// Agent and Incarnation are where alone the order can start under Fence.
+	// Agent and Incarnation identify the only process in which the order can
+	// start under Fence.
 	Agent       filbertlever.HostID
 	Incarnation filbertlever.Incarnation
-	// Fence grows by one with each claim of the same order.
+	// Fence increases by one with each claim of the same order.
 	Fence  uint64
 	Answer []byte
 }
 
-// BodyDigest returns the digest that tells a reused key from a repeated order.
+// BodyDigest returns the digest that distinguishes a key reused for another
+// order from a repeated order.
 func BodyDigest(service, call string, body []byte) filbertlever.Digest {
 	data := make([]byte, 0, len(service)+len(call)+len(body)+2)
 	data = append(data, service...)
--- a/internal/coordination/order/run.go
+++ b/internal/coordination/order/run.go
@@ -6,73 +6,74 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// ActionKind is what the caller of a Run must do next.
+// ActionKind is the kind of an action that the caller of a Run carries out.
 type ActionKind int
 
 // The actions.
 const (
 	// ActionRead reads the order's row.
 	ActionRead ActionKind = iota + 1
-	// ActionWrite commits Action.Row on the condition Action.Revision.
+	// ActionWrite commits Action.Row if the row is at Action.Revision.
 	ActionWrite
 	// ActionDispatch sends the order to the agent named in Action.Row, once.
 	ActionDispatch
-	// ActionSettle asks the agent named in Action.Row what became of the order.
-	ActionSettle
-	// ActionFinish gives the caller Action.Result.
+	// ActionResolve asks the agent named in Action.Row for the state of the order.
+	ActionResolve
+	// ActionFinish returns Action.Result to the caller of the order.
 	ActionFinish
 )
 
-// Action is the next thing to do.
+// Action is the next step of a Run.
 type Action struct {
 	Kind ActionKind
-	// Wait is how long to pause before doing it.
+	// Wait is the delay before the action.
 	Wait     time.Duration
 	Row      Row
 	Revision uint64
 	Result   Result
 }
 
-// Result is what the caller of the order is told.
+// Result is the result that the caller of the order receives.
 type Result struct {
 	Outcome filbertlever.Outcome
 	Reason  string
 	Answer  []byte
-	// RetryAfter is when to come back after OutcomeNotRun.
+	// RetryAfter is the delay before a retry after OutcomeNotRun.
 	RetryAfter time.Duration
-	// Record is set if the row does not hold this result yet: write it later,
-	// on the condition Revision.
+	// PendingRow is set if the platform does not hold this result yet. It is to
+	// be written later, if the row is still at Revision.
 	Record   *Row
 	Revision uint64
 }
 
-// Target is where an order may start.
+// Target is the agent process in which an order may start.
 type Target struct {
 	Agent       filbertlever.HostID
 	Incarnation filbertlever.Incarnation
 }
 
-// GateAnswer is what an agent's gate says of an order.
+// GateAnswer is the state of an order at an agent's gate.
 type GateAnswer int
 
 // The answers of a gate.
 const (
-	// GateStart means that the asker must now start the order; it is given
-	// once for a key, whatever happens afterwards.
+	// GateStart means that the receiver must now start the order. After it, no
+	// other request gets GateStart unless the start is revoked.
 	GateStart GateAnswer = iota + 1
-	// GateDone means that the order ran and its answer is at hand.
+	// GateDone means that the order ran and the reply holds its answer.
 	GateDone
-	// GateNever means that the order did not start under this fence and never will.
+	// GateFenced means that the order did not start under this fence and cannot
+	// start under it any more.
 	GateNever
 	// GateRunning means that the order started and has not ended.
 	GateRunning
-	// GateUnknown means that the order started and its end is not known.
+	// GateUnknown means that the order started and its outcome is unknown.
 	GateUnknown
-	// GateOther means that the agent is another incarnation.
+	// GateOtherIncarnation means that the agent runs as another incarnation.
 	GateOther
 )
 
-// GateReply is the answer to a dispatch or a settle.
+// GateReply is the reply to a dispatch or a resolve request.
 type GateReply struct {
 	Gate       GateAnswer
 	Answer     []byte
@@ -80,63 +81,65 @@
 	RetryAfter time.Duration
 }
 
-// Limits of a run's patience.
+// Limits and delays of a run.
 const (
-	writeTries   = 3
-	settlePause  = 50 * time.Millisecond
-	settleMost   = time.Second
-	maxClaims    = 3
-	defaultRetry = time.Second
+	maxPlatformAttempts = 3
+	baseBackoff         = 50 * time.Millisecond
+	maxBackoff          = time.Second
+	maxClaims           = 3
+	defaultRetryAfter   = time.Second
 )
 
-// Reasons that callers see.
+// Reasons that are returned to callers.
 const (
-	ReasonOtherBody    = "key was used with another body"
-	ReasonPlatform     = "platform unavailable"
-	ReasonNoAgent      = "no backend server for the service"
-	ReasonPending      = "order may still be running; look it up later"
-	ReasonLost         = "host died after the order may have started"
-	ReasonEarlier      = "an earlier request with this key may have run"
-	ReasonLate         = "deadline passed before the order could start"
-	ReasonServiceLost  = "service failed after the order may have started"
-	reasonManyRefusals = "refused by the backend servers"
+	ReasonBodyMismatch        = "key was used with another body"
+	ReasonPlatformUnavailable = "platform unavailable"
+	ReasonNoAgent             = "no backend server for the service"
+	ReasonPending             = "order may still be running; look it up later"
+	ReasonLost                = "host died after the order may have started"
+	ReasonMayHaveRun          = "an earlier request with this key may have run"
+	ReasonDeadlinePassed      = "deadline passed before the order could start"
+	ReasonServiceFailed       = "service failed after the order may have started"
+	reasonRefused             = "refused by the backend servers"
 )
 
-// Run carries one arrival of an order to its end. Many runs of the same order
-// may be under way at different entries. It is driven by one caller: Start,
-// then the method that reports the outcome of each action.
+// Run is the state machine that processes one request for an order. Several
+// runs of the same order may be in flight at different entries. A Run has one
+// caller, which calls Start and then, after each action, the method that
+// reports the action's outcome.
 type Run struct {
 	claimID  string
 	body     filbertlever.Digest
 	target   Target
 	deadline time.Time
-	// repeated is true if an earlier request may have sent the same order.
+	// repeated is true if an earlier request may have submitted the same order.
 	repeated bool
-	// row and revision are the row as last seen or written.
+	// row and revision are the row as last read or written.
 	row      Row
 	revision uint64
-	// writing is the row of the write under way.
-	writing Row
-	// dispatched is true once this run has sent the order; it sends it once.
+	// pendingRow is the row of the write in flight.
+	pendingRow Row
+	// dispatched is true once this run has sent the order. It sends it only once.
 	dispatched bool
-	// ours is true while the row seen is this run's own claim.
-	ours     bool
-	claims   int
-	failures int
-	settles  int
-	// refusal is the last refusal of this run's own dispatch.
+	// ownClaim is true if the row last read is this run's own claim.
+	ownClaim         bool
+	claims           int
+	platformFailures int
+	resolveAttempts  int
+	// refusal is the last refusal to start the order, by a gate or because the
+	// deadline had passed.
 	refusal GateReply
 }
 
-// Request is one arrival of an order.
+// Request is one request for an order.
 type Request struct {
-	// ClaimID names the claims of this run; no other run uses it.
+	// ClaimID identifies the claims of this run. It is unique to the run.
 	ClaimID string
 	Body    filbertlever.Digest
 	Target  Target
-	// Deadline ends the run's patience; nothing is dispatched after it.
+	// Deadline is the time after which the run neither dispatches nor retries.
 	Deadline time.Time
-	// Repeated is true if the caller may have sent the same order before.
+	// Repeated is true if the caller may have submitted the same order before.
 	Repeated bool
 }
 
@@ -151,147 +154,148 @@
 	}
 }
 
-// Refuse returns the result of a request refused before its row was read.
+// Refuse returns the result of a request that is refused before its row was read.
 //
-// Guard: an earlier request with the same key may be running at another
-// entry. "Not run" would then lead the caller to order again under a new key,
-// so a repeated request is told that the outcome is unknown.
-func Refuse(repeated bool, reason string, after time.Duration) Result {
+// An earlier request with the same key may be running at another entry. After
+// OutcomeNotRun the caller would submit the order again under a new key, so a
+// repeated request gets OutcomeUnknown.
+func Refuse(repeated bool, reason string, retryAfter time.Duration) Result {
 	if repeated {
-		return Result{Outcome: filbertlever.OutcomeUnknown, Reason: reason + "; " + ReasonEarlier, RetryAfter: after}
+		return Result{Outcome: filbertlever.OutcomeUnknown, Reason: reason + "; " + ReasonMayHaveRun, RetryAfter: retryAfter}
 	}
-	return Result{Outcome: filbertlever.OutcomeNotRun, Reason: reason, RetryAfter: after}
+	return Result{Outcome: filbertlever.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// Start returns the first action: claim a row that nobody wrote yet.
+// Start returns the first action. It claims the order as if it had no row yet.
 func (r *Run) Start(now time.Time) Action {
 	if r.target.Agent == "" {
-		return finish(Refuse(r.repeated, ReasonNoAgent, defaultRetry))
+		return finish(Refuse(r.repeated, ReasonNoAgent, defaultRetryAfter))
 	}
 	return r.claim(0, 1)
 }
 
 // Wrote reports the outcome of ActionWrite. If applied is false, row and
-// revision are the row that was in the way. An error means that the write may
-// have taken effect, now or later.
+// revision are the row that the write conflicted with. After an error the write
+// may have taken effect or may still do so.
 func (r *Run) Wrote(applied bool, row Row, revision uint64, err error, now time.Time) Action {
 	if err != nil {
-		return r.writeLost(now)
+		return r.handlePlatformError(now)
 	}
-	r.failures = 0
+	r.platformFailures = 0
 	if !applied {
-		return r.examine(row, revision, now)
+		return r.handleRow(row, revision, now)
 	}
-	r.row, r.revision = r.writing, revision
-	switch r.writing.State {
+	r.row, r.revision = r.pendingRow, revision
+	switch r.pendingRow.State {
 	case StateClaimed:
 		return r.dispatch(now)
 	case StateReleased:
-		return r.released(now)
+		return r.handleReleased(now)
 	default:
-		return r.settled(nil)
+		return r.finishEnded(nil)
 	}
 }
 
 // Read reports the outcome of ActionRead; revision is 0 if there is no row.
 func (r *Run) Read(row Row, revision uint64, err error, now time.Time) Action {
 	if err != nil {
-		return r.writeLost(now)
+		return r.handlePlatformError(now)
 	}
-	r.failures = 0
+	r.platformFailures = 0
 	if revision == 0 {
-		return r.absent()
+		return r.handleMissingRow()
 	}
-	return r.examine(row, revision, now)
+	return r.handleRow(row, revision, now)
 }
 
-// Dispatched reports the outcome of ActionDispatch. An error means that the
-// order may have started.
+// Dispatched reports the outcome of ActionDispatch. After an error the order
+// may have started.
 func (r *Run) Dispatched(reply GateReply, err error, now time.Time) Action {
 	if err != nil {
-		return r.settle(now)
+		return r.resolve(now)
 	}
 	switch reply.Gate {
 	case GateNever, GateOther:
-		// This dispatch was the only one of its claim, and it was refused: the
-		// claim can be given up, whichever incarnation refused it.
+		// This was the only dispatch under the claim and it was refused, so the
+		// claim can be released whichever incarnation refused it.
 		r.refusal = reply
-		return r.write(r.with(StateReleased, nil), r.revision)
+		return r.write(r.rowWith(StateReleased, nil), r.revision)
 	default:
-		return r.answered(reply, now)
+		return r.handleReply(reply, now)
 	}
 }
 
-// Settled reports the outcome of ActionSettle.
+// Resolved reports the outcome of ActionResolve.
 func (r *Run) Settled(reply GateReply, err error, now time.Time) Action {
 	if err != nil {
-		return r.settle(now)
+		return r.resolve(now)
 	}
 	switch reply.Gate {
 	case GateNever:
 		r.refusal = reply
-		return r.write(r.with(StateReleased, nil), r.revision)
+		return r.write(r.rowWith(StateReleased, nil), r.revision)
 	case GateOther:
-		// The incarnation that the claim names is gone, and only it could say
-		// whether the order started.
-		return r.write(r.with(StateUnknown, nil), r.revision)
+		// The incarnation in the claim no longer runs. Only its gate held whether
+		// the order started.
+		return r.write(r.rowWith(StateUnknown, nil), r.revision)
 	default:
-		return r.answered(reply, now)
+		return r.handleReply(reply, now)
 	}
 }
 
-func (r *Run) answered(reply GateReply, now time.Time) Action {
+func (r *Run) handleReply(reply GateReply, now time.Time) Action {
 	switch reply.Gate {
 	case GateDone:
-		return r.write(r.with(StateDone, reply.Answer), r.revision)
+		return r.write(r.rowWith(StateDone, reply.Answer), r.revision)
 	case GateUnknown:
-		return r.write(r.with(StateUnknown, nil), r.revision)
+		return r.write(r.rowWith(StateUnknown, nil), r.revision)
 	default:
-		return r.settle(now)
+		return r.resolve(now)
 	}
 }
 
-// examine goes on from a row that somebody wrote.
-func (r *Run) examine(row Row, revision uint64, now time.Time) Action {
+// handleRow continues from a row that this or another run wrote.
+func (r *Run) handleRow(row Row, revision uint64, now time.Time) Action {
 	r.row, r.revision = row, revision
-	r.ours = row.ClaimID == r.claimID
+	r.ownClaim = row.ClaimID == r.claimID
 	if !row.sameBody(r.body) {
-		return r.notRun(ReasonOtherBody, 0)
+		return r.notRun(ReasonBodyMismatch, 0)
 	}
 	switch row.State {
 	case StateDone, StateUnknown:
-		if r.writing.State == StateDone {
-			// The answer came, though somebody gave the order up for unknown.
-			r.row = r.writing
+		if r.pendingRow.State == StateDone {
+			// This run has the answer although another run recorded the outcome
+			// as unknown.
+			r.row = r.pendingRow
 		}
-		return r.settled(nil)
+		return r.finishEnded(nil)
 	case StateReleased:
-		return r.released(now)
+		return r.handleReleased(now)
 	}
-	// A claim whose acknowledgement was lost is found again here, and
-	// may be dispatched only if this run has not done so under this claim.
-	if r.ours && !r.dispatched {
+	// The row may be this run's claim whose acknowledgement was lost. The order
+	// may be dispatched only if this run has not dispatched it yet.
+	if r.ownClaim && !r.dispatched {
 		return r.dispatch(now)
 	}
-	return r.settle(now)
+	return r.resolve(now)
 }
 
-// absent goes on from a row that does not exist although this run tried to
-// write it: the write may still be on its way, and the condition on the
-// revision lets only one of the two take effect.
-func (r *Run) absent() Action {
+// handleMissingRow writes the claim again if the row does not exist. The earlier
+// write may still be in flight, but the condition on the revision lets only one
+// of the two take effect.
+func (r *Run) handleMissingRow() Action {
 	return r.claim(0, 1)
 }
 
-// released goes on from a row that says that the order has not started.
-func (r *Run) released(now time.Time) Action {
+// handleReleased continues from a row in StateReleased: the order has not started.
+func (r *Run) handleReleased(now time.Time) Action {
 	refusedHere := r.dispatched && r.row.ClaimID == r.claimID
 	if refusedHere || r.claims >= maxClaims || !now.Before(r.deadline) {
 		reason := r.refusal.Reason
 		if reason == "" {
-			reason = reasonManyRefusals
+			reason = reasonRefused
 		}
-		return r.notRun(reason, max(r.refusal.RetryAfter, defaultRetry))
+		return r.notRun(reason, max(r.refusal.RetryAfter, defaultRetryAfter))
 	}
 	return r.claim(r.revision, r.row.Fence+1)
 }
@@ -309,83 +313,84 @@
 }
 
 func (r *Run) write(row Row, revision uint64) Action {
-	r.writing = row
+	r.pendingRow = row
 	return Action{Kind: ActionWrite, Row: row, Revision: revision}
 }
 
-// dispatch sends the order under the claim held.
+// dispatch sends the order under this run's claim.
 //
-// Guard: a claimant that was paused between claim and dispatch would start an
-// order whose caller is long gone; it gives the claim up instead.
+// A claimant that was paused between claim and dispatch would start an order
+// whose caller no longer waits. After the deadline it releases the claim instead.
 func (r *Run) dispatch(now time.Time) Action {
-	r.ours = true
+	r.ownClaim = true
 	r.dispatched = true
 	if !now.Before(r.deadline) {
-		r.refusal = GateReply{Reason: ReasonLate}
-		return r.write(r.with(StateReleased, nil), r.revision)
+		r.refusal = GateReply{Reason: ReasonDeadlinePassed}
+		return r.write(r.rowWith(StateReleased, nil), r.revision)
 	}
 	return Action{Kind: ActionDispatch, Row: r.row}
 }
 
-// settle asks the gate again until the deadline has passed.
-func (r *Run) settle(now time.Time) Action {
+// resolve asks the gate for the state of the order, with backoff, until the deadline.
+func (r *Run) resolve(now time.Time) Action {
 	if !now.Before(r.deadline) {
 		return finish(Result{Outcome: filbertlever.OutcomeUnknown, Reason: ReasonPending})
 	}
 	wait := time.Duration(0)
-	if r.settles > 0 {
-		wait = min(settlePause<<min(r.settles-1, 8), settleMost)
+	if r.resolveAttempts > 0 {
+		wait = min(baseBackoff<<min(r.resolveAttempts-1, 8), maxBackoff)
 	}
-	r.settles++
-	return Action{Kind: ActionSettle, Wait: wait, Row: r.row}
+	r.resolveAttempts++
+	return Action{Kind: ActionResolve, Wait: wait, Row: r.row}
 }
 
-// writeLost goes on after a write or read that failed.
-func (r *Run) writeLost(now time.Time) Action {
-	r.failures++
-	if r.failures < writeTries && now.Before(r.deadline) {
-		return Action{Kind: ActionRead, Wait: settlePause << r.failures}
+// handlePlatformError continues after a failed write or read.
+func (r *Run) handlePlatformError(now time.Time) Action {
+	r.platformFailures++
+	if r.platformFailures < maxPlatformAttempts && now.Before(r.deadline) {
+		return Action{Kind: ActionRead, Wait: baseBackoff << r.platformFailures}
 	}
-	switch r.writing.State {
+	switch r.pendingRow.State {
 	case StateDone, StateUnknown:
-		// The order's end is known here though its record is not written.
-		return r.settled(&r.writing)
+		// The outcome is known although it is not recorded in the platform.
+		return r.finishEnded(&r.pendingRow)
 	}
-	if r.dispatched || !r.nothingStarted() {
-		return r.unrecorded()
+	if r.dispatched || !r.notStarted() {
+		return r.finishUnrecorded()
 	}
-	return finish(Refuse(r.repeated && r.revision == 0, ReasonPlatform, defaultRetry))
+	return finish(Refuse(r.repeated && r.revision == 0, ReasonPlatformUnavailable, defaultRetryAfter))
 }
 
-// nothingStarted reports whether the row last seen, if any, says that the
-// order has not started.
-func (r *Run) nothingStarted() bool {
+// notStarted reports whether the order has not started according to the row
+// last read, if there is one.
+func (r *Run) notStarted() bool {
 	return r.revision == 0 || r.row.State == StateReleased
 }
 
-// unrecorded ends a run whose last row could not be written. If the gate
-// refused the dispatch outright, nothing ran under this claim; whether another
-// entry has claimed the order since cannot be read.
-func (r *Run) unrecorded() Action {
-	if r.writing.State == StateReleased && r.ours {
+// finishUnrecorded ends a run whose last row could not be written. If the gate
+// refused the dispatch, nothing ran under this claim. The run cannot read
+// whether another entry has claimed the order since.
+func (r *Run) finishUnrecorded() Action {
+	if r.pendingRow.State == StateReleased && r.ownClaim {
 		return finish(Result{
 			Outcome:    filbertlever.OutcomeNotRun,
 			Reason:     r.refusal.Reason,
-			RetryAfter: max(r.refusal.RetryAfter, defaultRetry),
-			Record:     &r.writing,
+			RetryAfter: max(r.refusal.RetryAfter, defaultRetryAfter),
+			Record:     &r.pendingRow,
 			Revision:   r.revision,
 		})
 	}
 	return finish(Result{Outcome: filbertlever.OutcomeUnknown, Reason: ReasonPending})
 }
 
-// settled ends a run whose order has ended; record is a row still to write.
-func (r *Run) settled(record *Row) Action {
+// finishEnded ends a run whose order has ended. pendingRow is the row that is
+// still to be written, or nil.
+func (r *Run) finishEnded(pendingRow *Row) Action {
 	row := r.row
-	if record != nil {
-		row = *record
+	if pendingRow != nil {
+		row = *pendingRow
 	}
-	result := Result{Outcome: filbertlever.OutcomeUnknown, Reason: ReasonLost, Record: record, Revision: r.revision}
+	result := Result{Outcome: filbertlever.OutcomeUnknown, Reason: ReasonLost, Record: pendingRow, Revision: r.revision}
 	if row.State == StateDone {
 		result.Outcome = filbertlever.OutcomeAnswered
 		result.Reason = ""
@@ -394,11 +399,11 @@
 	return finish(result)
 }
 
-func (r *Run) notRun(reason string, after time.Duration) Action {
-	return finish(Result{Outcome: filbertlever.OutcomeNotRun, Reason: reason, RetryAfter: after})
+func (r *Run) notRun(reason string, retryAfter time.Duration) Action {
+	return finish(Result{Outcome: filbertlever.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter})
 }
 
-func (r *Run) with(state State, answer []byte) Row {
+func (r *Run) rowWith(state State, answer []byte) Row {
 	row := r.row
 	row.State = state
 	row.Answer = answer
--- a/internal/coordination/order/world_test.go
+++ b/internal/coordination/order/simulation_test.go
@@ -21,7 +21,7 @@
 	row      order.Row
 	revision uint64
 	down     bool
-	// loseAcks counts writes that take effect and whose answer is lost.
+	// loseAcks is the number of next writes whose acknowledgement is lost.
 	loseAcks int
 }
 
@@ -40,13 +40,13 @@
 	return applied, nil
 }
 
-// agent is a host with a gate and a service that counts runs.
+// agent is an agent with a gate and a service that counts its runs.
 type agent struct {
 	id          filbertlever.HostID
 	incarnation filbertlever.Incarnation
 	gate        *order.Gate
 	down        bool
-	// loseReplies counts dispatches that arrive and whose reply is lost.
+	// loseReplies is the number of next dispatches whose reply is lost.
 	loseReplies int
 	runs        int
 }
@@ -57,9 +57,9 @@
 	return a
 }
 
-// restart begins another life, which knows nothing of the one before.
-func (a *agent) restart(life string) {
-	a.incarnation = filbertlever.Incarnation(string(a.id) + "-" + life)
+// restart starts a new incarnation with an empty gate.
+func (a *agent) restart(suffix string) {
+	a.incarnation = filbertlever.Incarnation(string(a.id) + "-" + suffix)
 	a.gate = order.NewGate(a.incarnation, time.Minute)
 	a.down = false
 }
@@ -92,81 +92,81 @@
 	return a.gate.Settle(key, row.Incarnation, row.Fence), nil
 }
 
-// world is one order's row, the agents it may run at and the clock.
-type world struct {
+// simulation holds the row of one order, the agents at which it may run and the clock.
+type simulation struct {
 	table  table
 	agents map[filbertlever.HostID]*agent
 	now    time.Time
 }
 
-func newWorld(agents ...*agent) *world {
-	w := &world{agents: map[filbertlever.HostID]*agent{}, now: epoch}
+func newSimulation(agents ...*agent) *simulation {
+	s := &simulation{agents: map[filbertlever.HostID]*agent{}, now: epoch}
 	for _, a := range agents {
-		w.agents[a.id] = a
+		s.agents[a.id] = a
 	}
-	return w
+	return s
 }
 
-func (w *world) runs() int {
+func (s *simulation) runs() int {
 	runs := 0
-	for _, a := range w.agents {
+	for _, a := range s.agents {
 		runs += a.runs
 	}
 	return runs
 }
 
-// arrival is a run of the order at one entry, with its next action.
-type arrival struct {
+// request is a run of the order at one entry, with its next action.
+type request struct {
 	run    *order.Run
 	next   order.Action
 	result *order.Result
 }
 
-func (w *world) arrive(claim string, a *agent, repeated bool) *arrival {
-	return w.arriveWith(order.Request{ClaimID: claim, Body: body, Target: a.target(), Deadline: w.now.Add(10 * time.Second), Repeated: repeated})
+func (s *simulation) start(claim string, a *agent, repeated bool) *request {
+	return s.startWith(order.Request{ClaimID: claim, Body: body, Target: a.target(), Deadline: s.now.Add(10 * time.Second), Repeated: repeated})
 }
 
-func (w *world) arriveWith(request order.Request) *arrival {
-	run := order.NewRun(request)
-	return &arrival{run: run, next: run.Start(w.now)}
+func (s *simulation) startWith(r order.Request) *request {
+	run := order.NewRun(r)
+	return &request{run: run, next: run.Start(s.now)}
 }
 
-// step carries out the arrival's next action.
-func (w *world) step(a *arrival) {
-	w.now = w.now.Add(a.next.Wait + time.Millisecond)
+// step carries out the request's next action.
+func (s *simulation) step(a *request) {
+	s.now = s.now.Add(a.next.Wait + time.Millisecond)
 	action := a.next
 	switch action.Kind {
 	case order.ActionRead:
-		if w.table.down {
-			a.next = a.run.Read(order.Row{}, 0, errPlatform, w.now)
+		if s.table.down {
+			a.next = a.run.Read(order.Row{}, 0, errPlatform, s.now)
 			return
 		}
-		a.next = a.run.Read(w.table.row, w.table.revision, nil, w.now)
+		a.next = a.run.Read(s.table.row, s.table.revision, nil, s.now)
 	case order.ActionWrite:
-		applied, err := w.table.commit(action.Row, action.Revision)
-		a.next = a.run.Wrote(applied, w.table.row, w.table.revision, err, w.now)
+		applied, err := s.table.commit(action.Row, action.Revision)
+		a.next = a.run.Wrote(applied, s.table.row, s.table.revision, err, s.now)
 	case order.ActionDispatch:
-		reply, err := w.agents[action.Row.Agent].dispatch(action.Row)
-		a.next = a.run.Dispatched(reply, err, w.now)
-	case order.ActionSettle:
-		reply, err := w.agents[action.Row.Agent].settle(action.Row)
-		a.next = a.run.Settled(reply, err, w.now)
+		reply, err := s.agents[action.Row.Agent].dispatch(action.Row)
+		a.next = a.run.Dispatched(reply, err, s.now)
+	case order.ActionResolve:
+		reply, err := s.agents[action.Row.Agent].settle(action.Row)
+		a.next = a.run.Settled(reply, err, s.now)
 	case order.ActionFinish:
 		a.result = &action.Result
 	}
 }
 
-// finish carries out actions until the arrival has its result.
-func (w *world) finish(a *arrival) order.Result {
+// finish carries out actions until the request has its result.
+func (s *simulation) finish(a *request) order.Result {
 	for a.result == nil {
-		w.step(a)
+		s.step(a)
 	}
 	return *a.result
 }
 
-// until carries out actions until the next one is of a kind.
-func (w *world) until(a *arrival, kind order.ActionKind) {
+// runUntil carries out actions until the next one is of the given kind.
+func (s *simulation) runUntil(a *request, kind order.ActionKind) {
 	for a.result == nil && a.next.Kind != kind {
-		w.step(a)
+		s.step(a)
 	}
 }
