--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -92,9 +92,9 @@
 	MemoryMB float64
 }
 
-// longPrompts is how many times longer than usual the longest prompts are: four times on
+// longPromptFactor is how many times longer than usual the longest prompts are: four times on
 // the installations that were met.
-const longPrompts = 4
+const longPromptFactor = 4
 
 // LongestPass returns how long an engine works at most before it looks at what it got
 // meanwhile: each step of a pass reads as many tokens of prompts as it may. Where that is
@@ -104,7 +104,7 @@
 	if e.Chunk == 0 {
 		return steps + time.Duration(e.Slots*e.UsualPrompt)*e.PromptToken
 	}
-	pairs := float64(e.Chunk) * float64(longPrompts*e.UsualPrompt) / 1e6
+	pairs := float64(e.Chunk) * float64(longPromptFactor*e.UsualPrompt) / 1e6
 	reading := time.Duration(e.Chunk)*e.PromptToken + time.Duration(pairs*float64(e.MillionPairs))
 	return steps + time.Duration(e.Stride)*reading
 }
@@ -152,21 +152,21 @@
 
 	routes map[string][]Route
 	keys   map[string]Organisation
-	// passes are the longest passes by model.
-	passes map[string]time.Duration
+	// maxPassByModel are the longest passes by model.
+	maxPassByModel map[string]time.Duration
 }
 
 // New builds a state. Routes of one host are kept by falling length of prefix,
 // so that the first match is the longest.
 func New(version uint64, routes []Route, services []Service, organisations []Organisation, limits Limits) *State {
 	s := &State{
-		Version:  version,
-		Services: make(map[string]Service, len(services)),
-		Limits:   limits,
-		Keyed:    len(organisations) > 0,
-		routes:   map[string][]Route{},
-		keys:     map[string]Organisation{},
-		passes:   map[string]time.Duration{},
+		Version:        version,
+		Services:       make(map[string]Service, len(services)),
+		Limits:         limits,
+		Keyed:          len(organisations) > 0,
+		routes:         map[string][]Route{},
+		keys:           map[string]Organisation{},
+		maxPassByModel: map[string]time.Duration{},
 	}
 	for _, route := range routes {
 		s.routes[route.Host] = append(s.routes[route.Host], route)
@@ -180,7 +180,7 @@
 			continue
 		}
 		for _, model := range service.Engine.Models {
-			s.passes[model] = max(s.passes[model], service.Engine.LongestPass())
+			s.maxPassByModel[model] = max(s.maxPassByModel[model], service.Engine.LongestPass())
 		}
 	}
 	for _, organisation := range organisations {
@@ -231,11 +231,11 @@
 // LongestPass returns the longest pass of any engine that may hold a model; that of any
 // engine if none is said to.
 func (s *State) LongestPass(model string) time.Duration {
-	if pass, ok := s.passes[model]; ok {
+	if pass, ok := s.maxPassByModel[model]; ok {
 		return pass
 	}
 	longest := time.Duration(0)
-	for _, pass := range s.passes {
+	for _, pass := range s.maxPassByModel {
 		longest = max(longest, pass)
 	}
 	return longest
--- a/internal/coordination/order/order_test.go
+++ b/internal/coordination/order/order_test.go
@@ -320,7 +320,7 @@
 			s.now = s.now.Add(time.Duration(rapid.IntRange(0, 12).Draw(t, "pause")) * time.Second)
 		default:
 			if len(requests) > 0 {
-				s.step(requests[rapid.IntRange(0, len(requests)-1).Draw(t, "request")])
+				s.step(requests[rapid.IntRange(0, len(requests)-1).Draw(t, "arrival")])
 			}
 		}
 	}
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -88,36 +88,36 @@
 // not safe for concurrent use.
 type Loader struct {
 	sets []*Progress
-	// outgoing are live sets that the bundle no longer names, each kept until
+	// replaced are live sets that the bundle no longer names, each kept until
 	// the set that takes its place is live.
-	outgoing []*Progress
+	replaced []*Progress
 }
 
 // Pauses between tries of a failed load.
 const (
-	firstLoadPause = 500 * time.Millisecond
-	mostLoadPause  = 30 * time.Second
+	baseLoadBackoff = 500 * time.Millisecond
+	maxLoadBackoff  = 30 * time.Second
 )
 
 // SetWanted replaces what is wanted. A set that stays wanted keeps its stage.
 // A live set that another version replaces goes on serving until that one is
 // live; any other set is dropped, wherever it was.
 func (l *Loader) SetWanted(wanted []Weights) {
-	before := append(l.sets, l.outgoing...)
+	before := append(l.sets, l.replaced...)
 	l.sets = make([]*Progress, 0, len(wanted))
-	l.outgoing = nil
+	l.replaced = nil
 	for _, weights := range wanted {
-		l.sets = append(l.sets, keep(before, weights))
+		l.sets = append(l.sets, findOrNew(before, weights))
 	}
 	for _, p := range before {
 		if p.Stage == StageLive && !slices.Contains(wanted, p.Weights) {
-			l.outgoing = append(l.outgoing, p)
+			l.replaced = append(l.replaced, p)
 		}
 	}
-	l.retire()
+	l.dropReplaced()
 }
 
-func keep(before []*Progress, weights Weights) *Progress {
+func findOrNew(before []*Progress, weights Weights) *Progress {
 	for _, p := range before {
 		if p.Weights == weights {
 			return p
@@ -126,10 +126,10 @@
 	return &Progress{Weights: weights, Stage: StageFetching}
 }
 
-// retire drops the outgoing sets whose model is wanted no more or is live in
+// dropReplaced drops the outgoing sets whose model is wanted no more or is live in
 // its new version.
-func (l *Loader) retire() {
-	l.outgoing = slices.DeleteFunc(l.outgoing, func(old *Progress) bool {
+func (l *Loader) dropReplaced() {
+	l.replaced = slices.DeleteFunc(l.replaced, func(old *Progress) bool {
 		for _, p := range l.sets {
 			if p.Weights.Model == old.Weights.Model {
 				return p.Stage == StageLive
@@ -198,7 +198,7 @@
 	}
 	p.Stage = StageLive
 	p.Reason = ""
-	l.retire()
+	l.dropReplaced()
 	return true
 }
 
@@ -214,11 +214,11 @@
 // live, and takes back the stage of a set that is gone, as after an engine's
 // restart. It reports whether anything changed.
 func (l *Loader) Attested(loaded []filbertlever.Digest) bool {
-	kept := len(l.outgoing)
-	l.outgoing = slices.DeleteFunc(l.outgoing, func(old *Progress) bool {
+	kept := len(l.replaced)
+	l.replaced = slices.DeleteFunc(l.replaced, func(old *Progress) bool {
 		return !slices.Contains(loaded, old.Digest)
 	})
-	changed := len(l.outgoing) < kept
+	changed := len(l.replaced) < kept
 	for _, p := range l.sets {
 		if p.Stage == StageLive && !slices.Contains(loaded, p.Digest) {
 			p.Stage = StageVerified
@@ -232,7 +232,7 @@
 // Live returns the sets that requests may use, outgoing ones included.
 func (l *Loader) Live() []Progress {
 	var live []Progress
-	for _, p := range append(slices.Clone(l.sets), l.outgoing...) {
+	for _, p := range append(slices.Clone(l.sets), l.replaced...) {
 		if p.Stage == StageLive {
 			live = append(live, *p)
 		}
@@ -264,7 +264,7 @@
 func (l *Loader) fail(p *Progress, reason string, now time.Time) {
 	p.Stage = StageFailed
 	p.Reason = reason
-	p.retryAt = now.Add(min(firstLoadPause<<min(p.Failures, 10), mostLoadPause))
+	p.retryAt = now.Add(min(baseLoadBackoff<<min(p.Failures, 10), maxLoadBackoff))
 	p.Failures++
 }
 
--- a/internal/coordination/rollout/roll.go
+++ b/internal/coordination/rollout/roll.go
@@ -1,5 +1,5 @@
-// Package rollout decides how a bundle becomes accepted, by one
-// compare-and-swap of the head row, and how the accepted head spreads.
+// Package rollout accepts a bundle by one compare-and-swap of the head row and
+// determines how the accepted head is distributed to all processes.
 package rollout
 
 import (
@@ -9,58 +9,59 @@
 	"github.com/filbertlever/filbertlever/internal/state"
 )
 
-// Verdict is the end of a roll.
+// Outcome is the outcome of a roll.
 type Verdict int
 
-// The verdicts.
+// The outcomes.
 const (
-	// VerdictAccepted means that the candidate is or was the head.
+	// OutcomeAccepted means that the candidate is or was the head.
 	VerdictAccepted Verdict = iota + 1
-	// VerdictConflict means that another bundle took the candidate's place;
-	// the candidate was never in force anywhere and never will be.
+	// OutcomeConflict means that another bundle was accepted instead. The
+	// candidate was never active in any process and cannot become active.
 	VerdictConflict
-	// VerdictNotAccepted means that no swap was sent: nothing changed.
+	// OutcomeNotAccepted means that no swap was sent, so nothing changed.
 	VerdictNotAccepted
-	// VerdictUnknown means that a swap was sent and cannot be read back.
-	// Running the same roll again settles it.
+	// OutcomeUnknown means that a swap was sent and its effect could not be read
+	// back. Running the same roll again determines the outcome.
 	VerdictUnknown
 )
 
-// ActionKind is what the caller of a Roll must do next.
+// ActionKind is the kind of an action that the caller of a Roll carries out.
 type ActionKind int
 
 // The actions.
 const (
 	// ActionRead reads the head row and the history row of the candidate's version.
 	ActionRead ActionKind = iota + 1
-	// ActionPut creates the signed object; one that exists already is no fault.
+	// ActionPut creates the signed object. It succeeds if the object exists already.
 	ActionPut
-	// ActionSwap commits head and history rows on the condition Action.Revision.
+	// ActionSwap commits the head and history rows if the head row is at
+	// Action.Revision.
 	ActionSwap
 	// ActionFinish ends the roll with Action.Result.
 	ActionFinish
 )
 
-// Action is the next thing to do.
+// Action is the next step of a Roll.
 type Action struct {
 	Kind ActionKind
-	// Wait is how long to pause before doing it.
+	// Wait is the delay before the action.
 	Wait time.Duration
-	// Revision is the revision of the head row that a swap demands.
+	// Revision is the revision that the head row must have for a swap.
 	Revision uint64
 	Result   Result
 }
 
-// Result is the end of a roll.
+// Result is the result of a roll.
 type Result struct {
 	Verdict Verdict
-	// Winner is the head that stands in the candidate's way after a conflict.
+	// Head is the head after an accepted roll or a conflict.
 	Winner state.Head
-	// Err is the last failure of the platform.
+	// Err is the last error of the platform.
 	Err error
 }
 
-// HeadRead is what a read of the platform's rows showed.
+// HeadRead is the result of a read of the platform's rows.
 type HeadRead struct {
 	Head     state.Head
 	Revision uint64
@@ -68,23 +69,24 @@
 	Recorded state.Head
 }
 
-// Limits of a roll's patience with the platform.
+// Retry limit and backoff for failures of the platform.
 const (
-	rollTries   = 6
-	firstPause  = 100 * time.Millisecond
-	longestStep = 2 * time.Second
+	maxAttempts = 6
+	baseBackoff = 100 * time.Millisecond
+	maxBackoff  = 2 * time.Second
 )
 
-// Roll carries one candidate to acceptance. It is driven by one caller: Start,
-// then the method that reports the outcome of each action.
+// Roll is the state machine that tries to get one candidate accepted. It has
+// one caller, which calls Start and then, after each action, the method that
+// reports the action's outcome.
 type Roll struct {
 	candidate state.Head
 	revision  uint64
 	failures  int
 	// swapSent is true once a swap may have taken effect.
 	swapSent bool
-	// objectPut is true once the signed object is known to be stored, so that
-	// a head never names an object that cannot be read.
+	// objectPut is true once the signed object is stored. No swap is sent before,
+	// so that a head never refers to an object that does not exist.
 	objectPut bool
 }
 
@@ -101,13 +103,14 @@
 // Read reports the outcome of ActionRead.
 func (r *Roll) Read(read HeadRead, err error) Action {
 	if err != nil {
-		return r.failed(Action{Kind: ActionRead}, err)
+		return r.retryOrFinish(Action{Kind: ActionRead}, err)
 	}
 	if read.Recorded.Digest == r.candidate.Digest && read.Recorded.Version == r.candidate.Version {
 		return finish(Result{Verdict: VerdictAccepted, Winner: read.Head})
 	}
-	// The head may already be past the candidate; the history row, written in
-	// the same commit as the head, has just shown that another one won.
+	// The head may be newer than the candidate. The history row is written in the
+	// same commit as the head and does not hold the candidate, so another bundle
+	// was accepted.
 	if read.Head.Digest != r.candidate.Parent || read.Head.Version+1 != r.candidate.Version {
 		return finish(Result{Verdict: VerdictConflict, Winner: read.Head})
 	}
@@ -121,23 +124,23 @@
 // Put reports the outcome of ActionPut.
 func (r *Roll) Put(err error) Action {
 	if err != nil {
-		return r.failed(Action{Kind: ActionPut}, err)
+		return r.retryOrFinish(Action{Kind: ActionPut}, err)
 	}
 	r.objectPut = true
 	return r.swap()
 }
 
-// Swapped reports the outcome of ActionSwap. An error means that the swap may
-// or may not have taken effect, now or later.
+// Swapped reports the outcome of ActionSwap. After an error the swap may have
+// taken effect or may still do so.
 func (r *Roll) Swapped(applied bool, err error) Action {
 	if err != nil {
-		return r.failed(Action{Kind: ActionRead}, err)
+		return r.retryOrFinish(Action{Kind: ActionRead}, err)
 	}
 	if applied {
 		return finish(Result{Verdict: VerdictAccepted, Winner: r.candidate})
 	}
-	// Lost acknowledgement: a swap of ours whose answer was lost may be the
-	// one that this swap ran into. Only the rows can tell, so read them back.
+	// The conflict may be with an earlier swap of this roll whose acknowledgement
+	// was lost. Read the rows to find out.
 	return Action{Kind: ActionRead}
 }
 
@@ -146,13 +149,13 @@
 	return Action{Kind: ActionSwap, Revision: r.revision}
 }
 
-func (r *Roll) failed(again Action, err error) Action {
+func (r *Roll) retryOrFinish(retry Action, err error) Action {
 	r.failures++
-	if r.failures < rollTries {
-		again.Wait = min(firstPause<<(r.failures-1), longestStep)
-		return again
+	if r.failures < maxAttempts {
+		retry.Wait = min(baseBackoff<<(r.failures-1), maxBackoff)
+		return retry
 	}
-	err = fmt.Errorf("roll bundle %d: gave up after %d tries: %w", r.candidate.Version, r.failures, err)
+	err = fmt.Errorf("roll bundle %d: %d attempts failed: %w", r.candidate.Version, r.failures, err)
 	if r.swapSent {
 		return finish(Result{Verdict: VerdictUnknown, Err: err})
 	}
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -22,11 +22,11 @@
 	history  map[uint64]state.Head
 	down     bool
 	loseAcks int
-	// late is a swap whose answer was lost and that takes effect later.
-	late *lateSwap
+	// delayed is a swap whose acknowledgement was lost and that takes effect later.
+	delayed *delayedSwap
 }
 
-type lateSwap struct {
+type delayedSwap struct {
 	head     state.Head
 	expected uint64
 }
@@ -40,10 +40,10 @@
 	return true
 }
 
-func (t *table) land() {
-	if t.late != nil {
-		t.swap(t.late.head, t.late.expected)
-		t.late = nil
+func (t *table) applyDelayed() {
+	if t.delayed != nil {
+		t.swap(t.delayed.head, t.delayed.expected)
+		t.delayed = nil
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 	if t.loseAcks == 2 {
 		t.loseAcks = 0
-		t.late = &lateSwap{head: o.head, expected: o.next.Revision}
+		t.delayed = &delayedSwap{head: o.head, expected: o.next.Revision}
 		o.next = o.roll.Swapped(false, errPlatform)
 		return
 	}
@@ -116,9 +116,9 @@
 	return state.Head{Version: version, Digest: filbertlever.Digest(name), Parent: filbertlever.Digest(parent), Object: name}
 }
 
-// Two operators roll at the same moment. Both see "accepted", and hosts load
-// the bundle of the one that lost.
-func TestTwoOperatorsAtTheSameMoment(t *testing.T) {
+// Two operators roll at the same time. Only one bundle may be accepted, and the
+// other operator must get a conflict.
+func TestConcurrentRollsAcceptOneBundle(t *testing.T) {
 	c := qt.New(t)
 	table := newTable()
 	a, b := newOperator(head(1, "a", "")), newOperator(head(1, "b", ""))
@@ -135,9 +135,9 @@
 	c.Assert(table.head.Digest, qt.Equals, filbertlever.Digest("a"))
 }
 
-// The swap took effect and its answer was lost; the operator is told of a
-// conflict with the very bundle that was rolled.
-func TestLostAcknowledgementOfTheSwap(t *testing.T) {
+// The swap took effect but its acknowledgement was lost. The operator must not
+// get a conflict with the bundle of the same roll.
+func TestLostSwapAckIsAccepted(t *testing.T) {
 	c := qt.New(t)
 	table := newTable()
 	table.loseAcks = 1
@@ -145,25 +145,25 @@
 	c.Assert(table.head.Digest, qt.Equals, filbertlever.Digest("a"))
 }
 
-// The swap's answer was lost, the rows still show the old head, and the swap
-// takes effect after the operator rolled again.
-func TestSwapThatTakesEffectLate(t *testing.T) {
+// The acknowledgement of the swap was lost, the rows still hold the old head,
+// and the swap takes effect after the next read.
+func TestDelayedSwapIsAccepted(t *testing.T) {
 	c := qt.New(t)
 	table := newTable()
 	table.loseAcks = 2
 	o := newOperator(head(1, "a", ""))
-	for table.late == nil {
+	for table.delayed == nil {
 		o.step(table)
 	}
 	o.step(table)
-	table.land()
+	table.applyDelayed()
 	c.Assert(o.finish(table).Verdict, qt.Equals, rollout.VerdictAccepted)
 	c.Assert(table.revision, qt.Equals, uint64(1))
 }
 
-// The operator's process was killed after the swap and another bundle followed;
-// running the command again reports a conflict for a bundle that was accepted.
-func TestRunningASupersededRollAgain(t *testing.T) {
+// The operator's process was killed after the swap and another bundle was accepted
+// since. Running the command again must not report a conflict.
+func TestRerunOfSupersededRollIsAccepted(t *testing.T) {
 	c := qt.New(t)
 	table := newTable()
 	newOperator(head(1, "a", "")).finish(table)
@@ -172,8 +172,8 @@
 	c.Assert(table.head.Digest, qt.Equals, filbertlever.Digest("b"))
 }
 
-// The platform is down at one step of a roll. Before the swap nothing has
-// changed and the operator must be told so; after it the outcome is unknown.
+// The platform goes down at one step of a roll. Before the swap nothing has
+// changed and the result must say so. After it the outcome is unknown.
 func TestPlatformDownAtEachStep(t *testing.T) {
 	for _, test := range []struct {
 		step rollout.ActionKind
@@ -198,9 +198,10 @@
 	}
 }
 
-// Any order of operators, kills, lost answers and outages: a bundle is reported
-// as accepted if and only if it is in the history, and one version has one bundle.
-func TestAnyOrderOfRolls(t *testing.T) {
+// Random sequences of rolls, lost acknowledgements and outages: a bundle is
+// reported as accepted only if it is in the history, a conflict only if it is
+// not, and each accepted bundle has its object stored.
+func TestRandomRollSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTable()
 		var operators []*operator
@@ -214,7 +215,7 @@
 			case 2:
 				table.down = !table.down
 			case 3:
-				table.land()
+				table.applyDelayed()
 			default:
 				if len(operators) > 0 {
 					operators[rapid.IntRange(0, len(operators)-1).Draw(t, "operator")].step(table)
@@ -224,13 +225,13 @@
 		table.down, table.loseAcks = false, 0
 		for _, o := range operators {
 			result := o.finish(table)
-			table.land()
+			table.applyDelayed()
 			accepted := table.history[o.head.Version].Digest == o.head.Digest
 			if result.Verdict == rollout.VerdictAccepted && !accepted {
 				t.Fatalf("%s reported as accepted, history has %s", o.head.Digest, table.history[o.head.Version].Digest)
 			}
 			if result.Verdict == rollout.VerdictConflict && accepted {
-				t.Fatalf("%s is accepted, its operator was told of a conflict", o.head.Digest)
+				t.Fatalf("%s is accepted, but the roll reported a conflict", o.head.Digest)
 			}
 			if accepted && !o.put {
 				t.Fatalf("%s is accepted and its object was never stored", o.head.Digest)
@@ -239,8 +240,8 @@
 	})
 }
 
-// An operator sees yesterday's prices served again: a message with an older
-// head arrives late, or the fetch of an older bundle ends last.
+// A message with an older head arrives late, or the fetch of an older bundle ends
+// last. Neither may make an earlier bundle active again.
 func TestTrackerNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker rollout.Tracker
@@ -258,17 +259,18 @@
 				tracker.Adopt(h)
 			}
 			if tracker.InForce().Version < before {
-				t.Fatalf("bundle in force went from %d to %d", before, tracker.InForce().Version)
+				t.Fatalf("active bundle went from %d to %d", before, tracker.InForce().Version)
 			}
 			if tracker.InForce().Version > highest {
-				t.Fatalf("bundle %d is in force and nobody said that it was accepted", tracker.InForce().Version)
+				t.Fatalf("bundle %d is active but was never observed as accepted", tracker.InForce().Version)
 			}
 		}
 	})
 }
 
-// A bundle that lost its race is put in force by a host that fetched it.
-func TestTrackerAdoptsOnlyTheWinner(t *testing.T) {
+// A host fetched a bundle that conflicted with the accepted one. It must not
+// make that bundle active.
+func TestTrackerActivatesOnlyTheAcceptedBundle(t *testing.T) {
 	c := qt.New(t)
 	var tracker rollout.Tracker
 	_, err := tracker.Learn(head(1, "winner", ""))
@@ -289,37 +291,39 @@
 	return ids
 }
 
+// A head forwarded along the tree must reach every process, with a bounded number
+// of children per process.
 func TestTreeReachesEveryProcess(t *testing.T) {
 	c := qt.New(t)
 	entries, agents := names("entry", 60), names("agent", 300)
-	told := map[filbertlever.HostID]bool{entries[7]: true}
+	reached := map[filbertlever.HostID]bool{entries[7]: true}
 	queue := []filbertlever.HostID{entries[7]}
-	for first := true; len(queue) > 0; first = false {
+	for fromPlatform := true; len(queue) > 0; fromPlatform = false {
 		self := queue[0]
 		queue = queue[1:]
-		children := rollout.Children(self, first, "5", entries, agents)
+		children := rollout.Children(self, fromPlatform, "5", entries, agents)
 		c.Assert(len(children) <= rollout.Fanout+1, qt.IsTrue)
 		for _, child := range children {
-			if !told[child] {
-				told[child] = true
+			if !reached[child] {
+				reached[child] = true
 				queue = append(queue, child)
 			}
 		}
 	}
-	c.Assert(told, qt.HasLen, len(entries)+len(agents))
+	c.Assert(reached, qt.HasLen, len(entries)+len(agents))
 }
 
-// Every entry polls the platform and uses up its reads; or, after a stale
-// list, none does and no bundle arrives.
-func TestAFewEntriesWatch(t *testing.T) {
+// If every entry polled the platform, they would exhaust its read capacity. If
+// none did because of a stale list, no bundle would arrive.
+func TestConstantNumberOfWatchers(t *testing.T) {
 	c := qt.New(t)
 	entries := names("entry", 460)
-	watching := 0
+	watchers := 0
 	for _, self := range entries {
 		if rollout.Watches(self, entries) {
-			watching++
+			watchers++
 		}
 	}
-	c.Assert(watching, qt.Equals, rollout.Watchers)
+	c.Assert(watchers, qt.Equals, rollout.Watchers)
 	c.Assert(rollout.Watches("entry-new", nil), qt.IsTrue)
 }
--- a/internal/coordination/rollout/tracker.go
+++ b/internal/coordination/rollout/tracker.go
@@ -2,70 +2,72 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"github.com/filbertlever/filbertlever/internal/state"
 )
 
-// ErrFork means that two different heads claim the same version, which the
-// platform's compare-and-swap rules out; somebody wrote the row by hand.
-var ErrFork = errors.New("two heads with one version")
+// ErrFork means that two different heads have the same version. The platform's
+// compare-and-swap rules this out, so the row was written by hand.
+var ErrFork = errors.New("two heads with the same version")
 
-// Tracker keeps the highest accepted head that this process heard of and the
-// head whose bundle is in force here. Neither ever goes back.
+// Tracker keeps the latest accepted head that this process observed and the
+// head whose bundle is active in this process. The version of neither ever
+// decreases.
 type Tracker struct {
-	known   state.Head
-	inForce state.Head
+	latest state.Head
+	active state.Head
 }
 
-// Known returns the highest accepted head heard of.
-func (t *Tracker) Known() state.Head { return t.known }
+// Latest returns the latest accepted head that was observed.
+func (t *Tracker) Known() state.Head { return t.latest }
 
-// InForce returns the head whose bundle is in force here.
-func (t *Tracker) InForce() state.Head { return t.inForce }
+// Active returns the head whose bundle is active in this process.
+func (t *Tracker) InForce() state.Head { return t.active }
 
-// Learn takes an accepted head from the platform or a peer and reports
-// whether it is news.
+// Observe takes an accepted head from the platform or a peer and reports
+// whether it is newer than the latest one.
 //
-// Guard: an older head that arrives late, from a stale peer or a slow read,
-// would bring an earlier bundle back into force; versions only grow, so the
-// comparison keeps it out.
-func (t *Tracker) Learn(head state.Head) (news bool, err error) {
-	if head.Version < t.known.Version || head.Version == 0 {
+// An older head may arrive late, from a stale peer or a slow read, and would
+// make an earlier bundle active again. Versions only increase, so older heads
+// are ignored.
+func (t *Tracker) Learn(head state.Head) (newer bool, err error) {
+	if head.Version < t.latest.Version || head.Version == 0 {
 		return false, nil
 	}
-	if head.Version == t.known.Version {
-		if head.Digest != t.known.Digest {
-			return false, ErrFork
+	if head.Version == t.latest.Version {
+		if head.Digest != t.latest.Digest {
+			return false, fmt.Errorf("version %d: digests %s and %s: %w", head.Version, t.latest.Digest, head.Digest, ErrFork)
 		}
 		return false, nil
 	}
-	t.known = head
+	t.latest = head
 	return true, nil
 }
 
-// Adopt puts the known head in force, once its bundle is at hand and
-// verified, and reports whether that changed anything.
+// Activate makes head the active one once its bundle is fetched and verified. It
+// reports whether the active head changed.
 //
-// Guard: fetching a bundle takes time, and the fetch of an older head may end
-// after that of a newer one; only a head above the one in force is adopted,
-// and only one that is accepted, which is to say learned.
+// Fetching a bundle takes time, and the fetch of an older head may end after that
+// of a newer one. Therefore Activate accepts only a head that is newer than the
+// active one, and no head that has not been observed as accepted.
 func (t *Tracker) Adopt(head state.Head) bool {
-	if head.Version <= t.inForce.Version || head.Version > t.known.Version {
+	if head.Version <= t.active.Version || head.Version > t.latest.Version {
 		return false
 	}
-	if head.Version == t.known.Version && head.Digest != t.known.Digest {
+	if head.Version == t.latest.Version && head.Digest != t.latest.Digest {
 		return false
 	}
-	t.inForce = head
+	t.active = head
 	return true
 }
 
-// Missing returns the known head if its bundle is not in force here yet.
+// Pending returns the latest head and reports whether its bundle is not active yet.
 func (t *Tracker) Missing() (state.Head, bool) {
-	return t.known, t.known.Version > t.inForce.Version
+	return t.latest, t.latest.Version > t.active.Version
 }
 
-// Ready reports whether this process knows and serves the accepted bundle.
+// Ready reports whether the bundle of the latest head is active.
 func (t *Tracker) Ready() bool {
-	return t.inForce.Version > 0 && t.inForce.Version == t.known.Version
+	return t.active.Version > 0 && t.active.Version == t.latest.Version
 }
