--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds the desired state in force and answers what it allows:
-// which route a request takes, which organisation holds a key and which service
-// may run the request. A State is never changed once built.
+// Package catalog holds the active version of the desired state and looks up the
+// route of a request, the organisation of a key and the service that runs the
+// request. A State is immutable.
 package catalog
 
 import (
@@ -14,130 +14,133 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// Kind says what may be repeated of a request.
+// Kind determines whether a request may be repeated.
 type Kind int
 
 // The kinds.
 const (
-	// KindOnce may run at most once.
+	// KindNonIdempotent requests may run at most once.
 	KindOnce Kind = iota
-	// KindRepeatable may run more than once.
+	// KindIdempotent requests may run more than once.
 	KindRepeatable
-	// KindStream is answered by a series of events. It may run once, unless its
-	// route lets it be resumed.
+	// KindStream requests are answered by a series of events. They may run at most
+	// once, unless the route is resumable.
 	KindStream
 )
 
-// Share is a service with its part of a route's requests.
+// Share is a service with its share of a route's traffic.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests of a host and path go.
+// Route assigns the requests of a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request is kept; 0 means no bound.
+	// Timeout limits the total time of a request. 0 means no limit.
 	Timeout time.Duration
-	// Goal is the time to the first byte of an answer that earns full credit.
+	// FirstByteGoal is the latency objective for the first byte of an answer.
 	Goal time.Duration
-	// Pause is the longest gap between events that callers accept; 0 if unknown.
+	// MaxEventGap is the longest gap between events that callers accept. 0 means
+	// unknown.
 	Pause time.Duration
-	// Priority is the rank, 0 the most urgent.
+	// Priority is the priority of the requests. 0 is the most urgent.
 	Priority int
-	// Attempts is how many servers one request may be sent to, at least 1.
+	// MaxAttempts is the number of servers to which one request may be sent, at
+	// least 1.
 	Attempts int
-	// Anonymous routes take requests without a key.
+	// Anonymous is true if requests need no key.
 	Anonymous bool
-	// Resumable streams may go on at another server after a break.
+	// Resumable is true if an interrupted stream may continue at another server.
 	Resumable bool
-	// Shares has at least one service.
+	// Shares holds at least one service.
 	Shares []Share
 }
 
-// Repeatable reports whether a request of the route may run again.
+// Retryable reports whether a request of the route may run again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resumable
 }
 
 // Engine describes the model servers of a service.
 type Engine struct {
-	// Slots is how many requests a server runs in one batch.
+	// Slots is the number of requests that a server runs in one batch.
 	Slots int
-	// Step is the time that one token of a full batch takes.
+	// StepTime is the duration of one decoding step of a full batch, which generates
+	// one token per request.
 	Step time.Duration
-	// Stride is how many steps a server runs between two events.
+	// StepsPerEvent is the number of steps that a server runs between two events.
 	Stride int
-	// PromptToken is the time to read one token of a prompt.
+	// PromptTokenTime is the prefill time of one prompt token.
 	PromptToken time.Duration
-	// Chunk is how many tokens of prompts are read within one step at most; 0 if that
-	// is not known.
+	// PrefillChunk is the maximum number of prompt tokens that are prefilled within
+	// one step. 0 means unknown.
 	Chunk int
-	// MillionPairs is what a million pairs of a prompt's token and an earlier one add to
-	// the reading.
+	// AttentionTime is the additional prefill time per million pairs of a prompt
+	// token and an earlier token.
 	MillionPairs time.Duration
-	// UsualPrompt and UsualAnswer are mean sizes in tokens.
+	// MeanPromptTokens and MeanAnswerTokens are the mean sizes of prompts and answers.
 	UsualPrompt int
 	UsualAnswer int
 	// ReportLag is the age of a load report when it is read.
 	ReportLag time.Duration
 	// Models are the models that the service's servers may hold.
 	Models []string
-	// Layers, LayerMB and MemoryMB bound what one server may hold.
+	// Layers, LayerMB and MemoryMB limit what one server may hold.
 	Layers   int
 	LayerMB  float64
 	MemoryMB float64
 }
 
-// longPromptFactor is how many times longer than usual the longest prompts are: four times on
-// the installations that were met.
+// longPromptFactor is the ratio of the longest prompts to the mean prompt. It was
+// four on the installations observed so far.
 const longPromptFactor = 4
 
-// LongestPass returns how long an engine works at most before it looks at what it got
-// meanwhile: each step of a pass reads as many tokens of prompts as it may. Where that is
-// not known, it reads the prompts of a whole batch.
+// MaxPassTime returns the longest time for which an engine runs before it checks for
+// new requests. It assumes that each step of such a pass prefills a whole chunk of
+// prompt tokens. If the size of the chunk is unknown, it assumes that the pass
+// prefills the prompts of a whole batch.
 func (e *Engine) LongestPass() time.Duration {
 	steps := time.Duration(e.Stride) * e.Step
 	if e.Chunk == 0 {
 		return steps + time.Duration(e.Slots*e.UsualPrompt)*e.PromptToken
 	}
 	pairs := float64(e.Chunk) * float64(longPromptFactor*e.UsualPrompt) / 1e6
-	reading := time.Duration(e.Chunk)*e.PromptToken + time.Duration(pairs*float64(e.MillionPairs))
-	return steps + time.Duration(e.Stride)*reading
+	prefill := time.Duration(e.Chunk)*e.PromptToken + time.Duration(pairs*float64(e.MillionPairs))
+	return steps + time.Duration(e.Stride)*prefill
 }
 
-// Service is a group of servers that answer alike.
+// Service is a group of interchangeable servers.
 type Service struct {
 	Name string
-	// Engine is nil for plain services.
+	// Engine is nil if the servers are not model servers.
 	Engine *Engine
-	// Channels bounds the channels of one server from all callers together.
+	// MaxConnections limits the connections to one server from all callers together.
 	Channels int
 	// Origin is the address of the origin of weights, if the service is one.
 	Origin     string
 	OriginSite string
-	// OriginRate is the rate of the origin's link in bytes a second; 0 if unknown.
+	// OriginRate is the rate of the origin's link in bytes per second. 0 means unknown.
 	OriginRate float64
 }
 
-// Limits bounds what a caller may send. Zero means no limit.
+// Limits limits what a caller may send. Zero means no limit.
 type Limits struct {
-	// Header and Body are in bytes.
 	Header int
 	Body   int64
-	// HeaderTime is how long a head may take to arrive, and IdleTime how long a
-	// channel may be unused.
+	// HeaderTimeout limits the time until the header of a request has arrived, and
+	// IdleTimeout the time for which a connection may be idle.
 	HeaderTime time.Duration
 	IdleTime   time.Duration
 }
 
-// Organisation is a holder of keys.
+// Organisation is an organisation with its keys.
 type Organisation struct {
 	ID filbertlever.OrganisationID
-	// Priority goes before the route's, unless it is negative.
+	// Priority overrides the priority of the route, unless it is negative.
 	Priority int
 	Keys     []string
 }
@@ -147,17 +150,17 @@
 	Version  uint64
 	Services map[string]Service
 	Limits   Limits
-	// Keyed is true if requests need keys.
+	// RequireKeys is true if requests need a key.
 	Keyed bool
 
 	routes map[string][]Route
 	keys   map[string]Organisation
-	// maxPassByModel are the longest passes by model.
+	// maxPassByModel holds the longest pass of any engine that may hold a model.
 	maxPassByModel map[string]time.Duration
 }
 
-// New builds a state. Routes of one host are kept by falling length of prefix,
-// so that the first match is the longest.
+// New builds a state. The routes of one host are sorted by descending length of
+// prefix, so that the first match is the longest.
 func New(version uint64, routes []Route, services []Service, organisations []Organisation, limits Limits) *State {
 	s := &State{
 		Version:        version,
@@ -191,7 +194,7 @@
 	return s
 }
 
-// Route returns the route with the longest prefix that begins the path.
+// Route returns the route of a host whose prefix is the longest match for path.
 func (s *State) Route(host, path string) (*Route, bool) {
 	routes := s.routes[host]
 	for i := range routes {
@@ -202,14 +205,14 @@
 	return nil, false
 }
 
-// Organisation returns the holder of a key.
+// Organisation returns the organisation that holds a key.
 func (s *State) Organisation(key string) (Organisation, bool) {
 	organisation, ok := s.keys[key]
 	return organisation, ok
 }
 
-// Service picks the service for a request by its id, in proportion to the
-// route's weights, so that a repeated look gives the same answer.
+// PickService picks the service for a request in proportion to the route's
+// weights. It hashes the request's id, so the same id always gets the same service.
 func (r *Route) Service(id string) string {
 	total := 0
 	for _, share := range r.Shares {
@@ -218,18 +221,18 @@
 	if total == 0 {
 		return r.Shares[0].Service
 	}
-	at := int(xxhash.Sum64String(id) % uint64(total))
+	remaining := int(xxhash.Sum64String(id) % uint64(total))
 	for _, share := range r.Shares {
-		at -= share.Weight
-		if at < 0 {
+		remaining -= share.Weight
+		if remaining < 0 {
 			return share.Service
 		}
 	}
 	return r.Shares[0].Service
 }
 
-// LongestPass returns the longest pass of any engine that may hold a model; that of any
-// engine if none is said to.
+// MaxPassTime returns the longest pass of any engine that may hold a model. If no
+// engine lists the model, it returns the longest pass of all engines.
 func (s *State) LongestPass(model string) time.Duration {
 	if pass, ok := s.maxPassByModel[model]; ok {
 		return pass
@@ -257,17 +260,17 @@
 	Version uint64 `cbor:"2,keyasint"`
 }
 
-// Boot is when a process started, by its own clock, in milliseconds of Unix time; 0
-// if it is not known. Two starts of a server under one ID differ in it.
+// Boot is the start time of a process by its own clock, in milliseconds of Unix
+// time. 0 means unknown. It distinguishes two starts of a server with the same ID.
 type Boot int64
 
-// Backend is a backend server as the platform's list tells of it.
+// Backend is a backend server as listed by the platform.
 type Backend struct {
-	// ID names the server; one that starts again may keep it.
+	// ID identifies the server. A restarted server may keep it.
 	ID string
-	// Boot tells one start of the server from another.
+	// Boot distinguishes one start of the server from another.
 	Boot Boot
-	// Revision grows with each change of any server's row; 0 if it is not known.
+	// Revision increases with each change of any server's row. 0 means unknown.
 	Revision uint64
 	Service  string
 	Address  string
@@ -277,7 +280,7 @@
 	Models   []Model
 }
 
-// NamedVersion is a version of a model's weights that operators want served.
+// ModelVersion identifies a version of a model's weights.
 type NamedVersion struct {
 	Model   string
 	Version uint64
--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -19,7 +19,8 @@
 	return New(7, routes, nil, organisations, Limits{})
 }
 
-// Which route a host and path select.
+// The route with the longest matching prefix must be selected, for exactly the
+// host of the request.
 func TestRoute(t *testing.T) {
 	tests := []struct{ host, path, want string }{
 		{"a.example", "/x/1", "short"},
@@ -42,7 +43,7 @@
 	}
 }
 
-// A key of one organisation must never count as another's.
+// A key of one organisation must never be accepted as another's.
 func TestOrganisation(t *testing.T) {
 	c := qt.New(t)
 	state := newState()
@@ -55,7 +56,8 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// A split sends each service its part, and the same request always the same way.
+// A traffic split must follow the weights, and a request with the same ID must
+// always get the same service.
 func TestServiceFollowsWeights(t *testing.T) {
 	c := qt.New(t)
 	route, _ := newState().Route("b.example", "/x/")
@@ -69,7 +71,7 @@
 	c.Assert(counts["two"] > 900 && counts["two"] < 1100, qt.IsTrue, qt.Commentf("%v", counts))
 }
 
-// Streams may run again only where their route lets them be resumed.
+// A stream may run again only if its route is resumable.
 func TestRepeatable(t *testing.T) {
 	c := qt.New(t)
 	c.Assert((&Route{Kind: KindOnce}).Repeatable(), qt.IsFalse)
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement decides which weights a host must have loaded, from the
-// accepted bundle alone, and carries each of them to the engine.
+// Package placement derives from the accepted bundle which weights a host must
+// have loaded, and tracks each set of weights until the engine has loaded it.
 package placement
 
 import (
@@ -26,7 +26,7 @@
 	Model    string
 	Version  string
 	Manifest filbertlever.Digest
-	// Base is the manifest of the model below an adapter; empty for a model.
+	// Base is the manifest of an adapter's base model. It is empty for a model.
 	Base     filbertlever.Digest
 	MaxBatch int
 	Role     string
@@ -58,7 +58,7 @@
 	return wanted
 }
 
-// Stage is how far a set of weights has come on a host.
+// Stage is the stage of a set of weights on a host.
 type Stage string
 
 // The stages, in order.
@@ -67,7 +67,7 @@
 	StageVerified Stage = "Verified"
 	StageLoading  Stage = "Loading"
 	StageLive     Stage = "Live"
-	// StageFailed is a load that failed and waits for its next try.
+	// StageFailed means that a load failed and will be retried.
 	StageFailed Stage = "Failed"
 )
 
@@ -75,41 +75,41 @@
 type Progress struct {
 	Weights Weights
 	Stage   Stage
-	// Digest is that of the whole set, known once the manifest is.
+	// Digest is the digest of the whole set. It is set once the set is verified.
 	Digest filbertlever.Digest
-	// Failures counts loads that failed, and Reason is the last one's.
+	// Failures counts failed loads. Reason describes the last failure.
 	Failures int
 	Reason   string
-	// retryAt is when a failed load is tried again.
+	// retryAt is the earliest time for a retry of a failed load.
 	retryAt time.Time
 }
 
-// Loader carries the wanted weights of one host through their stages. It is
-// not safe for concurrent use.
+// Loader tracks the stages of the weights that one host must serve. It is not
+// safe for concurrent use.
 type Loader struct {
 	sets []*Progress
-	// replaced are live sets that the bundle no longer names, each kept until
-	// the set that takes its place is live.
+	// replaced are live sets that the bundle no longer lists. Each is kept until
+	// its replacement is live.
 	replaced []*Progress
 }
 
-// Pauses between tries of a failed load.
+// Backoff between retries of a failed load.
 const (
 	baseLoadBackoff = 500 * time.Millisecond
 	maxLoadBackoff  = 30 * time.Second
 )
 
-// SetWanted replaces what is wanted. A set that stays wanted keeps its stage.
-// A live set that another version replaces goes on serving until that one is
-// live; any other set is dropped, wherever it was.
+// SetWanted replaces the wanted sets. A set that stays wanted keeps its stage. A
+// live set that is replaced by another version continues to serve until that
+// version is live. Any other set is dropped at whatever stage it is.
 func (l *Loader) SetWanted(wanted []Weights) {
-	before := append(l.sets, l.replaced...)
+	previous := append(l.sets, l.replaced...)
 	l.sets = make([]*Progress, 0, len(wanted))
 	l.replaced = nil
 	for _, weights := range wanted {
-		l.sets = append(l.sets, findOrNew(before, weights))
+		l.sets = append(l.sets, findOrNew(previous, weights))
 	}
-	for _, p := range before {
+	for _, p := range previous {
 		if p.Stage == StageLive && !slices.Contains(wanted, p.Weights) {
 			l.replaced = append(l.replaced, p)
 		}
@@ -117,8 +117,8 @@
 	l.dropReplaced()
 }
 
-func findOrNew(before []*Progress, weights Weights) *Progress {
-	for _, p := range before {
+func findOrNew(previous []*Progress, weights Weights) *Progress {
+	for _, p := range previous {
 		if p.Weights == weights {
 			return p
 		}
@@ -126,8 +126,8 @@
 	return &Progress{Weights: weights, Stage: StageFetching}
 }
 
-// dropReplaced drops the outgoing sets whose model is wanted no more or is live in
-// its new version.
+// dropReplaced drops the replaced sets whose model is no longer wanted or whose
+// new version is live.
 func (l *Loader) dropReplaced() {
 	l.replaced = slices.DeleteFunc(l.replaced, func(old *Progress) bool {
 		for _, p := range l.sets {
@@ -139,18 +139,18 @@
 	})
 }
 
-// Fetch returns the sets whose chunks are still to be fetched.
+// Unfetched returns the sets whose chunks have not all been fetched.
 func (l *Loader) Fetch() []Weights {
-	var fetch []Weights
+	var unfetched []Weights
 	for _, p := range l.sets {
 		if p.Stage == StageFetching {
-			fetch = append(fetch, p.Weights)
+			unfetched = append(unfetched, p.Weights)
 		}
 	}
-	return fetch
+	return unfetched
 }
 
-// Verified notes that the whole set is at hand, chunk by chunk verified.
+// MarkVerified records that all chunks of a set are fetched and verified.
 func (l *Loader) Verified(weights Weights, digest filbertlever.Digest) {
 	p := l.find(weights)
 	if p != nil && p.Stage == StageFetching {
@@ -159,12 +159,12 @@
 	}
 }
 
-// Next returns the set that the engine must be told to load now, if any, and
-// marks it as loading. One load is under way at a time; an adapter waits for
-// its model.
+// Next returns the set that the engine must load now, if any, and marks it as
+// loading. Only one load is in flight at a time. An adapter is loaded after its
+// base model.
 //
-// Guard: an engine that loads an incomplete set would serve partial weights;
-// only a verified set is ever returned.
+// An engine that loads an incomplete set would serve partial weights, so only a
+// verified set is returned.
 func (l *Loader) Next(now time.Time) (Progress, bool) {
 	for _, p := range l.sets {
 		if p.Stage == StageLoading {
@@ -182,11 +182,12 @@
 	return Progress{}, false
 }
 
-// Loaded notes what the engine attested after a load, and reports whether the
-// set is live.
+// MarkLoaded records the digest that the engine attested after a load and reports
+// whether the set is live.
 //
-// Guard: the engine may have read damaged bytes, or another holder's order may
-// have replaced the weights; a digest other than the manifest's is a failure.
+// The engine may have read damaged bytes, or a load by another lease holder may
+// have replaced the weights. A digest that differs from the expected one counts as
+// a failed load.
 func (l *Loader) Loaded(weights Weights, attested filbertlever.Digest, now time.Time) bool {
 	p := l.find(weights)
 	if p == nil || p.Stage != StageLoading {
@@ -202,23 +203,23 @@
 	return true
 }
 
-// Failed notes that a load failed; it is tried again after a pause, for as
-// long as the set is wanted, and reported meanwhile.
+// MarkFailed records a failed load. The load is retried with backoff as long as
+// the set is wanted. All reports the failure until the load succeeds.
 func (l *Loader) Failed(weights Weights, reason string, now time.Time) {
 	if p := l.find(weights); p != nil && p.Stage == StageLoading {
 		l.fail(p, reason, now)
 	}
 }
 
-// Attested compares what the engine says that it has loaded with what is
-// live, and takes back the stage of a set that is gone, as after an engine's
-// restart. It reports whether anything changed.
+// Reconcile compares the digests that the engine has loaded with the live sets. A
+// set that the engine no longer has, as after a restart of the engine, is loaded
+// again. Reconcile reports whether anything changed.
 func (l *Loader) Attested(loaded []filbertlever.Digest) bool {
-	kept := len(l.replaced)
+	count := len(l.replaced)
 	l.replaced = slices.DeleteFunc(l.replaced, func(old *Progress) bool {
 		return !slices.Contains(loaded, old.Digest)
 	})
-	changed := len(l.replaced) < kept
+	changed := len(l.replaced) < count
 	for _, p := range l.sets {
 		if p.Stage == StageLive && !slices.Contains(loaded, p.Digest) {
 			p.Stage = StageVerified
@@ -229,7 +230,7 @@
 	return changed
 }
 
-// Live returns the sets that requests may use, outgoing ones included.
+// Live returns the sets that requests may use, including replaced sets that still serve.
 func (l *Loader) Live() []Progress {
 	var live []Progress
 	for _, p := range append(slices.Clone(l.sets), l.replaced...) {
@@ -240,7 +241,7 @@
 	return live
 }
 
-// All returns the state of every wanted set.
+// All returns the progress of every wanted set.
 func (l *Loader) All() []Progress {
 	all := make([]Progress, len(l.sets))
 	for i, p := range l.sets {
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -28,6 +28,8 @@
 	c.Assert(l.Loaded(w, digest(w), epoch), qt.IsTrue)
 }
 
+// The wanted sets of a pool are the models and adapters that the bundle assigns
+// to it.
 func TestWantedFollowsTheBundle(t *testing.T) {
 	c := qt.New(t)
 	b := bundle.Example()
@@ -39,8 +41,7 @@
 	c.Assert(placement.Wanted(b, "billing"), qt.HasLen, 0)
 }
 
-// An engine is told to load while chunks are still missing and serves partial
-// weights.
+// An engine that loads a set with missing chunks would serve partial weights.
 func TestOnlyAVerifiedSetIsLoaded(t *testing.T) {
 	c := qt.New(t)
 	var l placement.Loader
@@ -54,8 +55,8 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// The engine read other bytes than were verified, and serves them.
-func TestAnotherDigestIsAFailedLoad(t *testing.T) {
+// The engine read bytes that differ from the verified ones. It must not serve them.
+func TestDigestMismatchIsAFailedLoad(t *testing.T) {
 	c := qt.New(t)
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1})
@@ -67,9 +68,9 @@
 	c.Assert(l.All()[0].Reason, qt.Contains, "engine attested")
 }
 
-// A load that failed once, as for lack of memory, is forgotten and the host
-// never serves the model; or it is tried in a tight loop.
-func TestFailedLoadIsRetriedAfterAPause(t *testing.T) {
+// A load that failed once, for example for lack of memory, must be retried, but
+// not in a tight loop.
+func TestFailedLoadIsRetriedWithBackoff(t *testing.T) {
 	c := qt.New(t)
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1})
@@ -84,7 +85,8 @@
 	c.Assert(l.Loaded(v1, digest(v1), epoch), qt.IsTrue)
 }
 
-// The model is gone from every host between a roll and the end of the transfer.
+// If the old version were dropped at the roll, no host would serve the model
+// until the transfer of the new version ends.
 func TestOldVersionServesUntilTheNewOneIsLive(t *testing.T) {
 	c := qt.New(t)
 	var l placement.Loader
@@ -97,8 +99,8 @@
 	c.Assert(l.Live()[0].Weights, qt.Equals, v2)
 }
 
-// The version changes twice while a copy is in flight, and the host loads the
-// one in the middle that nobody wants any more.
+// The version changes twice while a transfer is in flight. The host must not load
+// the intermediate version, which is no longer wanted.
 func TestVersionChangesTwiceInFlight(t *testing.T) {
 	c := qt.New(t)
 	var l placement.Loader
@@ -111,9 +113,9 @@
 	makeLive(c, &l, v1)
 }
 
-// A load of the old version ends after the roll of a new one and is taken for
-// the new one's.
-func TestLoadOfASupersededVersionEndsLate(t *testing.T) {
+// A load of the old version ends after the roll of a new one. It must not count
+// as a load of the new version.
+func TestLateLoadOfASupersededVersionIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1})
@@ -124,7 +126,7 @@
 	c.Assert(l.Live(), qt.HasLen, 0)
 }
 
-// A model that the bundle took out goes on answering.
+// A model that was removed from the bundle must not be served any more.
 func TestRemovedModelIsNotServed(t *testing.T) {
 	c := qt.New(t)
 	var l placement.Loader
@@ -134,9 +136,9 @@
 	c.Assert(l.Live(), qt.HasLen, 0)
 }
 
-// An engine restarted with nothing loaded, and the agent goes on sending it
-// requests.
-func TestEngineThatLostItsWeightsLoadsAgain(t *testing.T) {
+// An engine restarts with nothing loaded. The agent must not send it requests
+// until it has loaded the weights again.
+func TestRestartedEngineLoadsAgain(t *testing.T) {
 	c := qt.New(t)
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1})
@@ -147,8 +149,8 @@
 	makeLive(c, &l, v1)
 }
 
-// An adapter is loaded onto an engine that lacks its model.
-func TestAdapterWaitsForItsModel(t *testing.T) {
+// An adapter must not be loaded before its base model is live.
+func TestAdapterWaitsForItsBaseModel(t *testing.T) {
 	c := qt.New(t)
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1, tone})
@@ -156,7 +158,7 @@
 	_, ok := l.Next(epoch)
 	c.Assert(ok, qt.IsFalse)
 	makeLive(c, &l, v1)
-	makeLive2, ok := l.Next(epoch)
+	p, ok := l.Next(epoch)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(makeLive2.Weights, qt.Equals, tone)
+	c.Assert(p.Weights, qt.Equals, tone)
 }
--- a/internal/state/chunks.go
+++ b/internal/state/chunks.go
@@ -10,8 +10,8 @@
 
 const chunkShards = 32
 
-// Chunks keeps verified chunks of weights by digest. Whoever puts a chunk has
-// verified it.
+// ChunkStore keeps verified chunks of weights by digest, in shards with a lock
+// each. The caller of Put must have verified the chunk.
 type Chunks struct {
 	seed   maphash.Seed
 	bytes  atomic.Int64
@@ -19,15 +19,14 @@
 }
 
 type chunkShard struct {
-	mu sync.Mutex
-	// data holds the chunks present.
+	mu   sync.Mutex
 	data map[filbertlever.Digest][]byte
-	// waiters holds a channel for each chunk that somebody waits for; it is
+	// waiters holds a channel for each chunk that a caller waits for. The channel is
 	// closed when the chunk is put.
 	waiters map[filbertlever.Digest]chan struct{}
 }
 
-// NewChunks returns an empty store.
+// NewChunkStore returns an empty store.
 func NewChunks() *Chunks {
 	c := &Chunks{seed: maphash.MakeSeed()}
 	for i := range c.shards {
@@ -37,7 +36,7 @@
 	return c
 }
 
-// Put keeps data under digest. The store owns data from then on.
+// Put stores data under digest. The caller must not change data afterwards.
 func (c *Chunks) Put(digest filbertlever.Digest, data []byte) {
 	shard := c.shard(digest)
 	shard.mu.Lock()
@@ -53,7 +52,8 @@
 	}
 }
 
-// Get returns the chunk, which the caller must not change, or nil.
+// Get returns the chunk, or nil if the store does not hold it. The caller must
+// not change the chunk.
 func (c *Chunks) Get(digest filbertlever.Digest) []byte {
 	shard := c.shard(digest)
 	shard.mu.Lock()
@@ -61,7 +61,7 @@
 	return shard.data[digest]
 }
 
-// Wait returns the chunk, or nil and a channel that is closed when it comes.
+// Wait returns the chunk, or nil and a channel that is closed when the chunk is put.
 func (c *Chunks) Wait(digest filbertlever.Digest) ([]byte, <-chan struct{}) {
 	shard := c.shard(digest)
 	shard.mu.Lock()
@@ -77,7 +77,7 @@
 	return nil, waiter
 }
 
-// Retain drops every chunk that keep does not name.
+// Retain removes every chunk whose digest is not in keep.
 func (c *Chunks) Retain(keep map[filbertlever.Digest]bool) {
 	for i := range c.shards {
 		shard := &c.shards[i]
@@ -92,7 +92,7 @@
 	}
 }
 
-// Bytes returns the size of all chunks kept.
+// Bytes returns the total size of the stored chunks.
 func (c *Chunks) Bytes() int64 {
 	return c.bytes.Load()
 }
--- a/internal/state/current.go
+++ b/internal/state/current.go
@@ -6,22 +6,22 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// Current is the bundle in force in a process. A Current is never changed;
-// another one takes its place.
+// ActiveBundle is the bundle that is active in a process. It is immutable: a new
+// bundle replaces the whole value.
 type Current struct {
 	Head   Head
 	Bundle *bundle.Bundle
-	// Signed is the stored form, as peers are given it.
+	// Signed is the signed bundle as stored and as sent to peers.
 	Signed []byte
 }
 
-// Holder holds the Current of a process. It is safe for concurrent use.
+// BundleHolder holds the active bundle of a process. It is safe for concurrent use.
 type Holder struct {
 	current atomic.Pointer[Current]
 }
 
-// Load returns the bundle in force, or nil.
+// Load returns the active bundle, or nil if there is none yet.
 func (h *Holder) Load() *Current { return h.current.Load() }
 
-// Store puts a bundle in force.
+// Store makes a bundle the active one.
 func (h *Holder) Store(current *Current) { h.current.Store(current) }
