--- a/internal/coordination/order/gate.go
+++ b/internal/coordination/order/gate.go
@@ -37,7 +37,7 @@
 	fence  uint64
 	answer []byte
 	// recordedAt is when the gate was notified that the platform holds the
-	// outcome of the order; zero until then.
+	// outcome of the order. It is zero until then.
 	recordedAt time.Time
 }
 
--- a/internal/coordination/order/order_test.go
+++ b/internal/coordination/order/order_test.go
@@ -12,6 +12,7 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/order"
 )
 
+// Without failures an order runs once, and its answer is returned and recorded.
 func TestOrderIsAnsweredAndRecorded(t *testing.T) {
 	c := qt.New(t)
 	a := newAgent("billing-1")
@@ -266,6 +267,8 @@
 	c.Assert(gate.Begin(key, "life", 2).Gate, qt.Equals, order.GateStart)
 }
 
+// Over ten seconds one entry of eight must get its share of the orders, and no more
+// than its initial tokens beyond it.
 func TestBudgetLimitsPlatformWrites(t *testing.T) {
 	c := qt.New(t)
 	budget := order.NewBudget(320, 8)
--- a/internal/coordination/order/run.go
+++ b/internal/coordination/order/run.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// Read reports the outcome of ActionRead; revision is 0 if there is no row.
+// Read reports the outcome of ActionRead. A revision of 0 means that there is no row.
 func (r *Run) Read(row Row, revision uint64, err error, now time.Time) Action {
 	if err != nil {
 		return r.handlePlatformError(now)
@@ -289,8 +289,8 @@
 
 // handleReleased continues from a row in StateReleased: the order has not started.
 func (r *Run) handleReleased(now time.Time) Action {
-	refusedHere := r.dispatched && r.row.ClaimID == r.claimID
-	if refusedHere || r.claims >= maxClaims || !now.Before(r.deadline) {
+	refused := r.dispatched && r.row.ClaimID == r.claimID
+	if refused || r.claims >= maxClaims || !now.Before(r.deadline) {
 		reason := r.refusal.Reason
 		if reason == "" {
 			reason = reasonRefused
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -22,7 +22,7 @@
 // Weights is a set of weights that a host must serve.
 type Weights struct {
 	Kind Kind
-	// Model is the name that requests use; for an adapter "model/adapter".
+	// Model is the name that requests use. For an adapter it is "model/adapter".
 	Model    string
 	Version  string
 	Manifest filbertlever.Digest
--- a/internal/coordination/rollout/tracker.go
+++ b/internal/coordination/rollout/tracker.go
@@ -9,7 +9,7 @@
 
 // ErrFork means that two different heads have the same version. The platform's
 // compare-and-swap rules this out, so the row was written by hand.
-var ErrFork = errors.New("two heads with the same version")
+var ErrFork = errors.New("two heads with one version")
 
 // Tracker keeps the latest accepted head that this process observed and the
 // head whose bundle is active in this process. The version of neither ever
