--- a/internal/transport/datagrams/datagrams.go
+++ b/internal/transport/datagrams/datagrams.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// batchMost is how many messages one system call moves: those of a pause at 12,000
+	// maxBatch is how many messages one system call moves: those of a pause at 12,000
 	// a second.
-	batchMost = 64
-	// bytesMost is the largest message that is taken; longer ones are cut off there.
-	bytesMost = 8 << 10
-	// pause is the least time between two wake-ups for what has arrived; messages of one
+	maxBatch = 64
+	// maxMessageBytes is the largest message that is taken; longer ones are cut off there.
+	maxMessageBytes = 8 << 10
+	// minWakeInterval is the least time between two wake-ups for what has arrived; messages of one
 	// entry are several times as far apart.
-	pause = 5 * time.Millisecond
+	minWakeInterval = 5 * time.Millisecond
 )
 
 // Socket sends and takes messages. It is safe for concurrent use, but for Receive.
 type Socket struct {
 	conn  net.PacketConn
 	batch *ipv4.PacketConn
-	// taken has room for what one system call takes.
-	taken []ipv4.Message
-	// wokenAt is when messages were last taken.
-	wokenAt time.Time
+	// buffers has room for what one system call takes.
+	buffers []ipv4.Message
+	// lastReceiveAt is when messages were last taken.
+	lastReceiveAt time.Time
 
 	mu       sync.Mutex
 	resolved map[string]net.Addr
@@ -40,9 +40,9 @@
 
 // New returns a socket on a UDP connection, which it closes.
 func New(conn net.PacketConn) *Socket {
-	s := &Socket{conn: conn, batch: ipv4.NewPacketConn(conn), taken: make([]ipv4.Message, batchMost), resolved: map[string]net.Addr{}}
-	for i := range s.taken {
-		s.taken[i].Buffers = [][]byte{make([]byte, bytesMost)}
+	s := &Socket{conn: conn, batch: ipv4.NewPacketConn(conn), buffers: make([]ipv4.Message, maxBatch), resolved: map[string]net.Addr{}}
+	for i := range s.buffers {
+		s.buffers[i].Buffers = [][]byte{make([]byte, maxMessageBytes)}
 	}
 	return s
 }
@@ -84,8 +84,8 @@
 	s.send([]ipv4.Message{{Buffers: [][]byte{data}, Addr: to}})
 }
 
-// resolvedMost is how many addresses are kept: those of all processes aimed for.
-const resolvedMost = 4096
+// maxResolved is how many addresses are kept: those of all processes aimed for.
+const maxResolved = 4096
 
 // resolve returns an address as the system wants it, and caches it.
 func (s *Socket) resolve(address string) (net.Addr, error) {
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(s.resolved) >= resolvedMost {
+	if len(s.resolved) >= maxResolved {
 		clear(s.resolved)
 	}
 	s.resolved[address] = to
@@ -108,7 +108,7 @@
 // send sends all messages but those that fail.
 func (s *Socket) send(messages []ipv4.Message) {
 	for len(messages) > 0 {
-		n, err := s.batch.WriteBatch(messages[:min(len(messages), batchMost)], 0)
+		n, err := s.batch.WriteBatch(messages[:min(len(messages), maxBatch)], 0)
 		if err != nil {
 			// The first one left was refused, as for an address that is unreachable.
 			n = max(n, 0) + 1
@@ -122,13 +122,13 @@
 // It wakes at most once in a pause, and then takes all that has arrived. A message on a
 // quiet socket is taken at once.
 func (s *Socket) Receive(take func(data []byte, from net.Addr)) error {
-	time.Sleep(pause - time.Since(s.wokenAt))
-	n, err := s.batch.ReadBatch(s.taken, 0)
+	time.Sleep(minWakeInterval - time.Since(s.lastReceiveAt))
+	n, err := s.batch.ReadBatch(s.buffers, 0)
 	if err != nil {
 		return err
 	}
-	s.wokenAt = time.Now()
-	for _, message := range s.taken[:n] {
+	s.lastReceiveAt = time.Now()
+	for _, message := range s.buffers[:n] {
 		take(message.Buffers[0][:message.N], message.Addr)
 	}
 	return nil
--- a/internal/transport/datagrams/datagrams_test.go
+++ b/internal/transport/datagrams/datagrams_test.go
@@ -17,7 +17,7 @@
 
 // An entry tells 150 others of its requests. More than one system call moves are sent
 // all the same, each once.
-func TestMoreThanOneBatchArrives(t *testing.T) {
+func TestMessagesBeyondOneBatchArrive(t *testing.T) {
 	c := qt.New(t)
 	from, to := listen(t), listen(t)
 	addresses := make([]string, 150)
@@ -37,7 +37,7 @@
 
 // One of three entries has an address that no message can be sent to. Sent with one
 // system call, the others would not hear that this one lives.
-func TestAnAddressThatCannotBeReachedCostsNoOther(t *testing.T) {
+func TestUnreachableAddressDoesNotAffectOthers(t *testing.T) {
 	c := qt.New(t)
 	from, first, last := listen(t), listen(t), listen(t)
 	nowhere := "255.255.255.255:9"
@@ -56,7 +56,7 @@
 }
 
 // A process waits for messages while its socket is closed, as at its stop.
-func TestAClosedSocketEndsTheWait(t *testing.T) {
+func TestCloseEndsReceive(t *testing.T) {
 	c := qt.New(t)
 	s := listen(t)
 	time.AfterFunc(10*time.Millisecond, func() { _ = s.Close() })
@@ -65,7 +65,7 @@
 
 // A message of a quiet region is taken at once, and a busy one's wake the process at most
 // once in a pause.
-func TestWakeUpsAreBoundedAndQuietOnesAtOnce(t *testing.T) {
+func TestWakeUpRateIsBounded(t *testing.T) {
 	c := qt.New(t)
 	from, to := listen(t), listen(t)
 	done := make(chan struct{})
@@ -82,7 +82,7 @@
 		wakes++
 	}
 	<-done
-	most := int(time.Since(began)/pause) + 1
+	most := int(time.Since(began)/minWakeInterval) + 1
 	c.Check(wakes <= most, qt.IsTrue, qt.Commentf("%d wake-ups, at most %d expected", wakes, most))
 }
 
--- a/internal/transport/hangup/hangup_test.go
+++ b/internal/transport/hangup/hangup_test.go
@@ -12,7 +12,7 @@
 
 // A process is told to read its settings anew before it has begun to read them. It must
 // live, and hear of it.
-func TestASignalBeforeAnybodyListensIsKept(t *testing.T) {
+func TestEarlySignalIsKept(t *testing.T) {
 	c := qt.New(t)
 	for range 3 {
 		c.Assert(syscall.Kill(syscall.Getpid(), syscall.SIGHUP), qt.IsNil)
@@ -27,7 +27,7 @@
 // A process ended by the signal in its first 5 ms: it listened after the packages of
 // metrics, messages and the command line were initialised. A package that needs one of
 // them is initialised after it.
-func TestOnlyTheStandardLibraryComesBefore(t *testing.T) {
+func TestImportsOnlyStandardLibrary(t *testing.T) {
 	c := qt.New(t)
 	p, err := build.ImportDir(".", 0)
 	c.Assert(err, qt.IsNil)
--- a/internal/transport/installation/idle.go
+++ b/internal/transport/installation/idle.go
@@ -11,24 +11,24 @@
 
 // Limits on callers' channels while no desired state sets them.
 const (
-	// headerTime bounds the arrival of a request's head.
-	headerTime = 3 * time.Second
-	// idleTime is how long a caller's channel may be unused. Callers use one
+	// defaultHeaderTimeout bounds the arrival of a request's head.
+	defaultHeaderTimeout = 3 * time.Second
+	// defaultIdleTimeout is how long a caller's channel may be unused. Callers use one
 	// again after up to four fifths of the operators' limit, usually 15 s.
-	idleTime = 75 * time.Second
+	defaultIdleTimeout = 75 * time.Second
 )
 
 // Outer bounds that hold whatever operators set: those of the server itself, which
 // cannot change while it runs.
 const (
-	headerMost = 30 * time.Second
-	idleMost   = 10 * time.Minute
+	maxHeaderTimeout = 30 * time.Second
+	maxIdleTimeout   = 10 * time.Minute
 )
 
-// channelLimits ends callers' channels that stay unused for longer than the desired
+// connLimits ends callers' channels that stay unused for longer than the desired
 // state allows, or whose first head takes longer. A later head of a slow caller is
 // bounded by both together.
-type channelLimits struct {
+type connLimits struct {
 	// limits returns those in force; zeros mean that none are set.
 	limits func() catalog.Limits
 
@@ -36,19 +36,19 @@
 	timers map[net.Conn]*time.Timer
 }
 
-func newChannelLimits(limits func() catalog.Limits) *channelLimits {
-	return &channelLimits{limits: limits, timers: map[net.Conn]*time.Timer{}}
+func newConnLimits(limits func() catalog.Limits) *connLimits {
+	return &connLimits{limits: limits, timers: map[net.Conn]*time.Timer{}}
 }
 
-// note is told of a channel's state by the server.
-func (l *channelLimits) note(c net.Conn, state http.ConnState) {
+// onStateChange is told of a channel's state by the server.
+func (l *connLimits) onStateChange(c net.Conn, state http.ConnState) {
 	limits := l.limits()
 	head, idle := limits.HeaderTime, limits.IdleTime
 	if head <= 0 {
-		head = headerTime
+		head = defaultHeaderTimeout
 	}
 	if idle <= 0 {
-		idle = idleTime
+		idle = defaultIdleTimeout
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,13 +58,13 @@
 	}
 	switch state {
 	case http.StateNew:
-		l.timers[c] = time.AfterFunc(head, func() { l.end(c) })
+		l.timers[c] = time.AfterFunc(head, func() { l.closeConn(c) })
 	case http.StateIdle:
-		l.timers[c] = time.AfterFunc(idle+head, func() { l.end(c) })
+		l.timers[c] = time.AfterFunc(idle+head, func() { l.closeConn(c) })
 	}
 }
 
-func (l *channelLimits) end(c net.Conn) {
+func (l *connLimits) closeConn(c net.Conn) {
 	l.mu.Lock()
 	delete(l.timers, c)
 	l.mu.Unlock()
--- a/internal/transport/installation/idle_test.go
+++ b/internal/transport/installation/idle_test.go
@@ -14,29 +14,29 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// limited is a server whose limits a test can change.
-type limited struct {
+// limitedServer is a server whose limits a test can change.
+type limitedServer struct {
 	address string
 	limits  atomic.Pointer[catalog.Limits]
 }
 
-func newLimited(t *testing.T, limits catalog.Limits) *limited {
-	l := &limited{}
+func newLimitedServer(t *testing.T, limits catalog.Limits) *limitedServer {
+	l := &limitedServer{}
 	l.limits.Store(&limits)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	l.address = listener.Addr().String()
 	server := &http.Server{
 		Handler:   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }),
-		ConnState: newChannelLimits(func() catalog.Limits { return *l.limits.Load() }).note,
+		ConnState: newConnLimits(func() catalog.Limits { return *l.limits.Load() }).onStateChange,
 	}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return l
 }
 
-// ask sends a request on a channel and reports whether it was answered.
-func ask(c net.Conn, reader *bufio.Reader) bool {
+// sendRequest sends a request on a channel and reports whether it was answered.
+func sendRequest(c net.Conn, reader *bufio.Reader) bool {
 	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		return false
@@ -51,9 +51,9 @@
 
 // Operators change how long channels may be unused. A caller that keeps to four
 // fifths of the new limit must find its channel open, and one that does not, closed.
-func TestUnusedChannelsFollowTheDesiredState(t *testing.T) {
+func TestIdleConnectionsFollowDesiredState(t *testing.T) {
 	c := qt.New(t)
-	server := newLimited(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: 200 * time.Millisecond})
+	server := newLimitedServer(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: 200 * time.Millisecond})
 	for _, test := range []struct {
 		idle, pause time.Duration
 		open        bool
@@ -66,17 +66,17 @@
 		channel, err := net.Dial("tcp4", server.address)
 		c.Assert(err, qt.IsNil)
 		reader := bufio.NewReader(channel)
-		c.Assert(ask(channel, reader), qt.IsTrue)
+		c.Assert(sendRequest(channel, reader), qt.IsTrue)
 		time.Sleep(test.pause)
-		c.Check(ask(channel, reader), qt.Equals, test.open, qt.Commentf("%+v", test))
+		c.Check(sendRequest(channel, reader), qt.Equals, test.open, qt.Commentf("%+v", test))
 		_ = channel.Close()
 	}
 }
 
 // Someone opens channels and sends half a head on each; they must not be kept.
-func TestASlowHeadEndsItsChannel(t *testing.T) {
+func TestSlowHeaderClosesConnection(t *testing.T) {
 	c := qt.New(t)
-	server := newLimited(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: time.Minute})
+	server := newLimitedServer(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: time.Minute})
 	channel, err := net.Dial("tcp4", server.address)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = channel.Close() }()
--- a/internal/transport/installation/installation.go
+++ b/internal/transport/installation/installation.go
@@ -28,21 +28,21 @@
 
 // Times and sizes of listeners.
 const (
-	headerBytes = 64 << 10
+	maxHeaderBytes = 64 << 10
 	// memoryShare is the part of a host's memory that the collector aims for.
 	memoryShare = 0.6
-	// closing is left at the end of a stop to close what is idle.
-	closing = 500 * time.Millisecond
+	// shutdownTimeout is left at the end of a stop to close what is idle.
+	shutdownTimeout = 500 * time.Millisecond
 )
 
 // process is what entries and agents have in common.
 type process struct {
-	log      *zap.Logger
-	level    zap.AtomicLevel
-	registry *prometheus.Registry
-	servers  []*http.Server
-	failed   chan error
-	clean    []func()
+	log       *zap.Logger
+	level     zap.AtomicLevel
+	registry  *prometheus.Registry
+	servers   []*http.Server
+	serveErrs chan error
+	cleanups  []func()
 }
 
 // start prepares a process. Logs go to out.
@@ -56,9 +56,9 @@
 		return nil, fmt.Errorf("log level: %w", err)
 	}
 	sink, flush := logsink.New(out)
-	p := &process{level: zap.NewAtomicLevelAt(level), registry: prometheus.NewRegistry(), failed: make(chan error, 8)}
-	p.clean = append(p.clean, flush)
-	p.log = zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoding()), sink, p.level)).
+	p := &process{level: zap.NewAtomicLevelAt(level), registry: prometheus.NewRegistry(), serveErrs: make(chan error, 8)}
+	p.cleanups = append(p.cleanups, flush)
+	p.log = zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoderConfig()), sink, p.level)).
 		With(zap.String("Host", string(s.Host)), zap.String("Role", string(role)))
 	p.registry.MustRegister(collectors.NewGoCollector(), prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "filbertlever_log_dropped_total",
@@ -74,7 +74,7 @@
 	return p, nil
 }
 
-func encoding() zapcore.EncoderConfig {
+func encoderConfig() zapcore.EncoderConfig {
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.RFC3339NanoTimeEncoder
 	config.EncodeDuration = zapcore.MillisDurationEncoder
@@ -87,60 +87,60 @@
 	for _, server := range p.servers {
 		_ = server.Close()
 	}
-	for i := len(p.clean) - 1; i >= 0; i-- {
-		p.clean[i]()
+	for i := len(p.cleanups) - 1; i >= 0; i-- {
+		p.cleanups[i]()
 	}
 }
 
 // listen serves on an address with fixed limits on channels.
 func (p *process) listen(address string, handler http.Handler) error {
-	return p.listenWith(address, handler, func() catalog.Limits { return catalog.Limits{} })
+	return p.listenWithLimits(address, handler, func() catalog.Limits { return catalog.Limits{} })
 }
 
-// listenWith serves on an address with limits that may change.
-func (p *process) listenWith(address string, handler http.Handler, limits func() catalog.Limits) error {
+// listenWithLimits serves on an address with limits that may change.
+func (p *process) listenWithLimits(address string, handler http.Handler, limits func() catalog.Limits) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", address, err)
 	}
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerMost, IdleTimeout: idleMost, MaxHeaderBytes: headerBytes,
-		ConnState: newChannelLimits(limits).note,
+		Handler: handler, ReadHeaderTimeout: maxHeaderTimeout, IdleTimeout: maxIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: newConnLimits(limits).onStateChange,
 		ErrorLog:  zap.NewStdLog(p.log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))),
 	}
 	p.servers = append(p.servers, server)
-	go (&serving{server: server, listener: listener, failed: p.failed}).run()
+	go (&serveTask{server: server, listener: listener, errs: p.serveErrs}).run()
 	return nil
 }
 
-// serving serves one listener.
-type serving struct {
+// serveTask serves one listener.
+type serveTask struct {
 	server   *http.Server
 	listener net.Listener
-	failed   chan error
+	errs     chan error
 }
 
-func (s *serving) run() {
+func (s *serveTask) run() {
 	if err := s.server.Serve(s.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		s.failed <- fmt.Errorf("serve %s: %w", s.listener.Addr(), err)
+		s.errs <- fmt.Errorf("serve %s: %w", s.listener.Addr(), err)
 	}
 }
 
 // shutdown lets answers that are being written go out.
 func (p *process) shutdown() {
-	ctx, cancel := context.WithTimeout(context.Background(), closing)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	for _, server := range p.servers {
 		_ = server.Shutdown(ctx)
 	}
 }
 
-// reloadEvery is how often the settings file is looked at for changes that no
+// reloadInterval is how often the settings file is looked at for changes that no
 // signal tells of.
-const reloadEvery = time.Second
+const reloadInterval = time.Second
 
-// reloading follows a settings file.
-type reloading struct {
+// settingsReloader follows a settings file.
+type settingsReloader struct {
 	path    string
 	use     settings.Use
 	process *process
@@ -151,9 +151,9 @@
 
 // run reads the file when it changes or a signal says so. A file with faults
 // is logged and changes nothing.
-func (r *reloading) run(ctx context.Context) {
-	last := r.stamp()
-	ticker := time.NewTicker(reloadEvery)
+func (r *settingsReloader) run(ctx context.Context) {
+	last := r.readStamp()
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		signalled := false
@@ -164,7 +164,7 @@
 			signalled = true
 		case <-ticker.C:
 		}
-		stamp := r.stamp()
+		stamp := r.readStamp()
 		if stamp == last && !signalled {
 			continue
 		}
@@ -188,7 +188,7 @@
 	modified time.Time
 }
 
-func (r *reloading) stamp() fileStamp {
+func (r *settingsReloader) readStamp() fileStamp {
 	info, err := os.Stat(r.path)
 	if err != nil {
 		return fileStamp{}
--- a/internal/transport/installation/roles.go
+++ b/internal/transport/installation/roles.go
@@ -43,9 +43,9 @@
 
 // Times of stops.
 const (
-	// takeShare is the part of a stop in which new requests are still accepted, while
+	// acceptShare is the part of a stop in which new requests are still accepted, while
 	// callers learn to go elsewhere; the rest is for those under way.
-	takeShare = 0.2
+	acceptShare = 0.2
 	// stopMargin is left before the platform ends the process.
 	stopMargin = 500 * time.Millisecond
 	// peerTimeout bounds connections between processes.
@@ -71,13 +71,13 @@
 	if err := p.listenEntry(s, g, ports); err != nil {
 		return err
 	}
-	r := &reloading{path: file.Path, use: settings.UseEntry, process: p, reload: file.Reload,
+	r := &settingsReloader{path: file.Path, use: settings.UseEntry, process: p, reload: file.Reload,
 		apply: func(s *settings.Installation) { g.Reconfigure(gatewayConfig(s)) }}
 	go r.run(work)
 	p.log.Info("started", zap.String("Callers", s.Listen.Callers), zap.String("Peers", s.Listen.Peers))
 	select {
 	case <-ctx.Done():
-	case err := <-p.failed:
+	case err := <-p.serveErrs:
 		return err
 	}
 	leave, cancel := context.WithTimeout(context.Background(), time.Duration(s.Bounds.Stop)-stopMargin)
@@ -95,7 +95,7 @@
 	ports.Routes(platform, g)
 	peers := http.NewServeMux()
 	g.PeerRoutes(peers)
-	if err := p.listenWith(s.Listen.Callers, g, g.Limits); err != nil {
+	if err := p.listenWithLimits(s.Listen.Callers, g, g.Limits); err != nil {
 		return err
 	}
 	if err := p.listen(s.Listen.Peers, peers); err != nil {
@@ -119,7 +119,7 @@
 		},
 		Regions: s.Regions, Revoke: time.Duration(s.Bounds.Revoke), Bound: time.Duration(s.Bounds.Version),
 		RetryRatio: s.Bounds.RetryRatio, RetrySlack: s.Bounds.RetrySlack, RetryWindow: time.Duration(s.Bounds.RetryWindow), Seeds: s.Seeds, Keep: time.Duration(s.Bounds.Keep),
-		Grace: time.Duration(takeShare * float64(stop)), Leave: stop,
+		Grace: time.Duration(acceptShare * float64(stop)), Leave: stop,
 	}
 }
 
@@ -154,12 +154,12 @@
 	if err := p.listen(s.Listen.Datagrams, pieces); err != nil {
 		return err
 	}
-	r := &reloading{path: file.Path, use: settings.UseAgent, process: p, reload: file.Reload, apply: func(*settings.Installation) {}}
+	r := &settingsReloader{path: file.Path, use: settings.UseAgent, process: p, reload: file.Reload, apply: func(*settings.Installation) {}}
 	go r.run(work)
 	p.log.Info("started", zap.String("ModelServer", s.ModelServer.Address), zap.String("Service", s.ModelServer.Service))
 	select {
 	case <-ctx.Done():
-	case err := <-p.failed:
+	case err := <-p.serveErrs:
 		return err
 	}
 	p.log.Info("stopped")
--- a/internal/transport/logsink/logsink.go
+++ b/internal/transport/logsink/logsink.go
@@ -7,28 +7,28 @@
 	"sync/atomic"
 )
 
-// queueLines bounds the lines that wait; at about 300 bytes a line it is 1.2 MB.
-const queueLines = 4096
+// maxQueuedLines bounds the lines that wait; at about 300 bytes a line it is 1.2 MB.
+const maxQueuedLines = 4096
 
-// batchBytes is how much is gathered for one write, so that a busy process
+// writeBatchBytes is how much is gathered for one write, so that a busy process
 // makes few system calls for its log.
-const batchBytes = 16 << 10
+const writeBatchBytes = 16 << 10
 
 // Sink is an io.Writer whose Write never blocks.
 type Sink struct {
 	out     io.Writer
 	lines   chan []byte
-	done    chan struct{}
-	ended   chan struct{}
+	stop    chan struct{}
+	stopped chan struct{}
 	dropped atomic.Int64
 }
 
 // New starts a sink that writes to out. The returned function flushes what
 // waits and stops it.
 func New(out io.Writer) (*Sink, func()) {
-	s := &Sink{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{}), ended: make(chan struct{})}
+	s := &Sink{out: out, lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), stopped: make(chan struct{})}
 	go s.run()
-	return s, func() { close(s.done); <-s.ended }
+	return s, func() { close(s.stop); <-s.stopped }
 }
 
 // Write queues a copy of line; it is dropped and counted if the queue is full.
@@ -48,16 +48,16 @@
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 func (s *Sink) run() {
-	defer close(s.ended)
-	batch := make([]byte, 0, batchBytes)
+	defer close(s.stopped)
+	batch := make([]byte, 0, writeBatchBytes)
 	for {
 		select {
 		case line := <-s.lines:
-			batch = s.gather(append(batch[:0], line...))
+			batch = s.appendQueued(append(batch[:0], line...))
 			// A log that cannot be written has nowhere to say so.
 			_, _ = s.out.Write(batch)
-		case <-s.done:
-			for batch = s.gather(batch[:0]); len(batch) > 0; batch = s.gather(batch[:0]) {
+		case <-s.stop:
+			for batch = s.appendQueued(batch[:0]); len(batch) > 0; batch = s.appendQueued(batch[:0]) {
 				_, _ = s.out.Write(batch)
 			}
 			return
@@ -65,9 +65,9 @@
 	}
 }
 
-// gather appends the lines that wait, up to about batchBytes.
-func (s *Sink) gather(batch []byte) []byte {
-	for len(batch) < batchBytes {
+// appendQueued appends the lines that wait, up to about batchBytes.
+func (s *Sink) appendQueued(batch []byte) []byte {
+	for len(batch) < writeBatchBytes {
 		select {
 		case line := <-s.lines:
 			batch = append(batch, line...)
--- a/internal/transport/logsink/logsink_test.go
+++ b/internal/transport/logsink/logsink_test.go
@@ -9,24 +9,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// stuck is an output that takes nothing until it is released.
-type stuck struct {
+// blockedOutput is an output that takes nothing until it is released.
+type blockedOutput struct {
 	release chan struct{}
-	taken   bytes.Buffer
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedOutput) Write(p []byte) (int, error) {
 	<-s.release
-	return s.taken.Write(p)
+	return s.written.Write(p)
 }
 
 // Requests hang because whoever reads the log does not. Lines beyond the queue
 // are dropped and counted, and writing one never waits.
-func TestAStuckOutputStopsNobody(t *testing.T) {
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	c := qt.New(t)
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedOutput{release: make(chan struct{})}
 	sink, stop := New(out)
-	const lines = 2 * queueLines
+	const lines = 2 * maxQueuedLines
 	for n := range lines {
 		written, err := fmt.Fprintf(sink, "line %d\n", n)
 		c.Assert(err, qt.IsNil)
@@ -34,13 +34,13 @@
 	}
 	close(out.release)
 	stop()
-	kept := strings.Count(out.taken.String(), "\n")
+	kept := strings.Count(out.written.String(), "\n")
 	c.Assert(int64(kept)+sink.Dropped(), qt.Equals, int64(lines))
 	c.Assert(sink.Dropped() > 0, qt.IsTrue)
 }
 
 // A process that stops must not lose its last lines.
-func TestStoppingFlushes(t *testing.T) {
+func TestStopFlushesQueue(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
 	sink, stop := New(&out)
--- a/internal/transport/network/network.go
+++ b/internal/transport/network/network.go
@@ -20,13 +20,13 @@
 	DialTimeout time.Duration
 }
 
-const keepAlive = 15 * time.Second
+const keepAliveInterval = 15 * time.Second
 
 // Listen listens on IP:port.
 func (TCP) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
 // DialContext connects to IP:port.
 func (t TCP) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: t.DialTimeout, KeepAlive: keepAlive}
+	dialer := net.Dialer{Timeout: t.DialTimeout, KeepAlive: keepAliveInterval}
 	return dialer.DialContext(ctx, network, address)
 }
--- a/internal/transport/sidecar/boots.go
+++ b/internal/transport/sidecar/boots.go
@@ -11,60 +11,62 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/drain"
 )
 
-// errRestarted means that the process that something was begun for is gone.
-var errRestarted = errors.New("the model server started again")
+// errServerRestarted means that the server process for which an operation was started
+// has ended.
+var errServerRestarted = errors.New("model server restarted")
 
-// paceNews is a change of the server's pace that entries of all sites are told at once:
-// how long before a bound requests are taken back follows it.
-const paceNews = 0.5
+// paceChangeThreshold is the change of the server's slowdown that is sent to the entries
+// of all sites at once. How long before a version's deadline entries cancel requests
+// depends on the slowdown.
+const paceChangeThreshold = 0.5
 
-// bootsTold is how many ended processes of its server an agent tells of. They are told
-// for entries that missed some, and one that starts again more often within the time in
-// which datagrams are late is not at work between.
-const bootsTold = 4
+// maxEndedBoots is how many ended boots of its server an agent reports. They are for
+// entries that missed some of the reports. A server that restarts more often than this
+// within the maximum delay of a datagram does no work between its restarts.
+const maxEndedBoots = 4
 
-// takeReport takes the server's report, asked for at a time.
+// applyReport records a report of the server that was requested at a given time.
 //
-// Guard: reports are asked for by turns and while a load is awaited, so that an answer of
-// the process before may come after one of the new process. It would bring back what that
-// one held, and entries would send requests there.
-func (s *Sidecar) takeReport(report Report, asked time.Duration) {
+// Reports are requested periodically and while a load is awaited, so a response from the
+// previous boot can arrive after one from the current boot. It would restore the previous
+// boot's models, and entries would send requests for them.
+func (s *Sidecar) applyReport(report Report, requestedAt time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if asked < s.reportAsked {
+	if requestedAt < s.reportRequestedAt {
 		return
 	}
-	if before := s.boot; report.Boot != 0 && report.Boot != before {
+	if previous := s.boot; report.Boot != 0 && report.Boot != previous {
 		s.boot = report.Boot
-		if before != 0 {
-			s.restarted(before, &report)
+		if previous != 0 {
+			s.handleRestart(previous, &report)
 		}
 	}
-	leaving := s.closing.Leaving()
-	s.closing.Observe(report.Closes)
-	s.news = s.news || math.Abs(report.Pace-s.report.Pace) > paceNews || s.closing.Leaving() != leaving
-	s.report, s.hasReport, s.reportedOnce, s.reportAsked = report, true, true, asked
+	leaving := s.drainDetector.Leaving()
+	s.drainDetector.Observe(report.Closes)
+	s.broadcastNext = s.broadcastNext || math.Abs(report.Pace-s.report.Pace) > paceChangeThreshold || s.drainDetector.Leaving() != leaving
+	s.report, s.hasReport, s.everReported, s.reportRequestedAt = report, true, true, requestedAt
 }
 
-// restarted drops what was planned for the process before; the caller holds the lock.
-// Pieces and manifests are the host's and stay, and what lies beside the server is read
-// back before each order.
+// handleRestart discards what was planned for the previous boot; the caller holds the
+// lock. Pieces and manifests are kept because they are on the host, and staged pieces are
+// read back before each load.
 //
-// Guard: a server that started again holds nothing and has no requests. Its agent went on
-// to wait for the turn of the process before, fetched beside answers that had ended, and
-// had entries keep requests from the new process for a change that it does not make.
-func (s *Sidecar) restarted(before catalog.Boot, report *Report) {
-	s.log.Info("model server started again", zap.Int64("Before", int64(before)), zap.Int64("After", int64(report.Boot)),
+// A restarted server has no models and no requests. Without this, the agent waited for
+// the previous boot's turn, fetched at the rate of a serving server, and had entries hold
+// back requests for a switchover that the new boot does not make.
+func (s *Sidecar) handleRestart(previous catalog.Boot, report *Report) {
+	s.log.Info("model server restarted", zap.Int64("Before", int64(previous)), zap.Int64("After", int64(report.Boot)),
 		zap.Int("Held", len(s.report.Models)), zap.Int("Holds", len(report.Models)))
-	s.before = append(s.before, before)
-	s.before = s.before[max(len(s.before)-bootsTold, 0):]
-	s.switching, s.news = false, true
-	s.closing = drain.Closing{}
+	s.endedBoots = append(s.endedBoots, previous)
+	s.endedBoots = s.endedBoots[max(len(s.endedBoots)-maxEndedBoots, 0):]
+	s.switching, s.broadcastNext = false, true
+	s.drainDetector = drain.Closing{}
 	for _, m := range s.models {
-		m.leavesAt, m.servedAt = 0, 0
-		m.giveUp(errRestarted)
-		if m.fetching && m.beside {
-			m.abandon(errRestarted)
+		m.switchAt, m.loadedAt = 0, 0
+		m.cancelLoad(errServerRestarted)
+		if m.fetching && m.fetchThrottled {
+			m.cancelFetch(errServerRestarted)
 		}
 	}
 }
--- a/internal/transport/sidecar/boots_test.go
+++ b/internal/transport/sidecar/boots_test.go
@@ -17,8 +17,8 @@
 
 const drafter = "drafter"
 
-// holding is the report of a server at one of its starts.
-func holding(boot catalog.Boot, version uint64) Report {
+// bootReport returns a report of a boot that holds a version of the drafter; 0 for none.
+func bootReport(boot catalog.Boot, version uint64) Report {
 	report := Report{Boot: boot}
 	if version > 0 {
 		report.Models = []catalog.Model{{Name: drafter, Version: version}}
@@ -26,71 +26,72 @@
 	return report
 }
 
-// booted is an agent whose server answers, with the pieces of version 2 in memory.
-func booted(t *testing.T) (*Sidecar, *engine, *weightsEntry) {
-	entry := newWeightsEntry(t, 2, 3)
-	server := &engine{staged: map[int][]byte{}, report: holding(1000, 1)}
+// newServingAgent returns an agent whose server serves version 1, with the pieces of
+// version 2 in the cache.
+func newServingAgent(t *testing.T) (*Sidecar, *fakeEngine, *fakeEntry) {
+	entry := newFakeEntry(t, 2, 3)
+	server := &fakeEngine{staged: map[int][]byte{}, report: bootReport(1000, 1)}
 	s := newAgent(entry, server, Config{Bound: 8 * time.Second})
-	s.takeReport(server.report, boottime.Now())
-	m := newWeights()
+	s.applyReport(server.report, boottime.Now())
+	m := newModelState()
 	for piece, digest := range entry.manifest.Digests {
-		s.keep(digest, entry.pieces[piece])
+		s.cachePiece(digest, entry.pieces[piece])
 	}
-	m.known[2], m.whole[2], m.wholeAt[2] = &entry.manifest, &entry.manifest, boottime.Now()
+	m.manifests[2], m.complete[2], m.completeAt[2] = &entry.manifest, &entry.manifest, boottime.Now()
 	s.models[drafter] = m
-	s.hasView, s.viewedAt = true, boottime.Now()
-	s.viewed = gateway.View{Named: []gateway.NamedAge{{Model: drafter, Version: 2}}, Place: 1, Count: 2}
+	s.hasView, s.viewReadAt = true, boottime.Now()
+	s.view = gateway.View{Named: []gateway.NamedAge{{Model: drafter, Version: 2}}, Place: 1, Count: 2}
 	return s, server, entry
 }
 
-// stepUntil lets the agent go on until something holds.
-func stepUntil(c *qt.C, s *Sidecar, holds func() bool) {
+// stepUntil runs the agent's steps until a condition is true.
+func stepUntil(c *qt.C, s *Sidecar, condition func() bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		s.step(ctx, boottime.Now())
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	c.Fatal("did not happen in time")
+	c.Fatal("the condition did not become true in time")
 }
 
-// A server answers nothing for seconds after it started again. Its agent went on to wait
-// for the turn of the process before, which had requests to keep; the new one has none,
-// and all pieces are in the agent's memory.
-func TestALoadIsBegunAnewAtANewProcess(t *testing.T) {
+// A restarted server had no weights for seconds, because its agent still waited for the
+// switchover of the previous boot, which had requests. The new boot has none, and all
+// pieces are in the agent's cache.
+func TestServerRestartStartsNewLoad(t *testing.T) {
 	c := qt.New(t)
-	s, server, entry := booted(t)
-	l := &load{agent: s, weights: s.models[drafter], named: catalog.NamedVersion{Model: drafter, Version: 2}, manifest: &entry.manifest,
-		boot: 1000, begin: boottime.Now() + time.Hour, quiet: time.Second}
+	s, server, entry := newServingAgent(t)
+	l := &loadTask{sidecar: s, state: s.models[drafter], target: catalog.NamedVersion{Model: drafter, Version: 2}, manifest: &entry.manifest,
+		boot: 1000, orderAt: boottime.Now() + time.Hour, quietPeriod: time.Second}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	l.weights.loading, l.weights.giveUp = true, cancel
+	l.state.loading, l.state.cancelLoad = true, cancel
 	go l.run(ctx)
 	time.Sleep(20 * time.Millisecond)
 	server.mu.Lock()
-	server.report = holding(2000, 0)
+	server.report = bootReport(2000, 0)
 	server.mu.Unlock()
-	s.takeReport(holding(2000, 0), boottime.Now())
+	s.applyReport(bootReport(2000, 0), boottime.Now())
 	stepUntil(c, s, func() bool {
 		server.mu.Lock()
 		defer server.mu.Unlock()
 		return len(server.loaded) == 3
 	})
-	c.Assert(entry.sent.Load(), qt.Equals, int32(0), qt.Commentf("pieces in memory were fetched again"))
+	c.Assert(entry.sent.Load(), qt.Equals, int32(0), qt.Commentf("cached pieces were fetched again"))
 }
 
-// Callers are answered by a piece that had turned bad beside the server while it was
-// down. What lies there survives a crash, and is read back before the order as always.
-func TestWhatSurvivedACrashIsReadBack(t *testing.T) {
+// Callers would get answers from a staged piece that became corrupt while the server was
+// down. Staged pieces survive a crash and must be read back before the order.
+func TestStagedPiecesAreVerifiedAfterCrash(t *testing.T) {
 	c := qt.New(t)
-	s, server, entry := booted(t)
+	s, server, entry := newServingAgent(t)
 	for piece, data := range entry.pieces {
 		server.staged[piece] = data
 	}
 	server.staged[1] = []byte("spoilt")
-	s.takeReport(holding(2000, 0), boottime.Now())
+	s.applyReport(bootReport(2000, 0), boottime.Now())
 	stepUntil(c, s, func() bool {
 		server.mu.Lock()
 		defer server.mu.Unlock()
@@ -101,27 +102,27 @@
 	c.Assert(string(server.loaded[1]), qt.Equals, string(entry.pieces[1]))
 }
 
-// Entries keep requests from a server that started again, or break answers off in
-// advance: its agent told on of the change that the process before was about to make.
-func TestNothingIsToldOfTheProcessBefore(t *testing.T) {
+// Entries send no requests to a restarted server, or abort its responses, if the agent
+// still reports the switchover that was planned for the previous boot.
+func TestReportOmitsStateOfPreviousBoot(t *testing.T) {
 	c := qt.New(t)
-	s, _, _ := booted(t)
-	heard, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	s, _, _ := newServingAgent(t)
+	receiver, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	defer func() { _ = heard.Close() }()
+	defer func() { _ = receiver.Close() }()
 	s.socket, err = datagrams.Listen("127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = s.socket.Close() }()
-	s.entries = []gateway.Entry{{Host: "entry", Site: "a", Datagrams: heard.LocalAddr().String()}}
+	s.entries = []gateway.Entry{{Host: "entry", Site: "a", Datagrams: receiver.LocalAddr().String()}}
 	now := boottime.Now()
-	s.switching, s.models[drafter].leavesAt, s.news = true, now+time.Second, false
-	s.models[drafter].loading, s.models[drafter].servedAt = true, now+time.Second
-	s.takeReport(holding(2000, 0), now)
-	c.Assert(s.news, qt.IsTrue, qt.Commentf("entries of other sites hear of it seconds later"))
-	s.tell(true)
+	s.switching, s.models[drafter].switchAt, s.broadcastNext = true, now+time.Second, false
+	s.models[drafter].loading, s.models[drafter].loadedAt = true, now+time.Second
+	s.applyReport(bootReport(2000, 0), now)
+	c.Assert(s.broadcastNext, qt.IsTrue, qt.Commentf("entries of other sites get the report seconds later"))
+	s.sendReport(true)
 	buffer := make([]byte, 2<<10)
-	_ = heard.SetReadDeadline(time.Now().Add(2 * time.Second))
-	n, _, err := heard.ReadFrom(buffer)
+	_ = receiver.SetReadDeadline(time.Now().Add(2 * time.Second))
+	n, _, err := receiver.ReadFrom(buffer)
 	c.Assert(err, qt.IsNil)
 	d, err := gateway.DecodeDatagram(buffer[:n])
 	c.Assert(err, qt.IsNil)
@@ -130,49 +131,49 @@
 	c.Assert(got, qt.DeepEquals, fleet.Load{Boot: 2000, Before: []catalog.Boot{1000}})
 }
 
-// An answer of the process before arrives after one of the new process, since both were
-// asked for at once. It must not bring back what that one held.
-func TestAnOlderAnswerOfTheServerIsLeftOut(t *testing.T) {
+// A response from the previous boot can arrive after one from the new boot, because reports
+// are requested concurrently. It must not restore the previous boot's models.
+func TestOutdatedReportIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	s, _, _ := booted(t)
+	s, _, _ := newServingAgent(t)
 	now := boottime.Now()
-	s.takeReport(holding(2000, 0), now)
-	s.takeReport(holding(1000, 1), now-time.Millisecond)
+	s.applyReport(bootReport(2000, 0), now)
+	s.applyReport(bootReport(1000, 1), now-time.Millisecond)
 	c.Assert(s.report.Boot, qt.Equals, catalog.Boot(2000))
-	c.Assert(s.before, qt.DeepEquals, []catalog.Boot{1000})
-	// However often it starts, what is told of it stays small.
+	c.Assert(s.endedBoots, qt.DeepEquals, []catalog.Boot{1000})
+	// The list of ended boots stays bounded if the server restarts often.
 	for boot := range 20 {
-		s.takeReport(holding(catalog.Boot(3000+boot), 0), now)
+		s.applyReport(bootReport(catalog.Boot(3000+boot), 0), now)
 	}
-	c.Assert(s.before, qt.HasLen, bootsTold)
-	c.Assert(s.before[bootsTold-1], qt.Equals, catalog.Boot(3018))
+	c.Assert(s.endedBoots, qt.HasLen, maxEndedBoots)
+	c.Assert(s.endedBoots[maxEndedBoots-1], qt.Equals, catalog.Boot(3018))
 }
 
-// A set moved one piece at a time to a server that had nobody to serve: the fetch was
-// begun for the process before, beside its answers.
-func TestAFetchIsBegunAnewForAnIdleProcess(t *testing.T) {
+// Weights for a restarted server were fetched one piece at a time though it had no
+// requests, because the fetch had started while the previous boot was serving.
+func TestServerRestartCancelsThrottledFetch(t *testing.T) {
 	c := qt.New(t)
-	s, _, _ := booted(t)
+	s, _, _ := newServingAgent(t)
 	m := s.models[drafter]
 	var cause error
 	_, cancel := context.WithCancelCause(context.Background())
-	m.fetching, m.abandon = true, func(err error) { cause = err; cancel(err) }
-	m.beside = true
-	s.takeReport(holding(2000, 0), boottime.Now())
-	c.Assert(cause, qt.Equals, errRestarted)
-	// One for a server that had nobody to serve goes on.
-	m.beside, cause = false, nil
-	s.takeReport(holding(3000, 0), boottime.Now())
+	m.fetching, m.cancelFetch = true, func(err error) { cause = err; cancel(err) }
+	m.fetchThrottled = true
+	s.applyReport(bootReport(2000, 0), boottime.Now())
+	c.Assert(cause, qt.Equals, errServerRestarted)
+	// A fetch that started while the server was idle continues.
+	m.fetchThrottled, cause = false, nil
+	s.applyReport(bootReport(3000, 0), boottime.Now())
 	c.Assert(cause, qt.IsNil)
 }
 
-// A version is taken to be served though the process that was ordered to load it is
-// gone. Its load ends, and the next step looks at the new one.
-func TestALoadEndsWithItsProcess(t *testing.T) {
+// A load must not count as successful if the boot that got the order has ended, even if
+// the new boot holds the version. The load ends and the next step plans for the new boot.
+func TestServerRestartEndsLoad(t *testing.T) {
 	c := qt.New(t)
-	s, server, entry := booted(t)
-	server.report = holding(2000, 2)
-	l := &load{agent: s, weights: s.models[drafter], named: catalog.NamedVersion{Model: drafter, Version: 2}, manifest: &entry.manifest, boot: 1000}
-	c.Assert(l.await(context.Background()), qt.ErrorIs, errRestarted)
+	s, server, entry := newServingAgent(t)
+	server.report = bootReport(2000, 2)
+	l := &loadTask{sidecar: s, state: s.models[drafter], target: catalog.NamedVersion{Model: drafter, Version: 2}, manifest: &entry.manifest, boot: 1000}
+	c.Assert(l.awaitVersion(context.Background()), qt.ErrorIs, errServerRestarted)
 	c.Assert(s.report.Boot, qt.Equals, catalog.Boot(2000))
 }
--- a/internal/transport/sidecar/fetch.go
+++ b/internal/transport/sidecar/fetch.go
@@ -17,126 +17,130 @@
 	"github.com/filbertlever/filbertlever/internal/transport/relay"
 )
 
-// How many pieces are moved at once: for an idle server enough to keep the host's
-// link full; for one that serves a single one, since callers' events wait behind
-// what is queued on the link. More are waited for, as sources are many pieces apart.
+// Limits of concurrent transfers.
 const (
-	lanesIdle     = 16
-	lanesServing  = 1
-	piecesAwaited = 16
+	// maxTransfersIdle is enough to keep the host's link full while the server is idle.
+	maxTransfersIdle = 16
+	// maxTransfersServing applies while the server serves, because callers' events wait
+	// behind what is queued on the link.
+	maxTransfersServing = 1
+	// maxPiecesAwaited is higher because the sources' progress differs by many pieces.
+	maxPiecesAwaited = 16
 )
 
 // errSuperseded means that a version is no longer worth fetching.
-var errSuperseded = errors.New("a newer version will be the only one to answer")
+var errSuperseded = errors.New("superseded by a newer version")
 
-// fetching brings the pieces of one version to the host.
-type fetching struct {
-	agent   *Sidecar
-	weights *weights
-	named   catalog.NamedVersion
-	// wide and narrow have room for the pieces that may be moved at once, to any server
-	// and to one that serves.
-	wide, narrow chan struct{}
+// fetchTask fetches the pieces of one version to the host.
+type fetchTask struct {
+	sidecar *Sidecar
+	state   *modelState
+	target  catalog.NamedVersion
+	// idleSlots and servingSlots are semaphores that limit concurrent transfers, beside an
+	// idle server and beside one that serves.
+	idleSlots, servingSlots chan struct{}
 }
 
-// idle reports whether the server has no requests for the model and gets none.
+// serverIdle reports whether the server has no requests for the model and receives none.
 //
-// Guard: a server may begin to answer while a set is fetched, and its requests would wait behind
-// pieces on its link; it is asked anew for each piece.
-func (f *fetching) idle() bool {
-	f.agent.mu.Lock()
-	defer f.agent.mu.Unlock()
-	return f.weights.idle
+// It is checked for each piece, because a server may start to serve during a fetch and its
+// requests would wait behind pieces on its link.
+func (f *fetchTask) serverIdle() bool {
+	f.sidecar.mu.Lock()
+	defer f.sidecar.mu.Unlock()
+	return f.state.idle
 }
 
-func (f *fetching) run(ctx context.Context) {
-	s := f.agent
-	began := boottime.Now()
+func (f *fetchTask) run(ctx context.Context) {
+	s := f.sidecar
+	startedAt := boottime.Now()
 	s.mu.Lock()
-	f.weights.left, f.weights.pieceAt = 0, began
+	f.state.missingPieces, f.state.lastPieceAt = 0, startedAt
 	s.mu.Unlock()
-	manifest, err := f.manifest(ctx)
+	manifest, err := f.fetchManifest(ctx)
 	if err == nil {
 		s.mu.Lock()
-		f.weights.known[f.named.Version] = &manifest
+		f.state.manifests[f.target.Version] = &manifest
 		s.mu.Unlock()
-		f.takeStaged(ctx, &manifest)
-		err = f.fetch(ctx, &manifest)
+		f.reuseStaged(ctx, &manifest)
+		err = f.fetchPieces(ctx, &manifest)
 	}
 	if err == nil {
-		f.stageWhole(ctx, &manifest)
+		f.stageComplete(ctx, &manifest)
 	}
 	if err != nil {
-		s.log.Warn("weights not fetched", zap.String("Model", f.named.Model), zap.Uint64("Version", f.named.Version), zap.Error(err))
-		sleep(ctx, retryPause)
+		s.log.Warn("failed to fetch weights", zap.String("Model", f.target.Model), zap.Uint64("Version", f.target.Version), zap.Error(err))
+		sleep(ctx, retryDelay)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.weights.fetching = false
-	f.weights.abandon(nil)
+	f.state.fetching = false
+	f.state.cancelFetch(nil)
 	if err != nil {
 		return
 	}
-	took := boottime.Now() - began
-	s.metrics.seconds.Observe(took.Seconds())
-	s.log.Info("weights fetched", zap.String("Model", f.named.Model), zap.Uint64("Version", f.named.Version), zap.Duration("Took", took))
-	f.weights.whole[f.named.Version], f.weights.wholeAt[f.named.Version] = &manifest, boottime.Now()
-	s.prune(f.named.Model, f.weights)
+	took := boottime.Now() - startedAt
+	s.metrics.fetchSeconds.Observe(took.Seconds())
+	s.log.Info("weights fetched", zap.String("Model", f.target.Model), zap.Uint64("Version", f.target.Version), zap.Duration("Took", took))
+	f.state.complete[f.target.Version], f.state.completeAt[f.target.Version] = &manifest, boottime.Now()
+	s.prune(f.target.Model, f.state)
 }
 
-// sources returns the entries to ask for a piece, one after the other.
-func (f *fetching) sources(piece int) []gateway.Entry {
-	all := f.agent.entriesNow()
+// sources returns the entries to ask for a piece, in the order in which to ask them.
+func (f *fetchTask) sources(piece int) []gateway.Entry {
+	all := f.sidecar.currentEntries()
 	byHost := make(map[filbertlever.HostID]gateway.Entry, len(all))
 	candidates := make([]relays.Entry, 0, len(all))
 	for _, entry := range all {
 		byHost[entry.Host] = entry
 		candidates = append(candidates, relays.Entry{Host: entry.Host, Site: entry.Site})
 	}
-	key := fmt.Sprintf("%s/%d/%d", f.named.Model, f.named.Version, piece)
+	key := fmt.Sprintf("%s/%d/%d", f.target.Model, f.target.Version, piece)
 	var ordered []gateway.Entry
-	for _, host := range relays.Ways(candidates, f.agent.config.Site, key) {
+	for _, host := range relays.Ways(candidates, f.sidecar.config.Site, key) {
 		ordered = append(ordered, byHost[host])
 	}
 	return ordered
 }
 
-func (f *fetching) manifest(ctx context.Context) (relay.Manifest, error) {
-	var last error = errNoEntry
+func (f *fetchTask) fetchManifest(ctx context.Context) (relay.Manifest, error) {
+	var lastErr error = errNoEntry
 	for _, entry := range f.sources(-1) {
-		manifest, err := relay.FetchManifest(ctx, f.agent.client, entry.Peers, f.named)
+		manifest, err := relay.FetchManifest(ctx, f.sidecar.client, entry.Peers, f.target)
 		if err == nil && len(manifest.Digests) > 0 {
 			return manifest, nil
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 		}
 	}
-	return relay.Manifest{}, last
+	return relay.Manifest{}, lastErr
 }
 
-// fetch draws every piece that is not held. Some are waited for at once, in the
-// order in which homes draw, and so many as there are lanes are moved at once.
+// fetchPieces fetches every piece that is not cached. It waits for several pieces
+// concurrently, in the order in which entries fetch them, and limits the transfers by the
+// slots for an idle or a serving server.
 //
-// Guard: with one piece waited for at a time, all that others have fetched meanwhile waits behind it.
-func (f *fetching) fetch(ctx context.Context, manifest *relay.Manifest) error {
+// If it waited for one piece at a time, pieces that other entries already have would wait
+// behind a late one.
+func (f *fetchTask) fetchPieces(ctx context.Context, manifest *relay.Manifest) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	f.wide, f.narrow = make(chan struct{}, lanesIdle), make(chan struct{}, lanesServing)
-	progress := f.progress(manifest)
-	waiting := make(chan struct{}, piecesAwaited)
+	f.idleSlots, f.servingSlots = make(chan struct{}, maxTransfersIdle), make(chan struct{}, maxTransfersServing)
+	progress := f.trackProgress(manifest)
+	awaited := make(chan struct{}, maxPiecesAwaited)
 	failed := make(chan error, len(manifest.Digests))
 	var group sync.WaitGroup
 	for piece, digest := range manifest.Digests {
-		if _, ok := f.agent.piece(digest); ok {
+		if _, ok := f.sidecar.cachedPiece(digest); ok {
 			continue
 		}
-		waiting <- struct{}{}
+		awaited <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
 		group.Go(func() {
-			defer func() { <-waiting }()
+			defer func() { <-awaited }()
 			err := f.fetchPiece(ctx, manifest, piece)
 			if err == nil {
 				progress()
@@ -160,151 +164,151 @@
 	}
 }
 
-// firstPace is what a piece is taken to need before the first has come.
-const firstPace = 35 * time.Millisecond
+// initialPieceTime is the assumed time per piece until the first one has arrived.
+const initialPieceTime = 35 * time.Millisecond
 
-// progress prepares the prediction of when a fetch ends, and returns what to
-// call after each piece.
-func (f *fetching) progress(manifest *relay.Manifest) func() {
-	s, m := f.agent, f.weights
-	began, done := boottime.Now(), 0
+// trackProgress initializes the estimate of when the fetch ends, and returns a function
+// that must be called after each piece.
+func (f *fetchTask) trackProgress(manifest *relay.Manifest) func() {
+	s, m := f.sidecar, f.state
+	startedAt, done := boottime.Now(), 0
 	s.mu.Lock()
-	missing := s.missing(manifest)
-	m.left, m.pace, m.pieceAt = missing, firstPace, began
+	missing := s.missingPieces(manifest)
+	m.missingPieces, m.pieceTime, m.lastPieceAt = missing, initialPieceTime, startedAt
 	s.mu.Unlock()
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		done++
 		now := boottime.Now()
-		s.pace.Came(now)
-		m.left, m.pace, m.pieceAt = missing-done, (now-began)/time.Duration(done), now
+		s.pieceTimes.Came(now)
+		m.missingPieces, m.pieceTime, m.lastPieceAt = missing-done, (now-startedAt)/time.Duration(done), now
 	}
 }
 
-// fetchPiece draws one piece from the first entry that has it whole.
+// fetchPiece fetches one piece from the first entry that returns it intact.
 //
-// Guard: a piece may be corrupted on its way or at an entry; only one that
-// matches the manifest's digest is kept.
-func (f *fetching) fetchPiece(ctx context.Context, manifest *relay.Manifest, piece int) error {
-	s := f.agent
-	var last error = errNoEntry
+// A piece may be corrupted in transit or at an entry, so it is only cached if it matches
+// the manifest's digest.
+func (f *fetchTask) fetchPiece(ctx context.Context, manifest *relay.Manifest, piece int) error {
+	s := f.sidecar
+	var lastErr error = errNoEntry
 	for _, entry := range f.sources(piece) {
-		data, err := f.move(ctx, entry.Peers, piece)
+		data, err := f.transferPiece(ctx, entry.Peers, piece)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		if !manifest.Verify(piece, data) {
-			s.metrics.corrupt.Inc()
-			last = fmt.Errorf("piece %d from %s: digest differs", piece, entry.Host)
+			s.metrics.corruptPieces.Inc()
+			lastErr = fmt.Errorf("piece %d from %s: digest mismatch", piece, entry.Host)
 			s.log.Warn("piece is corrupt", zap.Int("Piece", piece), zap.String("Entry", string(entry.Host)))
 			continue
 		}
-		s.metrics.fetched.Add(float64(len(data)))
-		s.keep(manifest.Digests[piece], data)
+		s.metrics.fetchedBytes.Add(float64(len(data)))
+		s.cachePiece(manifest.Digests[piece], data)
 		f.stageEarly(ctx, piece, data)
 		return nil
 	}
-	return last
+	return lastErr
 }
 
-// move brings a piece from an entry once the entry has it.
-func (f *fetching) move(ctx context.Context, address string, piece int) ([]byte, error) {
-	lane := f.wide
-	if !f.idle() {
-		lane = f.narrow
-		if err := relay.AwaitPiece(ctx, f.agent.client, address, f.named, piece); err != nil {
+// transferPiece downloads a piece from an entry. Beside a server that serves, it first
+// waits until the entry has the piece, so that no slot is held during the wait.
+func (f *fetchTask) transferPiece(ctx context.Context, address string, piece int) ([]byte, error) {
+	slots := f.idleSlots
+	if !f.serverIdle() {
+		slots = f.servingSlots
+		if err := relay.AwaitPiece(ctx, f.sidecar.client, address, f.target, piece); err != nil {
 			return nil, err
 		}
 	}
-	lane <- struct{}{}
-	defer func() { <-lane }()
-	return relay.FetchPiece(ctx, f.agent.client, address, f.named, piece)
+	slots <- struct{}{}
+	defer func() { <-slots }()
+	return relay.FetchPiece(ctx, f.sidecar.client, address, f.target, piece)
 }
 
-// takeStaged takes what already lies beside the server and is a piece of the
-// version: a server that crashed has lost its weights, but not what was staged,
-// and versions share pieces.
-func (f *fetching) takeStaged(ctx context.Context, manifest *relay.Manifest) {
-	s := f.agent
+// reuseStaged reads back the staged pieces that belong to the version. A server that
+// crashed has no weights but still has its staged pieces, and versions share pieces.
+func (f *fetchTask) reuseStaged(ctx context.Context, manifest *relay.Manifest) {
+	s := f.sidecar
 	s.mu.Lock()
-	answers := s.hasReport
+	reachable := s.hasReport
 	s.mu.Unlock()
-	if !answers {
+	if !reachable {
 		return
 	}
-	staged, err := s.engine.StagedPieces(ctx, f.named.Model)
+	staged, err := s.engine.StagedPieces(ctx, f.target.Model)
 	if err != nil {
-		s.log.Warn("staged pieces not listed", zap.String("Model", f.named.Model), zap.Error(err))
+		s.log.Warn("failed to list staged pieces", zap.String("Model", f.target.Model), zap.Error(err))
 		return
 	}
-	taken := 0
+	reused := 0
 	for _, piece := range staged {
 		if piece < 0 || piece >= len(manifest.Digests) {
 			continue
 		}
-		if _, ok := s.piece(manifest.Digests[piece]); ok {
+		if _, ok := s.cachedPiece(manifest.Digests[piece]); ok {
 			continue
 		}
-		data, err := s.engine.Staged(ctx, f.named.Model, piece)
+		data, err := s.engine.Staged(ctx, f.target.Model, piece)
 		if err != nil {
-			s.log.Warn("staged piece not read", zap.Int("Piece", piece), zap.Error(err))
+			s.log.Warn("failed to read staged piece", zap.Int("Piece", piece), zap.Error(err))
 			return
 		}
 		if data != nil && manifest.Verify(piece, data) {
-			s.keep(manifest.Digests[piece], data)
-			taken++
+			s.cachePiece(manifest.Digests[piece], data)
+			reused++
 		}
 	}
-	s.log.Info("staged pieces taken", zap.String("Model", f.named.Model), zap.Uint64("Version", f.named.Version),
-		zap.Int("Staged", len(staged)), zap.Int("Taken", taken))
+	s.log.Info("staged pieces reused", zap.String("Model", f.target.Model), zap.Uint64("Version", f.target.Version),
+		zap.Int("Staged", len(staged)), zap.Int("Taken", reused))
 }
 
-// stageWhole lays a whole set beside the server before its turn has come.
+// stageComplete stages a complete version before the server's turn to load it.
 //
-// Guard: all processes may lose power while servers wait for their turn. What only agents hold is
-// lost; what is staged stays. A server that crashes meanwhile loads the newer version, which is
-// wanted all the same.
-func (f *fetching) stageWhole(ctx context.Context, manifest *relay.Manifest) {
-	s := f.agent
+// All processes may lose power while servers wait for their turn. Pieces in an agent's
+// memory are then lost, but staged ones survive. A server that crashes in the meantime
+// loads the newer version, which is acceptable because that version is wanted as well.
+func (f *fetchTask) stageComplete(ctx context.Context, manifest *relay.Manifest) {
+	s := f.sidecar
 	s.mu.Lock()
-	answers := s.hasReport
+	reachable := s.hasReport
 	s.mu.Unlock()
-	if f.idle() || !answers || !f.weights.staging.TryLock() {
+	if f.serverIdle() || !reachable || !f.state.stagingMu.TryLock() {
 		return
 	}
-	defer f.weights.staging.Unlock()
+	defer f.state.stagingMu.Unlock()
 	for piece, digest := range manifest.Digests {
-		data, ok := s.piece(digest)
+		data, ok := s.cachedPiece(digest)
 		if !ok {
 			return
 		}
-		if err := s.engine.Stage(ctx, f.named.Model, piece, data); err != nil {
-			// The load lays and checks all pieces again.
-			s.log.Warn("piece not staged", zap.Int("Piece", piece), zap.Error(err))
+		if err := s.engine.Stage(ctx, f.target.Model, piece, data); err != nil {
+			// The load stages and verifies all pieces again.
+			s.log.Warn("failed to stage piece", zap.Int("Piece", piece), zap.Error(err))
 			return
 		}
 	}
 }
 
-// stageEarly lays a piece beside an idle server while others are on their way,
-// which leaves only the reading back for after the last.
-// Beside a server that serves, it would overwrite what a restart loads again.
+// stageEarly stages a piece at an idle server while other pieces are still in flight, so
+// that only the verification is left once the last one has arrived. At a server that
+// serves, the piece would overwrite what a restarted server loads.
 //
-// Guard: another version may be about to be loaded. Pieces laid between its last
-// check and its order would be taken with it, and the server would answer with
-// weights of two versions; nothing is laid until that load has ended.
-func (f *fetching) stageEarly(ctx context.Context, piece int, data []byte) {
-	f.agent.mu.Lock()
-	answers := f.agent.hasReport
-	f.agent.mu.Unlock()
-	if !f.idle() || !answers || !f.weights.staging.TryLock() {
+// If another version is being loaded, nothing is staged until that load has ended.
+// Pieces staged between its last verification and its order would be loaded with it, and
+// the server would answer with weights of two versions.
+func (f *fetchTask) stageEarly(ctx context.Context, piece int, data []byte) {
+	f.sidecar.mu.Lock()
+	reachable := f.sidecar.hasReport
+	f.sidecar.mu.Unlock()
+	if !f.serverIdle() || !reachable || !f.state.stagingMu.TryLock() {
 		return
 	}
-	defer f.weights.staging.Unlock()
-	if err := f.agent.engine.Stage(ctx, f.named.Model, piece, data); err != nil {
-		// All pieces are read back before the load, and laid again where they differ.
-		f.agent.log.Warn("piece not staged", zap.Int("Piece", piece), zap.Error(err))
+	defer f.state.stagingMu.Unlock()
+	if err := f.sidecar.engine.Stage(ctx, f.target.Model, piece, data); err != nil {
+		// All pieces are read back before the load, and staged again where they differ.
+		f.sidecar.log.Warn("failed to stage piece", zap.Int("Piece", piece), zap.Error(err))
 	}
 }
--- a/internal/transport/sidecar/load.go
+++ b/internal/transport/sidecar/load.go
@@ -13,185 +13,186 @@
 	"github.com/filbertlever/filbertlever/internal/transport/relay"
 )
 
-// load makes the server serve one version whose pieces are here.
-type load struct {
-	agent    *Sidecar
-	weights  *weights
-	named    catalog.NamedVersion
+// loadTask makes the server load one version whose pieces are all cached.
+type loadTask struct {
+	sidecar  *Sidecar
+	state    *modelState
+	target   catalog.NamedVersion
 	manifest *relay.Manifest
-	// boot is the process that is to load it; 0 if that is not known.
+	// boot is the boot of the server that should load the version; 0 if unknown.
 	boot catalog.Boot
-	// idle is true if the server gets no requests for the model, so that nothing
-	// has to be kept from it.
+	// idle is true if the server receives no requests for the model, so that no quiet
+	// period is needed.
 	idle bool
-	// begin is when the order is to be given.
-	begin time.Duration
-	// quiet is how long before that the server gets no new requests.
-	quiet time.Duration
+	// orderAt is when the load order is sent.
+	orderAt time.Duration
+	// quietPeriod is how long before orderAt the server receives no new requests.
+	quietPeriod time.Duration
 }
 
-func (l *load) run(ctx context.Context) {
-	s := l.agent
-	err := l.carry(ctx)
+func (l *loadTask) run(ctx context.Context) {
+	s := l.sidecar
+	err := l.execute(ctx)
 	result := "Done"
 	if err != nil {
 		result = "Failed"
-		s.log.Warn("load failed", zap.String("Model", l.named.Model), zap.Uint64("Version", l.named.Version), zap.Error(err))
-		sleep(ctx, retryPause)
+		s.log.Warn("load failed", zap.String("Model", l.target.Model), zap.Uint64("Version", l.target.Version), zap.Error(err))
+		sleep(ctx, retryDelay)
 	}
 	s.metrics.loads.WithLabelValues(result).Inc()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.weights.loading, l.weights.leavesAt, s.switching = false, 0, false
-	l.weights.giveUp(nil)
-	s.prune(l.named.Model, l.weights)
+	l.state.loading, l.state.switchAt, s.switching = false, 0, false
+	l.state.cancelLoad(nil)
+	s.prune(l.target.Model, l.state)
 }
 
-// carry stages and checks the pieces, keeps requests away and gives the order.
-func (l *load) carry(ctx context.Context) error {
-	s := l.agent
-	l.weights.staging.Lock()
-	defer l.weights.staging.Unlock()
-	if err := l.stage(ctx, l.manifest); err != nil {
+// execute stages and verifies the pieces, stops new requests, sends the order and waits
+// for the result.
+func (l *loadTask) execute(ctx context.Context) error {
+	s := l.sidecar
+	l.state.stagingMu.Lock()
+	defer l.state.stagingMu.Unlock()
+	if err := l.stageAndVerify(ctx, l.manifest); err != nil {
 		return err
 	}
 	if !l.idle {
-		sleep(ctx, l.begin-l.quiet-boottime.Now())
+		sleep(ctx, l.orderAt-l.quietPeriod-boottime.Now())
 		if err := context.Cause(ctx); err != nil {
 			return err
 		}
 		s.setSwitching(true)
-		sleep(ctx, l.quiet-checkTime)
-		// Guard: pieces may turn bad while the server is kept free of requests; they are
-		// read back right before the order.
-		if err := l.stage(ctx, l.manifest); err != nil {
+		sleep(ctx, l.quietPeriod-verifyTime)
+		// Staged pieces may become corrupt during the quiet period, so they are read back
+		// again right before the order.
+		if err := l.stageAndVerify(ctx, l.manifest); err != nil {
 			return err
 		}
-		sleep(ctx, l.begin-boottime.Now())
+		sleep(ctx, l.orderAt-boottime.Now())
 	}
 	if err := context.Cause(ctx); err != nil {
 		return err
 	}
-	if err := l.order(ctx); err != nil {
+	if err := l.sendOrder(ctx); err != nil {
 		return err
 	}
-	s.log.Info("load ordered", zap.String("Model", l.named.Model), zap.Uint64("Version", l.named.Version), zap.Bool("Idle", l.idle))
-	return l.await(ctx)
+	s.log.Info("load ordered", zap.String("Model", l.target.Model), zap.Uint64("Version", l.target.Version), zap.Bool("Idle", l.idle))
+	return l.awaitVersion(ctx)
 }
 
-// order gives the order; without an error the server has taken it.
+// sendOrder sends the load order and returns nil if the server accepted it.
 //
-// Guard: a server that stood still accepts an order after its agent gave up waiting for
-// the answer. The agent laid the next version over it meanwhile, and the server answered
-// with weights of two versions; nothing is laid until its own reports show, for as long
-// as an order may lie there, that it has not taken it.
-func (l *load) order(ctx context.Context) error {
-	err := l.agent.engine.Load(ctx, l.named.Model, l.named.Version)
+// A server that was suspended can accept an order after its agent's request timed out.
+// In one case the agent had already staged the next version, and the server answered with
+// weights of two versions. After a request without a response, nothing is staged until the
+// server's reports have shown for lateOrderWindow that it did not accept the order.
+func (l *loadTask) sendOrder(ctx context.Context) error {
+	err := l.sidecar.engine.Load(ctx, l.target.Model, l.target.Version)
 	if err == nil || errors.Is(err, ErrNotTaken) {
 		return err
 	}
-	l.agent.log.Warn("order without an answer", zap.String("Model", l.named.Model), zap.Uint64("Version", l.named.Version), zap.Error(err))
-	if l.settle(ctx) {
+	l.sidecar.log.Warn("no response to load order", zap.String("Model", l.target.Model), zap.Uint64("Version", l.target.Version), zap.Error(err))
+	if l.resolveOrder(ctx) {
 		return nil
 	}
 	return err
 }
 
-// orderLies is for how long a server that answers again may still accept an order that
-// has lain there: its reports are some hundred milliseconds old, and it reads what lies
-// on one connection as it reads another one.
-const orderLies = time.Second
+// lateOrderWindow is how long a server that responds again may still accept a pending
+// order. Its reports are some hundred milliseconds old, and it reads the pending data of
+// one connection at the same time as that of another.
+const lateOrderWindow = time.Second
 
-// settle waits until it is known what became of an order without an answer, and reports
-// whether the server has taken it. A server that stands still reports nothing, and its
-// next process knows no orders of this one.
-func (l *load) settle(ctx context.Context) bool {
-	calm := time.Duration(0)
-	for ; ctx.Err() == nil; sleep(ctx, awaitPause) {
-		asked := boottime.Now()
-		report, err := l.agent.engine.Report(ctx)
+// resolveOrder waits until the outcome of an order without a response is certain, and
+// reports whether the server accepted it. A suspended server returns no reports, and a
+// restarted server does not execute the orders of its previous boot.
+func (l *loadTask) resolveOrder(ctx context.Context) bool {
+	noLoadSince := time.Duration(0)
+	for ; ctx.Err() == nil; sleep(ctx, loadPollInterval) {
+		requestedAt := boottime.Now()
+		report, err := l.sidecar.engine.Report(ctx)
 		switch {
 		case err != nil:
-			calm = 0
+			noLoadSince = 0
 		case l.boot != 0 && report.Boot != l.boot:
-			l.agent.takeReport(report, asked)
+			l.sidecar.applyReport(report, requestedAt)
 			return false
-		case report.Loading || held(report.Models, l.named.Model) >= l.named.Version:
+		case report.Loading || loadedVersion(report.Models, l.target.Model) >= l.target.Version:
 			return true
-		case calm == 0:
-			calm = asked
-		case asked-calm >= orderLies:
+		case noLoadSince == 0:
+			noLoadSince = requestedAt
+		case requestedAt-noLoadSince >= lateOrderWindow:
 			return false
 		}
 	}
 	return false
 }
 
-// stageTries bounds the rounds of staging and checking.
-const stageTries = 3
+// maxStageRounds limits the rounds of staging and verification.
+const maxStageRounds = 3
 
-// checkTime is kept before an order to read the staged pieces back.
-const checkTime = 80 * time.Millisecond
+// verifyTime is the time reserved before an order to read the staged pieces back.
+const verifyTime = 80 * time.Millisecond
 
-// stage lays the pieces beside the server and reads each back.
+// stageAndVerify stages the pieces at the server and reads each one back.
 //
-// Guard: what is staged is not checked by the server and may rot before the
-// load, and the server would then answer with weights that are not whole; a
-// piece that does not read back as it should is laid again.
-func (l *load) stage(ctx context.Context, manifest *relay.Manifest) error {
-	s := l.agent
-	for range stageTries {
-		spoilt := 0
+// The server does not verify staged pieces. One that became corrupt before the load would
+// make the server answer with corrupt weights, so a piece that does not match its digest
+// is staged again.
+func (l *loadTask) stageAndVerify(ctx context.Context, manifest *relay.Manifest) error {
+	s := l.sidecar
+	for range maxStageRounds {
+		mismatches := 0
 		for piece, digest := range manifest.Digests {
-			staged, err := s.engine.Staged(ctx, l.named.Model, piece)
+			staged, err := s.engine.Staged(ctx, l.target.Model, piece)
 			if err != nil {
 				return err
 			}
 			if staged != nil && manifest.Verify(piece, staged) {
 				continue
 			}
-			spoilt++
-			data, ok := s.piece(digest)
+			mismatches++
+			data, ok := s.cachedPiece(digest)
 			if !ok {
-				return fmt.Errorf("piece %d of %s is no longer held", piece, l.named.Model)
+				return fmt.Errorf("piece %d of %s is no longer cached", piece, l.target.Model)
 			}
-			if err := s.engine.Stage(ctx, l.named.Model, piece, data); err != nil {
+			if err := s.engine.Stage(ctx, l.target.Model, piece, data); err != nil {
 				return err
 			}
 		}
-		if spoilt == 0 {
+		if mismatches == 0 {
 			return nil
 		}
 	}
-	return fmt.Errorf("staged pieces of %s do not stay whole", l.named.Model)
+	return fmt.Errorf("staged pieces of %s are still corrupt after %d rounds", l.target.Model, maxStageRounds)
 }
 
-// await waits until the server reports the version.
-func (l *load) await(ctx context.Context) error {
-	s := l.agent
-	for end := boottime.Now() + loadMost; boottime.Now() < end; {
-		sleep(ctx, awaitPause)
-		asked := boottime.Now()
+// awaitVersion waits until the server reports that it holds the version.
+func (l *loadTask) awaitVersion(ctx context.Context) error {
+	s := l.sidecar
+	for end := boottime.Now() + loadTimeout; boottime.Now() < end; {
+		sleep(ctx, loadPollInterval)
+		requestedAt := boottime.Now()
 		report, err := s.engine.Report(ctx)
 		if err != nil {
 			return err
 		}
 		if l.boot != 0 && report.Boot != l.boot {
-			s.takeReport(report, asked)
-			return errRestarted
+			s.applyReport(report, requestedAt)
+			return errServerRestarted
 		}
-		if held(report.Models, l.named.Model) >= l.named.Version {
-			s.takeReport(report, asked)
+		if loadedVersion(report.Models, l.target.Model) >= l.target.Version {
+			s.applyReport(report, requestedAt)
 			s.mu.Lock()
 			s.switching = false
 			s.mu.Unlock()
-			s.tell(true)
-			s.log.Info("version served", zap.String("Model", l.named.Model), zap.Uint64("Version", l.named.Version))
+			s.sendReport(true)
+			s.log.Info("version served", zap.String("Model", l.target.Model), zap.Uint64("Version", l.target.Version))
 			return nil
 		}
 		if !report.Loading {
-			return fmt.Errorf("server neither loads nor holds version %d", l.named.Version)
+			return fmt.Errorf("server neither loads nor serves version %d", l.target.Version)
 		}
 	}
-	return fmt.Errorf("version %d not served after %v", l.named.Version, loadMost)
+	return fmt.Errorf("version %d not served after %v", l.target.Version, loadTimeout)
 }
--- a/internal/transport/sidecar/load_test.go
+++ b/internal/transport/sidecar/load_test.go
@@ -28,36 +28,36 @@
 	"github.com/filbertlever/filbertlever/internal/transport/relay"
 )
 
-// newEntry serves one piece as an entry does.
-func newEntry(t *testing.T, name, data string) gateway.Entry {
+// newPieceEntry returns an entry that answers every request with the same piece.
+func newPieceEntry(t *testing.T, name, data string) gateway.Entry {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(data)) }))
 	t.Cleanup(server.Close)
 	return gateway.Entry{Host: "entry", Site: "a", Peers: strings.TrimPrefix(server.URL, "http://"), Datagrams: name}
 }
 
-// A server would answer with weights that are not whole: an entry, or the way
-// from it, spoils pieces. They are asked for again elsewhere, and none is kept.
-func TestASpoiltPieceOfAnEntryIsNotKept(t *testing.T) {
+// A server would answer with corrupt weights if a piece that was corrupted at an entry or
+// in transit were kept. It is fetched again from another entry.
+func TestCorruptPieceIsNotKept(t *testing.T) {
 	c := qt.New(t)
 	sum := sha256.Sum256([]byte("weights"))
 	digest := hex.EncodeToString(sum[:])
 	manifest := &relay.Manifest{Model: "drafter", Version: 1, Digests: []string{digest}}
-	spoilt, sound := newEntry(t, "1", "spoilt!"), newEntry(t, "2", "weights")
+	corrupt, intact := newPieceEntry(t, "1", "spoilt!"), newPieceEntry(t, "2", "weights")
 	tests := []struct {
 		entries []gateway.Entry
 		want    bool
 	}{
-		{[]gateway.Entry{spoilt}, false},
-		{[]gateway.Entry{spoilt, sound}, true},
+		{[]gateway.Entry{corrupt}, false},
+		{[]gateway.Entry{corrupt, intact}, true},
 	}
 	for _, test := range tests {
 		registry := prometheus.NewRegistry()
 		s := &Sidecar{config: Config{Site: "a"}, client: &http.Client{}, log: zap.NewNop(), metrics: newMetrics(registry),
-			entries: test.entries, pieces: map[string][]byte{}, models: map[string]*weights{}}
-		f := &fetching{agent: s, weights: &weights{}, named: catalog.NamedVersion{Model: "drafter", Version: 1}}
-		err := f.fetch(context.Background(), manifest)
+			entries: test.entries, pieces: map[string][]byte{}, models: map[string]*modelState{}}
+		f := &fetchTask{sidecar: s, state: &modelState{}, target: catalog.NamedVersion{Model: "drafter", Version: 1}}
+		err := f.fetchPieces(context.Background(), manifest)
 		c.Assert(err == nil, qt.Equals, test.want, qt.Commentf("%v", err))
-		data, ok := s.piece(digest)
+		data, ok := s.cachedPiece(digest)
 		c.Assert(ok, qt.Equals, test.want)
 		if ok {
 			c.Assert(string(data), qt.Equals, "weights")
@@ -65,26 +65,26 @@
 	}
 }
 
-// engine is a model server with what is staged beside it.
-type engine struct {
+// fakeEngine is a model server with its staging area.
+type fakeEngine struct {
 	mu     sync.Mutex
 	staged map[int][]byte
-	// loading runs before a load takes what is staged, which then is loaded.
-	loading func()
-	loaded  map[int][]byte
-	// report is what the server tells of itself.
+	// beforeLoad runs before a load copies the staged pieces to loaded.
+	beforeLoad func()
+	loaded     map[int][]byte
+	// report is the report that the server returns.
 	report Report
 }
 
-func (e *engine) Report(context.Context) (Report, error) {
+func (e *fakeEngine) Report(context.Context) (Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.report, nil
 }
 
-func (e *engine) Load(context.Context, string, uint64) error {
-	if e.loading != nil {
-		e.loading()
+func (e *fakeEngine) Load(context.Context, string, uint64) error {
+	if e.beforeLoad != nil {
+		e.beforeLoad()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,43 +92,43 @@
 	return nil
 }
 
-func (e *engine) Stage(_ context.Context, _ string, piece int, data []byte) error {
+func (e *fakeEngine) Stage(_ context.Context, _ string, piece int, data []byte) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.staged[piece] = data
 	return nil
 }
 
-func (e *engine) Staged(_ context.Context, _ string, piece int) ([]byte, error) {
+func (e *fakeEngine) Staged(_ context.Context, _ string, piece int) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.staged[piece], nil
 }
 
-func (e *engine) count() int32 {
+func (e *fakeEngine) stagedCount() int32 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return int32(len(e.staged))
 }
 
-func (e *engine) StagedPieces(context.Context, string) ([]int, error) {
+func (e *fakeEngine) StagedPieces(context.Context, string) ([]int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Sorted(maps.Keys(e.staged)), nil
 }
 
-// weightsEntry is an entry that relays a set of weights and counts its pieces.
-type weightsEntry struct {
+// fakeEntry is an entry that serves one version and counts the pieces that it sends.
+type fakeEntry struct {
 	gateway.Entry
 	manifest relay.Manifest
 	pieces   [][]byte
 	sent     atomic.Int32
-	// sending runs before a piece is sent.
-	sending func()
+	// beforeSend runs before each piece is sent.
+	beforeSend func()
 }
 
-func newWeightsEntry(t *testing.T, version uint64, count int) *weightsEntry {
-	e := &weightsEntry{manifest: relay.Manifest{Model: "drafter", Version: version}}
+func newFakeEntry(t *testing.T, version uint64, count int) *fakeEntry {
+	e := &fakeEntry{manifest: relay.Manifest{Model: "drafter", Version: version}}
 	for piece := range count {
 		data := []byte(fmt.Sprintf("piece %d of version %d", piece, version))
 		sum := sha256.Sum256(data)
@@ -141,7 +141,7 @@
 	return e
 }
 
-func (e *weightsEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	text := r.URL.Query().Get("Piece")
 	if text == "" {
 		_ = json.NewEncoder(w).Encode(e.manifest)
@@ -152,94 +152,93 @@
 	}
 	piece, _ := strconv.Atoi(text)
 	e.sent.Add(1)
-	if e.sending != nil {
-		e.sending()
+	if e.beforeSend != nil {
+		e.beforeSend()
 	}
 	_, _ = w.Write(e.pieces[piece])
 }
 
-func newAgent(e *weightsEntry, server *engine, config Config) *Sidecar {
+func newAgent(e *fakeEntry, server *fakeEngine, config Config) *Sidecar {
 	config.Site = "a"
 	socket, err := datagrams.Listen("127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
 	return &Sidecar{config: config, engine: server, client: &http.Client{}, socket: socket, log: zap.NewNop(), metrics: newMetrics(prometheus.NewRegistry()),
-		entries: []gateway.Entry{e.Entry}, pieces: map[string][]byte{}, models: map[string]*weights{}}
+		entries: []gateway.Entry{e.Entry}, pieces: map[string][]byte{}, models: map[string]*modelState{}}
 }
 
-// All power was lost and servers came back without weights, though the pieces of
-// most lay staged beside them. Callers were refused for 2.7 s while every set came
-// over its host's thin link once more; now only what is missing or spoilt does.
-func TestStagedPiecesDoNotMoveAgain(t *testing.T) {
+// After a power failure servers restarted without weights, and callers were refused for
+// 2.7 s while all pieces were fetched again over slow links although most were still
+// staged. Only pieces that are missing or corrupt are fetched.
+func TestStagedPiecesAreNotFetchedAgain(t *testing.T) {
 	c := qt.New(t)
-	entry := newWeightsEntry(t, 1, 4)
-	server := &engine{staged: map[int][]byte{0: entry.pieces[0], 1: []byte("spoilt"), 2: entry.pieces[2]}}
+	entry := newFakeEntry(t, 1, 4)
+	server := &fakeEngine{staged: map[int][]byte{0: entry.pieces[0], 1: []byte("spoilt"), 2: entry.pieces[2]}}
 	s := newAgent(entry, server, Config{})
-	s.hasReport, s.reportedOnce = true, true
-	f := &fetching{agent: s, weights: newWeights(), named: catalog.NamedVersion{Model: "drafter", Version: 1}}
-	s.models["drafter"] = f.weights
+	s.hasReport, s.everReported = true, true
+	f := &fetchTask{sidecar: s, state: newModelState(), target: catalog.NamedVersion{Model: "drafter", Version: 1}}
+	s.models["drafter"] = f.state
 	f.run(context.Background())
-	c.Assert(f.weights.whole[1], qt.IsNotNil)
+	c.Assert(f.state.complete[1], qt.IsNotNil)
 	c.Assert(entry.sent.Load(), qt.Equals, int32(2))
 	for piece, digest := range entry.manifest.Digests {
-		data, ok := s.piece(digest)
+		data, ok := s.cachedPiece(digest)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(string(data), qt.Equals, string(entry.pieces[piece]))
 	}
 }
 
-// Pieces are laid beside an idle server while the rest are on their way, so that
-// callers need not wait for that after the last. Beside a server that serves, part of
-// a set would replace what it loads again after a crash; a whole one is laid at once,
-// since all processes may be killed before the server's turn comes.
-func TestOnlyAnIdleServerIsStagedEarly(t *testing.T) {
+// Pieces are staged at an idle server during the fetch, so that callers wait less after the
+// last one. At a serving server a partial version would replace what it reloads after a
+// crash. A complete version is staged at once, in case all processes are killed.
+func TestOnlyIdleServerIsStagedEarly(t *testing.T) {
 	c := qt.New(t)
 	const pieces = 3
 	for _, idle := range []bool{true, false} {
-		entry := newWeightsEntry(t, 2, pieces)
-		server := &engine{staged: map[int][]byte{}}
+		entry := newFakeEntry(t, 2, pieces)
+		server := &fakeEngine{staged: map[int][]byte{}}
 		var early atomic.Int32
-		var turn sync.Mutex
+		var sending sync.Mutex
 		sent := int32(0)
-		entry.sending = func() {
-			// Each is sent once the one before lies beside an idle server.
-			turn.Lock()
-			defer turn.Unlock()
-			for end := time.Now().Add(5 * time.Second); idle && server.count() < sent && time.Now().Before(end); {
+		entry.beforeSend = func() {
+			// Each piece is sent once the previous one is staged at an idle server.
+			sending.Lock()
+			defer sending.Unlock()
+			for end := time.Now().Add(5 * time.Second); idle && server.stagedCount() < sent && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			sent++
-			early.Store(max(early.Load(), server.count()))
+			early.Store(max(early.Load(), server.stagedCount()))
 		}
 		s := newAgent(entry, server, Config{})
-		s.hasReport, s.reportedOnce = true, true
-		f := &fetching{agent: s, weights: newWeights(), named: catalog.NamedVersion{Model: "drafter", Version: 2}}
-		f.weights.idle = idle
+		s.hasReport, s.everReported = true, true
+		f := &fetchTask{sidecar: s, state: newModelState(), target: catalog.NamedVersion{Model: "drafter", Version: 2}}
+		f.state.idle = idle
 		f.run(context.Background())
 		c.Assert(early.Load() > 0, qt.Equals, idle)
-		c.Assert(server.count(), qt.Equals, int32(pieces))
+		c.Assert(server.stagedCount(), qt.Equals, int32(pieces))
 	}
 }
 
-// Servers are added when a burst comes. An agent is up a second before its server
-// answers; it waited for that before it fetched, and callers for the server.
-func TestWeightsAreFetchedBeforeTheServerAnswers(t *testing.T) {
+// When servers are added during a burst, an agent starts a second before its server
+// responds. Callers waited longer because the agent did not fetch until then.
+func TestWeightsAreFetchedBeforeServerAnswers(t *testing.T) {
 	c := qt.New(t)
 	tests := []struct {
-		first, once, want bool
+		firstStart, everReported, want bool
 	}{
-		{first: false, once: false, want: true},
-		// What is delivered with the installation need not move.
-		{first: true, once: false, want: false},
-		// A server that answered before holds something, or will tell.
-		{first: false, once: true, want: false},
+		{firstStart: false, everReported: false, want: true},
+		// Weights that were delivered with the installation need no fetch.
+		{firstStart: true, everReported: false, want: false},
+		// A server that has sent a report holds weights, or will report that it has none.
+		{firstStart: false, everReported: true, want: false},
 	}
 	for _, test := range tests {
-		entry := newWeightsEntry(t, 1, 2)
-		s := newAgent(entry, &engine{staged: map[int][]byte{}}, Config{FirstStart: test.first})
-		s.reportedOnce = test.once
-		s.hasView, s.viewed = true, gateway.View{Named: []gateway.NamedAge{{Model: "drafter", Version: 1}}}
+		entry := newFakeEntry(t, 1, 2)
+		s := newAgent(entry, &fakeEngine{staged: map[int][]byte{}}, Config{FirstStart: test.firstStart})
+		s.everReported = test.everReported
+		s.hasView, s.view = true, gateway.View{Named: []gateway.NamedAge{{Model: "drafter", Version: 1}}}
 		ctx, cancel := context.WithCancel(context.Background())
 		s.step(ctx, time.Second)
 		s.mu.Lock()
@@ -249,30 +248,30 @@
 	}
 }
 
-// Answers were made with weights of two versions: while one was checked and about
-// to be loaded, pieces of the next arrived and were laid over it.
-func TestNothingIsStagedWhileAnotherVersionIsLoaded(t *testing.T) {
+// A server answered with weights of two versions, because pieces of the next version
+// arrived and were staged between the verification and the load of the previous one.
+func TestNothingIsStagedDuringLoad(t *testing.T) {
 	c := qt.New(t)
-	older, newer := newWeightsEntry(t, 2, 3), newWeightsEntry(t, 3, 3)
-	server := &engine{staged: map[int][]byte{}}
+	older, newer := newFakeEntry(t, 2, 3), newFakeEntry(t, 3, 3)
+	server := &fakeEngine{staged: map[int][]byte{}}
 	s := newAgent(newer, server, Config{})
-	s.hasReport, s.reportedOnce = true, true
+	s.hasReport, s.everReported = true, true
 	for piece, digest := range older.manifest.Digests {
-		s.keep(digest, older.pieces[piece])
+		s.cachePiece(digest, older.pieces[piece])
 	}
-	m := newWeights()
-	m.known[2], m.whole[2] = &older.manifest, &older.manifest
+	m := newModelState()
+	m.manifests[2], m.complete[2] = &older.manifest, &older.manifest
 	s.models["drafter"] = m
-	server.loading = func() {
-		f := &fetching{agent: s, weights: m, named: catalog.NamedVersion{Model: "drafter", Version: 3}}
+	server.beforeLoad = func() {
+		f := &fetchTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 3}}
 		m.idle = true
 		f.run(context.Background())
 	}
-	l := &load{agent: s, weights: m, named: catalog.NamedVersion{Model: "drafter", Version: 2}, manifest: &older.manifest, idle: true}
+	l := &loadTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 2}, manifest: &older.manifest, idle: true}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	// The server never tells that it has loaded; what it took is what matters.
-	_ = l.carry(ctx)
+	// The server never reports the load; the test only checks what it loaded.
+	_ = l.execute(ctx)
 	c.Assert(server.loaded, qt.HasLen, 3)
 	for piece, data := range server.loaded {
 		c.Check(string(data), qt.Equals, string(older.pieces[piece]))
@@ -280,127 +279,127 @@
 	c.Assert(newer.sent.Load(), qt.Equals, int32(3))
 }
 
-// A set took twice as long as the origin's link allows: an agent waited for one
-// piece that its drawer had not come to yet, while the next ones lay ready. Several
-// are waited for, and still one at a time is moved beside a server that serves.
-func TestAPieceThatIsLateKeepsNoOtherBack(t *testing.T) {
+// A fetch took twice as long as the origin's link allows, because the agent waited for one
+// piece that an entry had not fetched yet while later ones were ready. Several are awaited
+// at once, but still only one is transferred at a time beside a serving server.
+func TestLatePieceDoesNotBlockOthers(t *testing.T) {
 	c := qt.New(t)
-	entry := newWeightsEntry(t, 1, 6)
+	entry := newFakeEntry(t, 1, 6)
 	late := make(chan struct{})
-	var moving, most atomic.Int32
+	var inFlight, maxInFlight atomic.Int32
 	slow := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("Piece") == "1" {
 			<-late
 		}
 		if !r.URL.Query().Has("Await") && r.URL.Query().Has("Piece") {
-			most.Store(max(most.Load(), moving.Add(1)))
+			maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
 			time.Sleep(5 * time.Millisecond)
-			defer moving.Add(-1)
+			defer inFlight.Add(-1)
 		}
 		entry.ServeHTTP(w, r)
 	}))
 	defer slow.Close()
 	entry.Peers = strings.TrimPrefix(slow.URL, "http://")
-	s := newAgent(entry, &engine{staged: map[int][]byte{}}, Config{})
-	f := &fetching{agent: s, weights: newWeights(), named: catalog.NamedVersion{Model: "drafter", Version: 1}}
-	s.models["drafter"] = f.weights
+	s := newAgent(entry, &fakeEngine{staged: map[int][]byte{}}, Config{})
+	f := &fetchTask{sidecar: s, state: newModelState(), target: catalog.NamedVersion{Model: "drafter", Version: 1}}
+	s.models["drafter"] = f.state
 	done := make(chan error)
-	go func() { done <- f.fetch(context.Background(), &entry.manifest) }()
+	go func() { done <- f.fetchPieces(context.Background(), &entry.manifest) }()
 	for end := time.Now().Add(5 * time.Second); entry.sent.Load() < 5 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	c.Check(entry.sent.Load(), qt.Equals, int32(5))
 	close(late)
 	c.Assert(<-done, qt.IsNil)
-	c.Assert(most.Load(), qt.Equals, int32(1))
+	c.Assert(maxInFlight.Load(), qt.Equals, int32(1))
 }
 
-// Requests needed half a second to servers that had just taken a version: the next one
-// had been fetched while they held nothing yet, at the full rate of the link, and went on
-// so. Once the server answers, one piece at a time is moved, and none is laid beside it.
-func TestAFetchMakesWayOnceItsServerAnswers(t *testing.T) {
+// Requests to servers that had just loaded a version took half a second, because a fetch
+// that started while they were idle kept using the full link. Once the server answers,
+// one piece is transferred at a time and none is staged early.
+func TestFetchIsThrottledOnceServerAnswers(t *testing.T) {
 	c := qt.New(t)
-	entry := newWeightsEntry(t, 3, 40)
-	server := &engine{staged: map[int][]byte{}}
-	var begun, narrow, moving, most atomic.Int32
+	entry := newFakeEntry(t, 3, 40)
+	server := &fakeEngine{staged: map[int][]byte{}}
+	var started, throttled, inFlight, maxInFlight atomic.Int32
 	var s *Sidecar
-	m := newWeights()
+	m := newModelState()
 	m.idle = true
 	var awaited sync.Map
 	answers := make(chan struct{})
-	way := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	slow := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		piece := r.URL.Query().Get("Piece")
 		if r.URL.Query().Has("Await") {
 			awaited.Store(piece, true)
 			return
 		}
-		if begun.Add(1) == 2 {
+		if started.Add(1) == 2 {
 			s.mu.Lock()
 			m.idle = false
 			s.mu.Unlock()
 			close(answers)
 		}
-		// None ends before the server answers.
+		// No transfer ends before the server answers.
 		<-answers
 		if _, ok := awaited.Load(piece); ok {
-			narrow.Add(1)
-			most.Store(max(most.Load(), moving.Add(1)))
-			defer moving.Add(-1)
+			throttled.Add(1)
+			maxInFlight.Store(max(maxInFlight.Load(), inFlight.Add(1)))
+			defer inFlight.Add(-1)
 		}
 		time.Sleep(2 * time.Millisecond)
 		entry.ServeHTTP(w, r)
 	}))
-	defer way.Close()
-	entry.Peers = strings.TrimPrefix(way.URL, "http://")
+	defer slow.Close()
+	entry.Peers = strings.TrimPrefix(slow.URL, "http://")
 	s = newAgent(entry, server, Config{})
-	s.hasReport, s.reportedOnce = true, true
+	s.hasReport, s.everReported = true, true
 	s.models["drafter"] = m
-	f := &fetching{agent: s, weights: m, named: catalog.NamedVersion{Model: "drafter", Version: 3}}
-	c.Assert(f.fetch(context.Background(), &entry.manifest), qt.IsNil)
+	f := &fetchTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 3}}
+	c.Assert(f.fetchPieces(context.Background(), &entry.manifest), qt.IsNil)
 	c.Assert(entry.sent.Load(), qt.Equals, int32(40))
-	// Those that had been decided on before the server answered were moved at once.
-	c.Check(narrow.Load() >= 40-lanesIdle, qt.IsTrue, qt.Commentf("%d moved one at a time", narrow.Load()))
-	c.Check(most.Load(), qt.Equals, int32(1))
-	c.Check(server.count() <= lanesIdle, qt.IsTrue, qt.Commentf("%d pieces laid beside a server that answers", server.count()))
+	// Transfers that started before the server answered ran concurrently.
+	c.Check(throttled.Load() >= 40-maxTransfersIdle, qt.IsTrue, qt.Commentf("%d transferred one at a time", throttled.Load()))
+	c.Check(maxInFlight.Load(), qt.Equals, int32(1))
+	c.Check(server.stagedCount() <= maxTransfersIdle, qt.IsTrue, qt.Commentf("%d pieces staged at a server that answers", server.stagedCount()))
 }
 
-// A server answered with a piece that had turned bad: it was read back before the
-// server was kept free of requests, and the order came 1.1 s later.
-func TestPiecesAreCheckedRightBeforeTheOrder(t *testing.T) {
+// A server loaded a corrupt piece, because the pieces were read back before the quiet
+// period and the order followed 1.1 s later.
+func TestPiecesAreVerifiedRightBeforeOrder(t *testing.T) {
 	c := qt.New(t)
-	entry := newWeightsEntry(t, 2, 3)
-	server := &engine{staged: map[int][]byte{}}
+	entry := newFakeEntry(t, 2, 3)
+	server := &fakeEngine{staged: map[int][]byte{}}
 	s := newAgent(entry, server, Config{})
-	s.hasReport, s.reportedOnce = true, true
+	s.hasReport, s.everReported = true, true
 	for piece, digest := range entry.manifest.Digests {
-		s.keep(digest, entry.pieces[piece])
+		s.cachePiece(digest, entry.pieces[piece])
 	}
-	m := newWeights()
-	m.known[2], m.whole[2] = &entry.manifest, &entry.manifest
+	m := newModelState()
+	m.manifests[2], m.complete[2] = &entry.manifest, &entry.manifest
 	s.models["drafter"] = m
-	const quiet = 400 * time.Millisecond
-	time.AfterFunc(quiet/2, func() { _ = server.Stage(context.Background(), "drafter", 1, []byte("bad")) })
-	l := &load{agent: s, weights: m, named: catalog.NamedVersion{Model: "drafter", Version: 2}, manifest: &entry.manifest,
-		begin: boottime.Now() + quiet, quiet: quiet}
+	const quietPeriod = 400 * time.Millisecond
+	time.AfterFunc(quietPeriod/2, func() { _ = server.Stage(context.Background(), "drafter", 1, []byte("bad")) })
+	l := &loadTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 2}, manifest: &entry.manifest,
+		orderAt: boottime.Now() + quietPeriod, quietPeriod: quietPeriod}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	// The server never tells that it has loaded; what it took is what matters.
-	_ = l.carry(ctx)
+	// The server never reports the load; the test only checks what it loaded.
+	_ = l.execute(ctx)
 	c.Assert(server.loaded, qt.HasLen, 3)
 	for piece, data := range server.loaded {
 		c.Check(string(data), qt.Equals, string(entry.pieces[piece]))
 	}
 }
 
-// An entry asks for pieces of the version that the server holds: those in memory come
-// from there, others from what lies beside the server.
-func TestAnAgentGivesOutPieces(t *testing.T) {
+// An entry fetches pieces of the version that the server holds. The agent serves them from
+// its cache, or from the staging area if they are not cached.
+func TestAgentServesPieces(t *testing.T) {
 	c := qt.New(t)
 	sum := sha256.Sum256([]byte("in memory"))
 	digest := hex.EncodeToString(sum[:])
-	s := &Sidecar{engine: &engine{staged: map[int][]byte{0: []byte("staged"), 1: []byte("staged too")}}, log: zap.NewNop(),
-		pieces: map[string][]byte{digest: []byte("in memory")}, giving: make(chan struct{}, giving),
-		models: map[string]*weights{"drafter": {known: map[uint64]*relay.Manifest{1: {Digests: []string{digest, "other"}}}}}}
+	s := &Sidecar{engine: &fakeEngine{staged: map[int][]byte{0: []byte("staged"), 1: []byte("staged too")}}, log: zap.NewNop(),
+		pieces: map[string][]byte{digest: []byte("in memory")}, serveSlots: make(chan struct{}, maxConcurrentServes),
+		models: map[string]*modelState{"drafter": {manifests: map[uint64]*relay.Manifest{1: {Digests: []string{digest, "other"}}}}}}
 	mux := http.NewServeMux()
 	s.Routes(mux)
 	for query, want := range map[string]string{
--- a/internal/transport/sidecar/reports.go
+++ b/internal/transport/sidecar/reports.go
@@ -12,76 +12,78 @@
 )
 
 func (s *Sidecar) runReports(ctx context.Context) {
-	lost, lostAt := false, boottime.Now()
-	for turn := 0; ; turn++ {
-		asked := boottime.Now()
+	unreachable, lastReportAt := false, boottime.Now()
+	for round := 0; ; round++ {
+		requestedAt := boottime.Now()
 		report, err := s.engine.Report(ctx)
-		if err != nil && !lost && ctx.Err() == nil {
-			s.log.Warn("model server lost", zap.Error(err))
+		if err != nil && !unreachable && ctx.Err() == nil {
+			s.log.Warn("model server unreachable", zap.Error(err))
 		}
-		if err == nil && lost {
-			s.log.Info("model server regained", zap.Int("Models", len(report.Models)))
+		if err == nil && unreachable {
+			s.log.Info("model server reachable again", zap.Int("Models", len(report.Models)))
 		}
 		if err == nil {
-			s.takeReport(report, asked)
-			lostAt = asked
-			if lost || turn == 0 {
-				s.stepNow()
+			s.applyReport(report, requestedAt)
+			lastReportAt = requestedAt
+			if unreachable || round == 0 {
+				s.requestStep()
 			}
 		}
-		lost = err != nil
+		unreachable = err != nil
 		s.mu.Lock()
 		if err != nil {
 			s.report, s.hasReport = Report{}, false
 		}
-		all := s.news || turn%farTurns == 0
-		s.news = false
+		all := s.broadcastNext || round%reportsPerBroadcast == 0
+		s.broadcastNext = false
 		s.mu.Unlock()
 		if err == nil {
-			s.tell(all)
+			s.sendReport(all)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(reportPause(lost, boottime.Now()-lostAt) - (boottime.Now() - asked)):
+		case <-time.After(nextReportDelay(unreachable, boottime.Now()-lastReportAt) - (boottime.Now() - requestedAt)):
 		}
 	}
 }
 
-// reportPause returns the time between two reports of a server that answered so long ago.
+// nextReportDelay returns the time between two report requests to a server whose last
+// report was requested sinceLast ago.
 //
-// A server that starts is asked more often: until its first report nothing is brought to it.
-func reportPause(lost bool, ago time.Duration) time.Duration {
-	if lost && ago < lostSoon {
-		return lostEvery
+// A server that is starting is polled more often, because nothing is loaded into it until
+// its first report.
+func nextReportDelay(unreachable bool, sinceLast time.Duration) time.Duration {
+	if unreachable && sinceLast < fastPollDuration {
+		return unreachablePollInterval
 	}
-	return reportEvery
+	return reportInterval
 }
 
-// tell sends the load report to the entries of the own site, or to all.
-func (s *Sidecar) tell(all bool) {
+// sendReport sends the load report to the entries of the agent's own site, or to all.
+func (s *Sidecar) sendReport(all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.hasReport {
 		return
 	}
 	load := fleet.Load{
-		Address: s.config.Address, Boot: s.report.Boot, Before: s.before, Sequence: uint64(time.Now().UnixNano()),
+		Address: s.config.Address, Boot: s.report.Boot, Before: s.endedBoots, Sequence: uint64(time.Now().UnixNano()),
 		Running: s.report.Running, Queued: s.report.Queued, Pace: s.report.Pace, Switching: s.switching, Models: s.report.Models,
-		Leaving: s.closing.Leaving(),
+		Leaving: s.drainDetector.Leaving(),
 	}
 	now := boottime.Now()
 	for _, m := range s.models {
-		if in := m.servedIn(now); in > 0 && (load.LoadedIn == 0 || in < load.LoadedIn) {
+		if in := m.loadedIn(now); in > 0 && (load.LoadedIn == 0 || in < load.LoadedIn) {
 			load.LoadedIn = in
 		}
-		if in := m.leavesAt - now; in > 0 && (load.LeavesIn == 0 || in < load.LeavesIn) {
+		if in := m.switchAt - now; in > 0 && (load.LeavesIn == 0 || in < load.LeavesIn) {
 			load.LeavesIn = in
 		}
 	}
-	data, err := gateway.EncodeDatagram(gateway.Datagram{Load: &gateway.LoadReport{Load: load, Named: s.knows(now)}})
+	data, err := gateway.EncodeDatagram(gateway.Datagram{Load: &gateway.LoadReport{Load: load, Named: s.namedVersions(now)}})
 	if err != nil {
-		s.log.Error("report not sent", zap.Error(err))
+		s.log.Error("failed to encode load report", zap.Error(err))
 		return
 	}
 	var addresses []string
@@ -91,20 +93,20 @@
 		}
 	}
 	if err := s.socket.Send(data, addresses...); err != nil {
-		s.log.Warn("an entry has a bad address", zap.Error(err))
+		s.log.Warn("invalid entry address", zap.Error(err))
 	}
 }
 
-// knows returns the versions of the last view, as old as they are now; none without a
-// view. The caller holds the lock.
-func (s *Sidecar) knows(now time.Duration) []gateway.NamedAge {
+// namedVersions returns the versions of the last view with their current ages, or nil if
+// there is no view. The caller holds the lock.
+func (s *Sidecar) namedVersions(now time.Duration) []gateway.NamedAge {
 	if !s.hasView {
 		return nil
 	}
-	known := make([]gateway.NamedAge, 0, len(s.viewed.Named))
-	for _, n := range s.viewed.Named {
-		n.Age += now - s.viewedAt
-		known = append(known, n)
+	versions := make([]gateway.NamedAge, 0, len(s.view.Named))
+	for _, n := range s.view.Named {
+		n.Age += now - s.viewReadAt
+		versions = append(versions, n)
 	}
-	return known
+	return versions
 }
--- a/internal/transport/sidecar/reports_test.go
+++ b/internal/transport/sidecar/reports_test.go
@@ -7,21 +7,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// After a loss of all power agents are up before their servers, and look for them rarely while no
-// server answers callers.
-func TestAServerThatStartsIsAskedOften(t *testing.T) {
+// After a power failure agents start before their servers. If they polled at the usual
+// interval, callers would wait longer for the first server that answers.
+func TestUnreachableServerIsPolledOften(t *testing.T) {
 	tests := []struct {
-		lost bool
-		ago  time.Duration
-		want time.Duration
+		unreachable bool
+		sinceLast   time.Duration
+		want        time.Duration
 	}{
-		{lost: true, ago: 0, want: lostEvery},
-		{lost: true, ago: lostSoon - 1, want: lostEvery},
-		{lost: true, ago: lostSoon, want: reportEvery},
-		{ago: 0, want: reportEvery},
-		{ago: time.Hour, want: reportEvery},
+		{unreachable: true, sinceLast: 0, want: unreachablePollInterval},
+		{unreachable: true, sinceLast: fastPollDuration - 1, want: unreachablePollInterval},
+		{unreachable: true, sinceLast: fastPollDuration, want: reportInterval},
+		{sinceLast: 0, want: reportInterval},
+		{sinceLast: time.Hour, want: reportInterval},
 	}
 	for _, test := range tests {
-		qt.Check(t, reportPause(test.lost, test.ago), qt.Equals, test.want, qt.Commentf("%+v", test))
+		qt.Check(t, nextReportDelay(test.unreachable, test.sinceLast), qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
 }
--- a/internal/transport/sidecar/sidecar.go
+++ b/internal/transport/sidecar/sidecar.go
@@ -1,6 +1,6 @@
-// Package sidecar is the agent beside one model server of an installation: it
-// brings the server the weights that operators have named, and tells the
-// entries the server's load. It is the only one that orders its server.
+// Package sidecar implements the agent beside one model server of an installation. It
+// fetches and loads the versions of weights that operators have named, and reports the
+// server's load to the entries. No other process sends load orders to its server.
 package sidecar
 
 import (
@@ -24,37 +24,39 @@
 
 // Report is a model server's own report.
 type Report struct {
-	// Boot is the server's start.
+	// Boot identifies the server's current boot.
 	Boot   catalog.Boot
 	Models []catalog.Model
-	// Loading is true while an order is under way.
+	// Loading is true while the server executes a load order.
 	Loading bool
-	// Orders counts the orders that the server has begun since its start.
+	// Orders counts the load orders that the server has started in this boot.
 	Orders  uint64
 	Queued  int
 	Running int
-	// Pace is above 1 if the server is slower than it should be; 0 if unknown.
+	// Slowdown is above 1 if the server is slower than it should be; 0 if unknown.
 	Pace float64
-	// Closes is true if the server closes the connection after the report.
+	// ClosesConnection is true if the server closes the connection after the report.
 	Closes bool
 }
 
 // Engine is the model server on this host.
 type Engine interface {
 	Report(ctx context.Context) (Report, error)
+	// Stage writes a piece to the server's staging area, from which Load reads.
 	Stage(ctx context.Context, model string, piece int, data []byte) error
+	// ReadStaged reads a piece back from the staging area; nil if it is not there.
 	Staged(ctx context.Context, model string, piece int) ([]byte, error)
-	// StagedPieces returns the numbers of the pieces that lie beside the server.
+	// ListStaged returns the numbers of the pieces in the staging area.
 	StagedPieces(ctx context.Context, model string) ([]int, error)
-	// Load orders the server to load what is staged. Unless its error is ErrNotTaken, the
-	// server may have taken the order, or take it yet.
+	// Load orders the server to load the staged pieces. If it returns an error other than
+	// ErrOrderRejected, the server may have accepted the order or may still accept it.
 	Load(ctx context.Context, model string, version uint64) error
 }
 
-// ErrNotTaken means that a server did not take an order and will not.
-var ErrNotTaken = errors.New("the order is not taken")
+// ErrOrderRejected means that the server did not accept an order and never will.
+var ErrNotTaken = errors.New("load order rejected")
 
-// EntryLister reads the entries from the store, for when no seed answers.
+// EntryLister reads the entries from the store. It is used when no seed answers.
 type EntryLister interface {
 	ReadEntries(ctx context.Context) (gateway.Entries, error)
 }
@@ -62,31 +64,30 @@
 // Config holds the settings of a Sidecar.
 type Config struct {
 	Site string
-	// Service is the service of the model server, at Address.
+	// Service is the service that the model server at Address belongs to.
 	Service string
 	Address string
 	// Seeds are peer addresses of entries to ask first.
 	Seeds []string
-	// Bound is the time from the naming of a version to when it must be served.
+	// MaxStaleness is how long after a version is named older ones may still answer.
 	Bound time.Duration
-	// FirstStart is true if the server may hold weights though it has not
-	// answered yet.
+	// FirstStart is true if the server may hold weights before its first report.
 	FirstStart bool
 }
 
-// Times of an agent.
+// Intervals of reports.
 const (
-	// reportEvery is how often the load is told: engines' reports are some
-	// hundred milliseconds old anyway.
-	reportEvery = 200 * time.Millisecond
-	// lostEvery is how often a server that does not answer is asked for its report, for
-	// lostSoon after it last did.
-	lostEvery = 40 * time.Millisecond
-	lostSoon  = 3 * time.Second
-	// farTurns is how many reports pass between two that go to entries of other
-	// sites too: bytes between regions are scarce, and those entries count what
-	// they and others send.
-	farTurns = 25
+	// reportInterval is the interval between load reports. A shorter one has no use, because
+	// the engines' own reports are some hundred milliseconds old.
+	reportInterval = 200 * time.Millisecond
+	// unreachablePollInterval is the interval between report requests to an unreachable
+	// server, for fastPollDuration after its last report.
+	unreachablePollInterval = 40 * time.Millisecond
+	fastPollDuration        = 3 * time.Second
+	// reportsPerBroadcast is how many reports are sent for each one that also goes to the
+	// entries of other sites. Bandwidth between regions is scarce, and those entries count
+	// the requests that they and others send.
+	reportsPerBroadcast = 25
 )
 
 // Sidecar is the agent of one model server.
@@ -98,54 +99,54 @@
 	socket  *datagrams.Socket
 	log     *zap.Logger
 	metrics *metrics
-	// wake is signalled when an entry tells of a newer view.
-	wake chan struct{}
-	// due ends the wait for the next step.
-	due chan struct{}
+	// viewChanged is signalled when an entry announces a newer view.
+	viewChanged chan struct{}
+	// stepRequested triggers a step before the next tick.
+	stepRequested chan struct{}
 
 	mu      sync.Mutex
 	entries []gateway.Entry
-	// teller is where the last word of news came from.
-	teller   string
-	viewed   gateway.View
-	viewedAt time.Duration
-	hasView  bool
-	// unansweredSince is since when no entry has answered at all; 0 if one has. listedAt is
-	// when the store was last asked for entries.
-	unansweredSince time.Duration
-	listedAt        time.Duration
-	// news is true if the next report should go to all entries at once.
-	news bool
-	// switching is true while entries should send nothing here.
+	// notifier is the datagram address of the entry that last announced a newer view.
+	notifier   string
+	view       gateway.View
+	viewReadAt time.Duration
+	hasView    bool
+	// unreachableSince is since when no entry has answered; 0 if one has. storeReadAt is
+	// when the entries were last read from the store.
+	unreachableSince time.Duration
+	storeReadAt      time.Duration
+	// broadcastNext is true if the next report should go to the entries of all sites.
+	broadcastNext bool
+	// switching is true while entries should send no requests to the server.
 	switching bool
-	// closing tells whether the server leaves.
-	closing   drain.Closing
-	report    Report
-	hasReport bool
-	// reportAsked is when report was asked for.
-	reportAsked time.Duration
-	// boot is the server's process, 0 if it does not tell, and before are those that
-	// were seen to end, the latest last.
-	boot   catalog.Boot
-	before []catalog.Boot
-	// reportedOnce is true once the server has answered.
-	reportedOnce bool
-	models       map[string]*weights
-	// pieces holds what was fetched, by digest, so that versions share pieces.
+	// drainDetector detects from the server's responses whether the server is draining.
+	drainDetector drain.Closing
+	report        Report
+	hasReport     bool
+	// reportRequestedAt is when report was requested.
+	reportRequestedAt time.Duration
+	// boot is the server's current boot, 0 if it does not report one. endedBoots are the
+	// boots that were observed to end, the latest last.
+	boot       catalog.Boot
+	endedBoots []catalog.Boot
+	// everReported is true once the server has returned a report.
+	everReported bool
+	models       map[string]*modelState
+	// pieces is the cache of fetched pieces by digest, so that versions share pieces.
 	pieces map[string][]byte
-	// giving has room for the pieces that may be given out at once.
-	giving chan struct{}
-	// pace is what pieces from entries have taken.
-	pace switchover.Pace
+	// serveSlots is a semaphore that limits the pieces served concurrently.
+	serveSlots chan struct{}
+	// pieceTimes estimates the time per piece from earlier fetches.
+	pieceTimes switchover.Pace
 }
 
 type metrics struct {
-	loads   *prometheus.CounterVec
-	fetched prometheus.Counter
-	corrupt prometheus.Counter
-	seconds prometheus.Histogram
+	loads         *prometheus.CounterVec
+	fetchedBytes  prometheus.Counter
+	corruptPieces prometheus.Counter
+	fetchSeconds  prometheus.Histogram
 
-	badDatagrams prometheus.Counter
+	invalidDatagrams prometheus.Counter
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
@@ -153,78 +154,79 @@
 		loads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "filbertlever_agent_loads_total", Help: "Loads ordered, by result.",
 		}, []string{"Result"}),
-		fetched: prometheus.NewCounter(prometheus.CounterOpts{
+		fetchedBytes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "filbertlever_agent_fetched_bytes_total", Help: "Bytes of weights fetched.",
 		}),
-		corrupt: prometheus.NewCounter(prometheus.CounterOpts{
+		corruptPieces: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "filbertlever_agent_corrupt_total", Help: "Pieces that did not match their digest, fetched or staged.",
 		}),
-		seconds: prometheus.NewHistogram(prometheus.HistogramOpts{
+		fetchSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "filbertlever_agent_fetch_seconds", Help: "Time to fetch and verify a whole set of weights.",
 			Buckets: []float64{.5, 1, 2, 2.5, 3, 4, 6, 10, 20},
 		}),
-		badDatagrams: prometheus.NewCounter(prometheus.CounterOpts{
+		invalidDatagrams: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "filbertlever_agent_bad_datagrams_total", Help: "Messages that could not be read.",
 		}),
 	}
-	registry.MustRegister(m.loads, m.fetched, m.corrupt, m.seconds, m.badDatagrams)
+	registry.MustRegister(m.loads, m.fetchedBytes, m.corruptPieces, m.fetchSeconds, m.invalidDatagrams)
 	return m
 }
 
-// New returns an agent; its loops run until ctx ends.
+// New returns an agent whose loops run until ctx is cancelled.
 func New(ctx context.Context, config Config, engine Engine, lister EntryLister, client *http.Client,
 	socket net.PacketConn, log *zap.Logger, registry prometheus.Registerer) *Sidecar {
 	m := newMetrics(registry)
 	s := &Sidecar{
 		config: config, engine: engine, lister: lister, client: client, socket: datagrams.New(socket), log: log, metrics: m,
-		wake: make(chan struct{}, 1), due: make(chan struct{}, 1), models: map[string]*weights{}, pieces: map[string][]byte{},
-		giving: make(chan struct{}, giving),
+		viewChanged: make(chan struct{}, 1), stepRequested: make(chan struct{}, 1), models: map[string]*modelState{}, pieces: map[string][]byte{},
+		serveSlots: make(chan struct{}, maxConcurrentServes),
 	}
 	go s.runReports(ctx)
 	go s.runDatagrams(ctx)
 	go s.runViews(ctx)
-	go s.runWeights(ctx)
+	go s.runSteps(ctx)
 	return s
 }
 
 func (s *Sidecar) runDatagrams(ctx context.Context) {
-	go s.runClose(ctx)
+	go s.closeSocketOnDone(ctx)
 	for {
-		if err := s.socket.Receive(s.receive); err != nil {
+		if err := s.socket.Receive(s.handleDatagram); err != nil {
 			if ctx.Err() == nil {
-				s.log.Error("datagrams end", zap.Error(err))
+				s.log.Error("failed to receive datagrams", zap.Error(err))
 			}
 			return
 		}
 	}
 }
 
-// receive takes an entry's word that it knows more of versions.
-func (s *Sidecar) receive(data []byte, from net.Addr) {
+// handleDatagram handles an entry's announcement that its view of the versions has
+// changed.
+func (s *Sidecar) handleDatagram(data []byte, from net.Addr) {
 	d, err := gateway.DecodeDatagram(data)
 	if err != nil {
-		s.metrics.badDatagrams.Inc()
+		s.metrics.invalidDatagrams.Inc()
 		return
 	}
 	if !d.Changed {
 		return
 	}
 	s.mu.Lock()
-	s.teller = from.String()
+	s.notifier = from.String()
 	s.mu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case s.viewChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (s *Sidecar) runClose(ctx context.Context) {
+func (s *Sidecar) closeSocketOnDone(ctx context.Context) {
 	<-ctx.Done()
 	_ = s.socket.Close()
 }
 
-// held returns the version of a model that a server holds, 0 for none.
-func held(models []catalog.Model, name string) uint64 {
+// loadedVersion returns the version of a model that a server holds; 0 if none.
+func loadedVersion(models []catalog.Model, name string) uint64 {
 	for _, model := range models {
 		if model.Name == name {
 			return model.Version
@@ -237,32 +239,33 @@
 	s.mu.Lock()
 	s.switching = on
 	s.mu.Unlock()
-	s.tell(true)
+	s.sendReport(true)
 }
 
-// entriesNow returns the entries of the last view.
-func (s *Sidecar) entriesNow() []gateway.Entry {
+// currentEntries returns the entries of the last view.
+func (s *Sidecar) currentEntries() []gateway.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries
 }
 
-// piece returns a piece fetched earlier.
-func (s *Sidecar) piece(digest string) ([]byte, bool) {
+// cachedPiece returns a piece from the cache.
+func (s *Sidecar) cachedPiece(digest string) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	data, ok := s.pieces[digest]
 	return data, ok
 }
 
-func (s *Sidecar) keep(digest string, data []byte) {
+func (s *Sidecar) cachePiece(digest string, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pieces[digest] = data
 }
 
-// missing is how many pieces of a version are not here; the caller holds the lock.
-func (s *Sidecar) missing(manifest *relay.Manifest) int {
+// missingPieces counts the pieces of a version that are not cached; the caller holds the
+// lock.
+func (s *Sidecar) missingPieces(manifest *relay.Manifest) int {
 	missing := 0
 	for _, digest := range manifest.Digests {
 		if _, ok := s.pieces[digest]; !ok {
--- a/internal/transport/sidecar/views.go
+++ b/internal/transport/sidecar/views.go
@@ -18,48 +18,48 @@
 	"github.com/filbertlever/filbertlever/internal/transport/gateway"
 )
 
-// Times of reading views.
+// Intervals and timeouts of view requests.
 const (
-	// viewEvery is how often the view is read without being told of a change.
-	viewEvery = 3 * time.Second
-	// viewTimeout bounds the reading of a view.
+	// viewInterval is the interval between reads of the view if no change is announced.
+	viewInterval = 3 * time.Second
+	// viewTimeout limits one attempt to read the view.
 	viewTimeout = time.Second
-	// hedgePause is how long one entry is given before the next is asked too. One
-	// without power answers nothing, and waiting for it would put off a load.
-	hedgePause = 60 * time.Millisecond
-	// lastPause is how long the last one is given before all are asked anew.
-	lastPause = 150 * time.Millisecond
-	// storeAfter is how long no entry may have answered before the store is asked for
-	// others.
-	storeAfter = 300 * time.Millisecond
-	// askPause is the pause before all are asked anew.
-	askPause = 100 * time.Millisecond
-	// storeEvery bounds how often the store is asked for entries.
-	storeEvery = 2 * time.Second
+	// hedgeDelay is the time after which the next entry is asked as well. An entry without
+	// power does not respond, and waiting for it would delay a load.
+	hedgeDelay = 60 * time.Millisecond
+	// lastEntryTimeout is the time for the last entry to respond before all are retried.
+	lastEntryTimeout = 150 * time.Millisecond
+	// storeFallbackDelay is the time without an answer from any entry after which the
+	// entries are read from the store.
+	storeFallbackDelay = 300 * time.Millisecond
+	// viewRetryDelay is the pause before all entries are retried.
+	viewRetryDelay = 100 * time.Millisecond
+	// storeReadInterval is the minimum interval between reads of the entries from the store.
+	storeReadInterval = 2 * time.Second
 )
 
-// runViews keeps the view of what is wanted current.
+// runViews keeps the view up to date.
 func (s *Sidecar) runViews(ctx context.Context) {
-	lost := false
+	unreachable := false
 	for {
 		err := s.refreshView(ctx)
-		pause := viewEvery
+		pause := viewInterval
 		if err != nil {
-			pause = askPause
-			if !lost && ctx.Err() == nil {
-				s.log.Warn("entries lost", zap.Error(err))
+			pause = viewRetryDelay
+			if !unreachable && ctx.Err() == nil {
+				s.log.Warn("no entry reachable", zap.Error(err))
 			}
-		} else if lost {
-			s.log.Info("entries regained")
+		} else if unreachable {
+			s.log.Info("entry reachable again")
 		}
 		if err == nil {
-			s.stepNow()
+			s.requestStep()
 		}
-		lost = err != nil
+		unreachable = err != nil
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.wake:
+		case <-s.viewChanged:
 		case <-time.After(pause):
 		}
 	}
@@ -67,150 +67,154 @@
 
 var (
 	errNoEntry = errors.New("no entry answers")
-	// errNoView means that an entry lives and cannot tell what is wanted yet.
+	// errNoView means that an entry is running but has no view yet.
 	errNoView = errors.New("no view yet")
 )
 
-// fetched is an entry's answer.
-type fetched struct {
+// viewAnswer is an entry's answer to a request for the view.
+type viewAnswer struct {
 	address string
 	view    gateway.View
 	err     error
 }
 
-// refreshView reads the view from the first entry that answers: those that are known are
-// asked one after the other, the next one if one takes long, then those that the store lists.
+// refreshView reads the view from the first entry that answers. It asks the known entries
+// in turn, moving on to the next one after hedgeDelay, and then the entries in the store.
 //
-// Guard: after a loss of power the first call may go to a host that is not up yet, and its connection
-// is retried late; all are soon asked anew.
+// After a power failure the first request may go to a host that has not booted yet, and
+// TCP retries the connection late. The attempt therefore ends early and all entries are
+// retried.
 func (s *Sidecar) refreshView(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	a := &asking{agent: s, addresses: s.viewAddresses(), answers: make(chan fetched)}
-	defer func() { s.noteAnswers(a.answered) }()
+	q := &viewQuery{sidecar: s, addresses: s.entryAddresses(), answers: make(chan viewAnswer)}
+	defer func() { s.recordReachability(q.answered) }()
 	next := time.NewTimer(0)
 	defer next.Stop()
-	for !a.listed || a.ended < len(a.addresses) {
+	for !q.storeRead || q.finished < len(q.addresses) {
 		select {
 		case <-ctx.Done():
 			return errNoEntry
 		case <-next.C:
-			pause, more := a.more(ctx)
+			timeout, more := q.askNext(ctx)
 			if !more {
 				return errNoEntry
 			}
-			next.Reset(pause)
-		case answer := <-a.answers:
-			a.ended++
-			a.answered = a.answered || answer.err == nil || errors.Is(answer.err, errNoView)
+			next.Reset(timeout)
+		case answer := <-q.answers:
+			q.finished++
+			q.answered = q.answered || answer.err == nil || errors.Is(answer.err, errNoView)
 			if answer.err == nil {
 				s.setView(answer)
 				return nil
 			}
-			s.log.Debug("view not read", zap.String("Entry", answer.address), zap.Error(answer.err))
+			s.log.Debug("failed to read view", zap.String("Entry", answer.address), zap.Error(answer.err))
 			next.Reset(0)
 		}
 	}
 	return errNoEntry
 }
 
-// asking is one round of asking entries for the view.
-type asking struct {
-	agent     *Sidecar
+// viewQuery is one round of requests for the view.
+type viewQuery struct {
+	sidecar   *Sidecar
 	addresses []string
-	answers   chan fetched
-	// asked and ended are how many of addresses were asked, and have ended.
-	asked, ended int
-	// listed is true once the store's entries are among addresses.
-	listed bool
+	answers   chan viewAnswer
+	// started and finished count the requests to addresses.
+	started, finished int
+	// storeRead is true once the store's entries are among addresses.
+	storeRead bool
 	// answered is true once any entry has answered.
 	answered bool
 }
 
-// more asks the next entry, or looks for more; it returns how long that is given, and
-// false if there is none left to ask.
-func (a *asking) more(ctx context.Context) (time.Duration, bool) {
-	if a.asked == len(a.addresses) && !a.listed {
-		a.addresses, a.listed = append(a.addresses, a.agent.listedAddresses(ctx, a.ended == 0)...), true
-		if a.asked == len(a.addresses) {
-			return lastPause, true
+// askNext sends a request to the next entry, reading more entries from the store if
+// necessary. It returns the time to wait before the next call, and false if there is no
+// entry left to ask.
+func (q *viewQuery) askNext(ctx context.Context) (time.Duration, bool) {
+	if q.started == len(q.addresses) && !q.storeRead {
+		q.addresses, q.storeRead = append(q.addresses, q.sidecar.storeEntryAddresses(ctx, q.finished == 0)...), true
+		if q.started == len(q.addresses) {
+			return lastEntryTimeout, true
 		}
 	}
-	if a.asked == len(a.addresses) {
+	if q.started == len(q.addresses) {
 		return 0, false
 	}
-	go a.agent.runFetch(ctx, a.addresses[a.asked], a.answers)
-	a.asked++
-	if a.listed && a.asked == len(a.addresses) {
-		return lastPause, true
+	go q.sidecar.askEntry(ctx, q.addresses[q.started], q.answers)
+	q.started++
+	if q.storeRead && q.started == len(q.addresses) {
+		return lastEntryTimeout, true
 	}
-	return hedgePause, true
+	return hedgeDelay, true
 }
 
-func (s *Sidecar) runFetch(ctx context.Context, address string, answers chan<- fetched) {
+func (s *Sidecar) askEntry(ctx context.Context, address string, answers chan<- viewAnswer) {
 	view, err := s.fetchView(ctx, address)
 	select {
-	case answers <- fetched{address: address, view: view, err: err}:
+	case answers <- viewAnswer{address: address, view: view, err: err}:
 	case <-ctx.Done():
 	}
 }
 
-func (s *Sidecar) setView(answer fetched) {
+func (s *Sidecar) setView(answer viewAnswer) {
 	now := boottime.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.viewed, s.viewedAt, s.hasView = answer.view, now, true
+	s.view, s.viewReadAt, s.hasView = answer.view, now, true
 	if len(answer.view.Entries) > 0 {
 		s.entries = answer.view.Entries
 	}
 }
 
-// viewAddresses returns the peer addresses to ask, in order: who told of news, the
-// entries of the own site, all others, and the seeds.
+// entryAddresses returns the peer addresses to ask, in this order: the entry that
+// announced a change, the entries of the agent's own site, all others, and the seeds.
 //
-// Guard: agents of a site must not all ask its first entry; each begins at another one.
-func (s *Sidecar) viewAddresses() []string {
+// Each agent starts at a different entry of its site, so that the first one does not get
+// the requests of all agents.
+func (s *Sidecar) entryAddresses() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var told, near, far []string
+	var notifier, sameSite, otherSites []string
 	for _, entry := range s.entries {
 		switch {
-		case entry.Datagrams == s.teller:
-			told = append(told, entry.Peers)
+		case entry.Datagrams == s.notifier:
+			notifier = append(notifier, entry.Peers)
 		case entry.Site == s.config.Site:
-			near = append(near, entry.Peers)
+			sameSite = append(sameSite, entry.Peers)
 		default:
-			far = append(far, entry.Peers)
+			otherSites = append(otherSites, entry.Peers)
 		}
 	}
-	s.teller = ""
-	if len(near) > 0 {
-		first := int(xxhash.Sum64String(s.config.Address) % uint64(len(near)))
-		near = slices.Concat(near[first:], near[:first])
+	s.notifier = ""
+	if len(sameSite) > 0 {
+		first := int(xxhash.Sum64String(s.config.Address) % uint64(len(sameSite)))
+		sameSite = slices.Concat(sameSite[first:], sameSite[:first])
 	}
-	return slices.Concat(told, near, far, s.config.Seeds)
+	return slices.Concat(notifier, sameSite, otherSites, s.config.Seeds)
 }
 
-// listedAddresses returns the peer addresses of the entries that the store lists, if none
-// that is known has answered for a while, or all are silent: seeds may be gone for long.
-// A host that refuses connections is up, and its entry soon is.
+// storeEntryAddresses returns the peer addresses of the entries in the store. It reads the
+// store only if no known entry has answered for storeFallbackDelay, or if noResponse is
+// true because not even an error came back from any of them. The seeds may have been
+// removed long ago. A host that refuses connections is up, and its entry will start soon.
 //
-// An agent that starts does not ask the store as long as its seeds may answer.
-func (s *Sidecar) listedAddresses(ctx context.Context, silent bool) []string {
+// An agent that has just started does not read the store while its seeds may still answer.
+func (s *Sidecar) storeEntryAddresses(ctx context.Context, noResponse bool) []string {
 	now := boottime.Now()
 	s.mu.Lock()
-	unanswered := silent || s.unansweredSince != 0 && now-s.unansweredSince >= storeAfter
-	wait := !unanswered || s.listedAt != 0 && now-s.listedAt < storeEvery
-	if !wait {
-		s.listedAt = now
+	unreachable := noResponse || s.unreachableSince != 0 && now-s.unreachableSince >= storeFallbackDelay
+	skip := !unreachable || s.storeReadAt != 0 && now-s.storeReadAt < storeReadInterval
+	if !skip {
+		s.storeReadAt = now
 	}
 	s.mu.Unlock()
-	if wait || s.lister == nil {
+	if skip || s.lister == nil {
 		return nil
 	}
 	entries, err := s.lister.ReadEntries(ctx)
 	if err != nil {
-		s.log.Warn("entries not read from the store", zap.Error(err))
+		s.log.Warn("failed to read entries from the store", zap.Error(err))
 		return nil
 	}
 	var addresses []string
@@ -220,20 +224,20 @@
 	return addresses
 }
 
-// noteAnswers notes whether any entry has answered, if only that it has no view yet.
-func (s *Sidecar) noteAnswers(any bool) {
+// recordReachability records whether any entry has answered, even without a view.
+func (s *Sidecar) recordReachability(answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case any:
-		s.unansweredSince = 0
-	case s.unansweredSince == 0:
-		s.unansweredSince = boottime.Now()
+	case answered:
+		s.unreachableSince = 0
+	case s.unreachableSince == 0:
+		s.unreachableSince = boottime.Now()
 	}
 }
 
-// viewBytes bounds an entry's view.
-const viewBytes = 4 << 20
+// maxViewBytes limits the size of an entry's view.
+const maxViewBytes = 4 << 20
 
 func (s *Sidecar) fetchView(ctx context.Context, address string) (gateway.View, error) {
 	values := url.Values{"Service": {s.config.Service}, "Address": {s.config.Address}}
@@ -251,7 +255,7 @@
 		return gateway.View{}, fmt.Errorf("view from %s: answered %d: %w", address, response.StatusCode, errNoView)
 	}
 	var view gateway.View
-	if err := json.NewDecoder(io.LimitReader(response.Body, viewBytes)).Decode(&view); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxViewBytes)).Decode(&view); err != nil {
 		return gateway.View{}, fmt.Errorf("view from %s: %w", address, err)
 	}
 	return view, nil
--- a/internal/transport/sidecar/views_test.go
+++ b/internal/transport/sidecar/views_test.go
@@ -24,24 +24,24 @@
 	return gateway.Entry{Host: "entry", Site: site, Peers: fmt.Sprintf("10.0.0.%d:1", n), Datagrams: fmt.Sprintf("10.0.0.%d:2", n)}
 }
 
-// Requests wait at a site's first entry: all agents there read what they need to know
-// from it. Each begins at another one, and one that told of news is asked first, as the
-// others may not have heard yet.
-func TestAgentsOfASiteAskDifferentEntries(t *testing.T) {
+// Requests were delayed at a site's first entry, because all agents there read their views
+// from it. Each agent starts at a different entry. The entry that announced a change is
+// asked first, because the others may not have it yet.
+func TestAgentsOfSiteAskDifferentEntries(t *testing.T) {
 	c := qt.New(t)
 	first := map[string]int{}
 	for agent := range 60 {
-		s := newAgent(&weightsEntry{}, &engine{}, Config{Address: fmt.Sprintf("10.1.0.%d:8000", agent), Seeds: []string{"10.9.0.1:1"}})
-		s.hasView, s.viewedAt = true, boottime.Now()
+		s := newAgent(&fakeEntry{}, &fakeEngine{}, Config{Address: fmt.Sprintf("10.1.0.%d:8000", agent), Seeds: []string{"10.9.0.1:1"}})
+		s.hasView, s.viewReadAt = true, boottime.Now()
 		s.entries = []gateway.Entry{siteEntry(1, "b"), siteEntry(2, "a"), siteEntry(3, "a"), siteEntry(4, "a"), siteEntry(5, "a")}
-		addresses := s.viewAddresses()
+		addresses := s.entryAddresses()
 		c.Assert(addresses, qt.HasLen, 6)
 		c.Assert(addresses[4:], qt.DeepEquals, []string{"10.0.0.1:1", "10.9.0.1:1"})
 		first[addresses[0]]++
-		s.teller = siteEntry(4, "a").Datagrams
-		c.Assert(s.viewAddresses()[0], qt.Equals, siteEntry(4, "a").Peers)
-		// Only once: it may have gone since.
-		c.Assert(s.viewAddresses(), qt.DeepEquals, addresses)
+		s.notifier = siteEntry(4, "a").Datagrams
+		c.Assert(s.entryAddresses()[0], qt.Equals, siteEntry(4, "a").Peers)
+		// It is preferred only once, because it may have stopped since.
+		c.Assert(s.entryAddresses(), qt.DeepEquals, addresses)
 	}
 	c.Assert(first, qt.HasLen, 4)
 	for address, n := range first {
@@ -49,12 +49,12 @@
 	}
 }
 
-// An entry tells an agent that there is news. The agent asks at once, and not three
-// seconds later, when the bound of the version may have passed.
-func TestAWordOfNewsWakesTheAgent(t *testing.T) {
+// An agent must read the view at once when an entry announces a change. The next regular
+// read is up to three seconds later, when MaxStaleness may have passed.
+func TestChangeDatagramWakesAgent(t *testing.T) {
 	c := qt.New(t)
-	s := newAgent(&weightsEntry{}, &engine{}, Config{})
-	s.wake = make(chan struct{}, 1)
+	s := newAgent(&fakeEntry{}, &fakeEngine{}, Config{})
+	s.viewChanged = make(chan struct{}, 1)
 	from, err := datagrams.Listen("127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = from.Close() }()
@@ -62,44 +62,45 @@
 	c.Assert(err, qt.IsNil)
 	for _, sent := range [][]byte{[]byte("not a message"), data, data} {
 		c.Assert(from.Send(sent, s.socket.Address().String()), qt.IsNil)
-		c.Assert(s.socket.Receive(s.receive), qt.IsNil)
+		c.Assert(s.socket.Receive(s.handleDatagram), qt.IsNil)
 	}
 	select {
-	case <-s.wake:
+	case <-s.viewChanged:
 	default:
-		c.Fatal("not woken")
+		c.Fatal("the agent was not woken by the announcement")
 	}
-	c.Assert(s.teller, qt.Equals, from.Address().String())
+	c.Assert(s.notifier, qt.Equals, from.Address().String())
 }
 
-// What an agent knows of versions grows older while it tells of it.
-func TestWhatAnAgentKnowsIsAsOldAsItIs(t *testing.T) {
+// The ages of the versions that an agent reports increase with the time since it read its
+// view.
+func TestReportedVersionAgesIncrease(t *testing.T) {
 	c := qt.New(t)
-	s := newAgent(&weightsEntry{}, &engine{}, Config{})
-	c.Assert(s.knows(time.Second), qt.IsNil)
-	s.hasView, s.viewedAt = true, time.Second
-	c.Assert(s.knows(time.Second), qt.IsNotNil, qt.Commentf("a view without versions is a view"))
-	s.viewed = gateway.View{Named: []gateway.NamedAge{{Model: "drafter", Version: 2, Age: time.Second, Known: true}}}
+	s := newAgent(&fakeEntry{}, &fakeEngine{}, Config{})
+	c.Assert(s.namedVersions(time.Second), qt.IsNil)
+	s.hasView, s.viewReadAt = true, time.Second
+	c.Assert(s.namedVersions(time.Second), qt.IsNotNil, qt.Commentf("a view without versions is reported as empty, not nil"))
+	s.view = gateway.View{Named: []gateway.NamedAge{{Model: "drafter", Version: 2, Age: time.Second, Known: true}}}
 	want := []gateway.NamedAge{{Model: "drafter", Version: 2, Age: 3 * time.Second, Known: true}}
-	c.Assert(slices.Equal(s.knows(3*time.Second), want), qt.IsTrue)
-	c.Assert(s.viewed.Named[0].Age, qt.Equals, time.Second)
+	c.Assert(slices.Equal(s.namedVersions(3*time.Second), want), qt.IsTrue)
+	c.Assert(s.view.Named[0].Age, qt.Equals, time.Second)
 }
 
-// lister is a store that counts who asks for entries.
-type lister struct {
+// fakeStore is a store that counts the reads of its entries.
+type fakeStore struct {
 	entries []gateway.Entry
-	asked   int
+	reads   int
 }
 
-func (l *lister) ReadEntries(context.Context) (gateway.Entries, error) {
-	l.asked++
+func (l *fakeStore) ReadEntries(context.Context) (gateway.Entries, error) {
+	l.reads++
 	return gateway.Entries{Present: l.entries}, nil
 }
 
-// The platform's store got one call of each agent that started, 591 in a day of 46 s, for
-// entries that the agents' seeds told them anyway. It is asked once no seed has answered
-// for a while, and then again now and then.
-func TestTheStoreIsAskedForEntriesOnlyIfNobodyAnswers(t *testing.T) {
+// The platform's store got one call from each starting agent, 591 in a day of 46 s, for
+// entries that the agents also got from their seeds. It is read only if no seed has
+// answered for storeFallbackDelay, and then at most once per storeReadInterval.
+func TestStoreIsReadOnlyIfNoEntryAnswers(t *testing.T) {
 	c := qt.New(t)
 	var ready atomic.Bool
 	live := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -111,78 +112,78 @@
 	}))
 	defer live.Close()
 	address := strings.TrimPrefix(live.URL, "http://")
-	const gone = "127.0.0.1:1"
+	const unreachable = "127.0.0.1:1"
 	ctx := context.Background()
 
-	store := &lister{entries: []gateway.Entry{{Peers: address}}}
-	s := newAgent(&weightsEntry{}, &engine{}, Config{Seeds: []string{gone, address}})
+	store := &fakeStore{entries: []gateway.Entry{{Peers: address}}}
+	s := newAgent(&fakeEntry{}, &fakeEngine{}, Config{Seeds: []string{unreachable, address}})
 	s.entries, s.lister = nil, store
 	for range 3 {
-		// An entry that has just started lives.
+		// An entry that has just started counts as reachable.
 		c.Assert(s.refreshView(ctx), qt.ErrorIs, errNoEntry)
 		s.mu.Lock()
-		c.Assert(s.unansweredSince, qt.Equals, time.Duration(0))
+		c.Assert(s.unreachableSince, qt.Equals, time.Duration(0))
 		s.mu.Unlock()
 	}
 	ready.Store(true)
 	c.Assert(s.refreshView(ctx), qt.IsNil)
-	c.Assert(store.asked, qt.Equals, 0)
+	c.Assert(store.reads, qt.Equals, 0)
 
-	s = newAgent(&weightsEntry{}, &engine{}, Config{Seeds: []string{gone}})
+	s = newAgent(&fakeEntry{}, &fakeEngine{}, Config{Seeds: []string{unreachable}})
 	s.entries, s.lister = nil, store
 	c.Assert(s.refreshView(ctx), qt.ErrorIs, errNoEntry)
-	c.Assert(store.asked, qt.Equals, 0, qt.Commentf("seeds may be starting"))
-	s.unansweredSince -= storeAfter
+	c.Assert(store.reads, qt.Equals, 0, qt.Commentf("the seeds may still be starting"))
+	s.unreachableSince -= storeFallbackDelay
 	c.Assert(s.refreshView(ctx), qt.IsNil)
-	c.Assert(store.asked, qt.Equals, 1)
+	c.Assert(store.reads, qt.Equals, 1)
 	store.entries = nil
 	s.entries = nil
 	c.Assert(s.refreshView(ctx), qt.ErrorIs, errNoEntry)
-	s.unansweredSince -= storeAfter
+	s.unreachableSince -= storeFallbackDelay
 	c.Assert(s.refreshView(ctx), qt.ErrorIs, errNoEntry)
-	c.Assert(store.asked, qt.Equals, 1, qt.Commentf("asked again too soon"))
-	s.listedAt -= storeEvery
+	c.Assert(store.reads, qt.Equals, 1, qt.Commentf("store read again before storeReadInterval"))
+	s.storeReadAt -= storeReadInterval
 	c.Assert(s.refreshView(ctx), qt.ErrorIs, errNoEntry)
-	c.Assert(store.asked, qt.Equals, 2)
+	c.Assert(store.reads, qt.Equals, 2)
 }
 
-// A server that is added gets no weights for seconds: the seeds of its agent have no power
-// and answer nothing, and the store was asked only once they had ended.
-func TestSeedsThatAnswerNothingDoNotKeepTheStoreFromBeingAsked(t *testing.T) {
+// A server that was added got no weights for seconds. Its agent's seeds had no power and
+// did not respond, and the store was read only after their requests had timed out.
+func TestSilentSeedsDoNotDelayStoreRead(t *testing.T) {
 	c := qt.New(t)
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = silent.Close() }()
 	live := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "{}") }))
 	defer live.Close()
-	store := &lister{entries: []gateway.Entry{{Peers: strings.TrimPrefix(live.URL, "http://")}}}
-	s := newAgent(&weightsEntry{}, &engine{}, Config{Seeds: []string{silent.Addr().String(), silent.Addr().String()}})
+	store := &fakeStore{entries: []gateway.Entry{{Peers: strings.TrimPrefix(live.URL, "http://")}}}
+	s := newAgent(&fakeEntry{}, &fakeEngine{}, Config{Seeds: []string{silent.Addr().String(), silent.Addr().String()}})
 	s.entries, s.lister = nil, store
-	began := time.Now()
+	startedAt := time.Now()
 	c.Assert(s.refreshView(context.Background()), qt.IsNil)
-	// Each seed is given its pause, and no more.
-	c.Assert(time.Since(began) < 5*hedgePause, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
-	c.Assert(store.asked, qt.Equals, 1)
+	// The agent waits no longer than hedgeDelay for each seed.
+	c.Assert(time.Since(startedAt) < 5*hedgeDelay, qt.IsTrue, qt.Commentf("%v", time.Since(startedAt)))
+	c.Assert(store.reads, qt.Equals, 1)
 }
 
-// All power was lost; the agent's first call goes to a host that is not up yet, and the
-// network repeats it only after a second. Agents had their view 0.8 s late, and all
-// servers their weights. The host is asked anew as soon as it is up.
-func TestAHostThatWasNotUpIsSoonAskedAgain(t *testing.T) {
+// After a power failure an agent's first request goes to a host that has not booted yet,
+// and TCP retries it only after a second. Agents got their views and servers their weights
+// 0.8 s late. The agent must retry the host sooner.
+func TestStartingHostIsRetriedSoon(t *testing.T) {
 	c := qt.New(t)
-	var lost atomic.Int32
+	var requests atomic.Int32
 	live := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if lost.Add(1) == 1 {
+		if requests.Add(1) == 1 {
 			<-r.Context().Done()
 			return
 		}
 		_, _ = io.WriteString(w, "{}")
 	}))
 	defer live.Close()
-	s := newAgent(&weightsEntry{}, &engine{}, Config{Seeds: []string{strings.TrimPrefix(live.URL, "http://")}})
+	s := newAgent(&fakeEntry{}, &fakeEngine{}, Config{Seeds: []string{strings.TrimPrefix(live.URL, "http://")}})
 	s.entries = nil
-	began := time.Now()
+	startedAt := time.Now()
 	c.Assert(s.refreshView(context.Background()), qt.ErrorIs, errNoEntry)
 	c.Assert(s.refreshView(context.Background()), qt.IsNil)
-	c.Check(time.Since(began) < viewTimeout/2, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+	c.Check(time.Since(startedAt) < viewTimeout/2, qt.IsTrue, qt.Commentf("%v", time.Since(startedAt)))
 }
