--- a/internal/transport/boottime/boottime.go
+++ b/internal/transport/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime reads a steady clock that also counts while the host is
-// suspended. The clock behind time.Now stands still then, so an age measured
-// with it would be too low after the host wakes.
+// Package boottime reads a monotonic clock that also advances while the host is suspended.
+// The monotonic clock of time.Now stops during suspension, so an age measured with it would
+// be too low after the host resumes.
 package boottime
 
 import (
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the host started.
+// Now returns the time since the host booted.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/transport/datagrams/datagrams.go
+++ b/internal/transport/datagrams/datagrams.go
@@ -1,7 +1,8 @@
-// Package datagrams sends and takes the small messages between processes, many with
-// one system call.
+// Package datagrams sends and receives the small UDP messages between processes, many per
+// system call.
 //
-// Sent and received one by one, messages cost more in system calls and wake-ups than in content.
+// Sent and received individually, the messages would cost more in system calls and
+// wake-ups than in content.
 package datagrams
 
 import (
@@ -15,30 +16,30 @@
 )
 
 const (
-	// maxBatch is how many messages one system call moves: those of a pause at 12,000
-	// a second.
+	// maxBatch is the maximum number of messages per system call: those that arrive within
+	// minWakeInterval at 12,000 a second.
 	maxBatch = 64
-	// maxMessageBytes is the largest message that is taken; longer ones are cut off there.
+	// maxMessageBytes is the size of the receive buffers; longer messages are truncated.
 	maxMessageBytes = 8 << 10
-	// minWakeInterval is the least time between two wake-ups for what has arrived; messages of one
-	// entry are several times as far apart.
+	// minWakeInterval is the minimum time between two wake-ups to receive messages. The
+	// messages of one entry are several times as far apart.
 	minWakeInterval = 5 * time.Millisecond
 )
 
-// Socket sends and takes messages. It is safe for concurrent use, but for Receive.
+// Socket sends and receives messages. It is safe for concurrent use, except for Receive.
 type Socket struct {
 	conn  net.PacketConn
 	batch *ipv4.PacketConn
-	// buffers has room for what one system call takes.
+	// buffers holds the messages that one system call receives.
 	buffers []ipv4.Message
-	// lastReceiveAt is when messages were last taken.
+	// lastReceiveAt is when messages were last received.
 	lastReceiveAt time.Time
 
 	mu       sync.Mutex
 	resolved map[string]net.Addr
 }
 
-// New returns a socket on a UDP connection, which it closes.
+// New returns a socket that uses a UDP connection; Close closes the connection.
 func New(conn net.PacketConn) *Socket {
 	s := &Socket{conn: conn, batch: ipv4.NewPacketConn(conn), buffers: make([]ipv4.Message, maxBatch), resolved: map[string]net.Addr{}}
 	for i := range s.buffers {
@@ -47,7 +48,7 @@
 	return s
 }
 
-// Listen returns a socket at an address.
+// Listen returns a socket that listens on an address.
 func Listen(address string) (*Socket, error) {
 	conn, err := net.ListenPacket("udp4", address)
 	if err != nil {
@@ -56,14 +57,14 @@
 	return New(conn), nil
 }
 
-// Close ends the socket; Receive then fails.
+// Close closes the socket; Receive then returns an error.
 func (s *Socket) Close() error { return s.conn.Close() }
 
-// Address returns where the socket takes messages.
+// Address returns the socket's local address.
 func (s *Socket) Address() net.Addr { return s.conn.LocalAddr() }
 
-// Send sends one message to each address. One that cannot be sent is as good as lost; an
-// error names the addresses that are none.
+// Send sends a message to each address. Messages that cannot be sent are dropped without
+// an error, as if lost in transit. The error lists the addresses that are invalid.
 func (s *Socket) Send(data []byte, addresses ...string) error {
 	messages := make([]ipv4.Message, 0, len(addresses))
 	var errs []error
@@ -79,15 +80,16 @@
 	return errors.Join(errs...)
 }
 
-// Reply sends a message back to where one came from.
+// Reply sends a message to the address from which another one was received.
 func (s *Socket) Reply(data []byte, to net.Addr) {
 	s.send([]ipv4.Message{{Buffers: [][]byte{data}, Addr: to}})
 }
 
-// maxResolved is how many addresses are kept: those of all processes aimed for.
+// maxResolved limits the cached addresses. It is enough for all processes of the largest
+// intended deployment.
 const maxResolved = 4096
 
-// resolve returns an address as the system wants it, and caches it.
+// resolve parses an address and caches the result.
 func (s *Socket) resolve(address string) (net.Addr, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,23 +107,24 @@
 	return to, nil
 }
 
-// send sends all messages but those that fail.
+// send sends all messages and skips those that fail.
 func (s *Socket) send(messages []ipv4.Message) {
 	for len(messages) > 0 {
 		n, err := s.batch.WriteBatch(messages[:min(len(messages), maxBatch)], 0)
 		if err != nil {
-			// The first one left was refused, as for an address that is unreachable.
+			// The first remaining message failed, for example because its address is
+			// unreachable.
 			n = max(n, 0) + 1
 		}
 		messages = messages[min(max(n, 1), len(messages)):]
 	}
 }
 
-// Receive waits for messages and hands each to take, which must not keep its data.
+// Receive waits for messages and calls handle for each one. handle must not retain data.
 //
-// It wakes at most once in a pause, and then takes all that has arrived. A message on a
-// quiet socket is taken at once.
-func (s *Socket) Receive(take func(data []byte, from net.Addr)) error {
+// It wakes at most once per minWakeInterval and then handles all messages that have
+// arrived. A message that arrives after a longer pause is handled at once.
+func (s *Socket) Receive(handle func(data []byte, from net.Addr)) error {
 	time.Sleep(minWakeInterval - time.Since(s.lastReceiveAt))
 	n, err := s.batch.ReadBatch(s.buffers, 0)
 	if err != nil {
@@ -129,7 +132,7 @@
 	}
 	s.lastReceiveAt = time.Now()
 	for _, message := range s.buffers[:n] {
-		take(message.Buffers[0][:message.N], message.Addr)
+		handle(message.Buffers[0][:message.N], message.Addr)
 	}
 	return nil
 }
--- a/internal/transport/datagrams/datagrams_test.go
+++ b/internal/transport/datagrams/datagrams_test.go
@@ -15,8 +15,8 @@
 	return s
 }
 
-// An entry tells 150 others of its requests. More than one system call moves are sent
-// all the same, each once.
+// An entry reports its requests to 150 others, more than one system call can send. Each
+// message must be sent exactly once.
 func TestMessagesBeyondOneBatchArrive(t *testing.T) {
 	c := qt.New(t)
 	from, to := listen(t), listen(t)
@@ -25,26 +25,26 @@
 		addresses[i] = to.Address().String()
 	}
 	c.Assert(from.Send([]byte("counts"), addresses...), qt.IsNil)
-	taken := 0
-	for taken < len(addresses) {
+	received := 0
+	for received < len(addresses) {
 		c.Assert(to.Receive(func(data []byte, _ net.Addr) {
 			c.Check(string(data), qt.Equals, "counts")
-			taken++
+			received++
 		}), qt.IsNil)
 	}
-	c.Check(taken, qt.Equals, len(addresses))
+	c.Check(received, qt.Equals, len(addresses))
 }
 
-// One of three entries has an address that no message can be sent to. Sent with one
-// system call, the others would not hear that this one lives.
+// One of three entries has an address to which sending fails. The others, which are sent
+// to with the same system call, must still get their messages.
 func TestUnreachableAddressDoesNotAffectOthers(t *testing.T) {
 	c := qt.New(t)
 	from, first, last := listen(t), listen(t), listen(t)
-	nowhere := "255.255.255.255:9"
+	unreachable := "255.255.255.255:9"
 	for _, order := range [][]string{
-		{nowhere, first.Address().String(), last.Address().String()},
-		{first.Address().String(), nowhere, last.Address().String()},
-		{first.Address().String(), last.Address().String(), nowhere},
+		{unreachable, first.Address().String(), last.Address().String()},
+		{first.Address().String(), unreachable, last.Address().String()},
+		{first.Address().String(), last.Address().String(), unreachable},
 	} {
 		c.Assert(from.Send([]byte("alive"), order...), qt.IsNil)
 		for _, s := range []*Socket{first, last} {
@@ -55,7 +55,7 @@
 	}
 }
 
-// A process waits for messages while its socket is closed, as at its stop.
+// Receive must return when its socket is closed during the wait, as at a process's stop.
 func TestCloseEndsReceive(t *testing.T) {
 	c := qt.New(t)
 	s := listen(t)
@@ -63,8 +63,7 @@
 	c.Assert(s.Receive(func([]byte, net.Addr) {}), qt.IsNotNil)
 }
 
-// A message of a quiet region is taken at once, and a busy one's wake the process at most
-// once in a pause.
+// Frequent messages must wake the process at most once per minWakeInterval.
 func TestWakeUpRateIsBounded(t *testing.T) {
 	c := qt.New(t)
 	from, to := listen(t), listen(t)
@@ -76,18 +75,18 @@
 			time.Sleep(500 * time.Microsecond)
 		}
 	}()
-	began, wakes, taken := time.Now(), 0, 0
-	for taken < 40 {
-		c.Assert(to.Receive(func([]byte, net.Addr) { taken++ }), qt.IsNil)
+	startedAt, wakes, received := time.Now(), 0, 0
+	for received < 40 {
+		c.Assert(to.Receive(func([]byte, net.Addr) { received++ }), qt.IsNil)
 		wakes++
 	}
 	<-done
-	most := int(time.Since(began)/minWakeInterval) + 1
-	c.Check(wakes <= most, qt.IsTrue, qt.Commentf("%d wake-ups, at most %d expected", wakes, most))
+	maxWakes := int(time.Since(startedAt)/minWakeInterval) + 1
+	c.Check(wakes <= maxWakes, qt.IsTrue, qt.Commentf("%d wake-ups, at most %d expected", wakes, maxWakes))
 }
 
-// BenchmarkSend tells what one of a region's entries pays to tell the others: 20 sends
-// one by one took 39 us, and in one system call 27 us, on loopback.
+// BenchmarkSend measures the cost for an entry of sending a message to the others of its
+// region. On loopback, 20 individual sends took 39 us and one system call 27 us.
 func BenchmarkSend(b *testing.B) {
 	from, to := listen(b), listen(b)
 	data := make([]byte, 250)
--- a/internal/transport/hangup/hangup.go
+++ b/internal/transport/hangup/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup takes the signal to read settings anew from the first moment of a
-// process. It imports only the standard library, so that it is initialised before what
-// takes long.
+// Package hangup catches SIGHUP, the signal to reload settings, from the start of a
+// process. It imports only the standard library, so that it is initialised before the
+// packages whose initialisation takes long.
 package hangup
 
 import (
@@ -11,15 +11,16 @@
 
 var signals = make(chan os.Signal, 1)
 
-// Guard: a platform may change a settings file and signal a process that has just started. By default
-// the signal ends a process, so it is caught before settings are read.
+// A platform may change a settings file and signal a process that has just started. By
+// default the signal terminates the process, so it is caught before settings are read.
 func init() { signal.Notify(signals, syscall.SIGHUP) }
 
-// Received has the signals since the start, one for all that were not taken yet.
+// Received returns a channel of the signals since the start. Signals that have not been
+// read yet are merged into one.
 func Received() <-chan os.Signal { return signals }
 
-// Release gives the signal its usual effect, as for a command at a desk whose terminal is
-// closed, also if it came already.
+// Release restores the signal's default effect, which ends an interactive command when its
+// terminal is closed. A signal that has already been received takes effect as well.
 func Release() {
 	signal.Stop(signals)
 	select {
--- a/internal/transport/hangup/hangup_test.go
+++ b/internal/transport/hangup/hangup_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A process is told to read its settings anew before it has begun to read them. It must
-// live, and hear of it.
+// A process may get the signal to reload its settings before it has read them. It must not
+// terminate, and must still receive the signal later.
 func TestEarlySignalIsKept(t *testing.T) {
 	c := qt.New(t)
 	for range 3 {
@@ -20,13 +20,13 @@
 	select {
 	case <-Received():
 	case <-time.After(2 * time.Second):
-		c.Fatal("not heard")
+		c.Fatal("the signal was not received")
 	}
 }
 
-// A process ended by the signal in its first 5 ms: it listened after the packages of
-// metrics, messages and the command line were initialised. A package that needs one of
-// them is initialised after it.
+// The signal terminated processes in their first 5 ms, because it was caught only after the
+// packages for metrics, messages and the command line were initialised. A package that
+// imports one of them is initialised after it.
 func TestImportsOnlyStandardLibrary(t *testing.T) {
 	c := qt.New(t)
 	p, err := build.ImportDir(".", 0)
--- a/internal/transport/installation/idle_test.go
+++ b/internal/transport/installation/conn_limits_test.go
@@ -14,7 +14,7 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
 )
 
-// limitedServer is a server whose limits a test can change.
+// limitedServer is an HTTP server whose connection limits a test can change.
 type limitedServer struct {
 	address string
 	limits  atomic.Pointer[catalog.Limits]
@@ -35,7 +35,7 @@
 	return l
 }
 
-// sendRequest sends a request on a channel and reports whether it was answered.
+// sendRequest sends a request on a connection and reports whether it got a response.
 func sendRequest(c net.Conn, reader *bufio.Reader) bool {
 	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
 	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
@@ -49,42 +49,42 @@
 	return err == nil
 }
 
-// Operators change how long channels may be unused. A caller that keeps to four
-// fifths of the new limit must find its channel open, and one that does not, closed.
+// Operators change the idle timeout. A connection that is idle for four fifths of the new
+// timeout must stay open, and one that is idle for longer must be closed.
 func TestIdleConnectionsFollowDesiredState(t *testing.T) {
 	c := qt.New(t)
 	server := newLimitedServer(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: 200 * time.Millisecond})
 	for _, test := range []struct {
-		idle, pause time.Duration
-		open        bool
+		idleTimeout, pause time.Duration
+		open               bool
 	}{
 		{200 * time.Millisecond, 160 * time.Millisecond, true},
 		{200 * time.Millisecond, 600 * time.Millisecond, false},
 		{time.Second, 800 * time.Millisecond, true},
 	} {
-		server.limits.Store(&catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: test.idle})
-		channel, err := net.Dial("tcp4", server.address)
+		server.limits.Store(&catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: test.idleTimeout})
+		conn, err := net.Dial("tcp4", server.address)
 		c.Assert(err, qt.IsNil)
-		reader := bufio.NewReader(channel)
-		c.Assert(sendRequest(channel, reader), qt.IsTrue)
+		reader := bufio.NewReader(conn)
+		c.Assert(sendRequest(conn, reader), qt.IsTrue)
 		time.Sleep(test.pause)
-		c.Check(sendRequest(channel, reader), qt.Equals, test.open, qt.Commentf("%+v", test))
-		_ = channel.Close()
+		c.Check(sendRequest(conn, reader), qt.Equals, test.open, qt.Commentf("%+v", test))
+		_ = conn.Close()
 	}
 }
 
-// Someone opens channels and sends half a head on each; they must not be kept.
+// A client that sends incomplete request headers must not keep connections open.
 func TestSlowHeaderClosesConnection(t *testing.T) {
 	c := qt.New(t)
 	server := newLimitedServer(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: time.Minute})
-	channel, err := net.Dial("tcp4", server.address)
+	conn, err := net.Dial("tcp4", server.address)
 	c.Assert(err, qt.IsNil)
-	defer func() { _ = channel.Close() }()
-	_, err = io.WriteString(channel, "GET / HTTP/1.1\r\nHost:")
+	defer func() { _ = conn.Close() }()
+	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost:")
 	c.Assert(err, qt.IsNil)
-	_ = channel.SetReadDeadline(time.Now().Add(2 * time.Second))
-	began := time.Now()
-	_, err = channel.Read(make([]byte, 1))
+	_ = conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+	startedAt := time.Now()
+	_, err = conn.Read(make([]byte, 1))
 	c.Assert(err, qt.IsNotNil)
-	c.Assert(time.Since(began) < time.Second, qt.IsTrue)
+	c.Assert(time.Since(startedAt) < time.Second, qt.IsTrue)
 }
--- a/internal/transport/installation/installation.go
+++ b/internal/transport/installation/installation.go
@@ -1,5 +1,5 @@
-// Package installation starts the processes that run on a users' platform:
-// listeners, logs, metrics, settings that change, and the graceful stop.
+// Package installation runs entries and agents on a users' platform. It sets up listeners,
+// logs, metrics, reloading of settings and the graceful stop.
 package installation
 
 import (
@@ -26,16 +26,18 @@
 	"github.com/filbertlever/filbertlever/internal/transport/logsink"
 )
 
-// Times and sizes of listeners.
+// Limits of a process and its listeners.
 const (
 	maxHeaderBytes = 64 << 10
-	// memoryShare is the part of a host's memory that the collector aims for.
+	// memoryShare is the part of the host's memory that is set as the garbage collector's
+	// soft limit.
 	memoryShare = 0.6
-	// shutdownTimeout is left at the end of a stop to close what is idle.
+	// shutdownTimeout is the time at the end of a stop to finish responses and close idle
+	// connections.
 	shutdownTimeout = 500 * time.Millisecond
 )
 
-// process is what entries and agents have in common.
+// process holds what entries and agents have in common.
 type process struct {
 	log       *zap.Logger
 	level     zap.AtomicLevel
@@ -45,7 +47,7 @@
 	cleanups  []func()
 }
 
-// start prepares a process. Logs go to out.
+// start sets up a process whose log is written to out.
 func start(s *settings.Installation, role filbertlever.Role, out io.Writer) (*process, error) {
 	runtime.GOMAXPROCS(s.Machine.Cores)
 	if s.Machine.Memory > 0 {
@@ -82,7 +84,7 @@
 	return config
 }
 
-// close runs the clean-up functions, the last first.
+// close closes the servers and runs the cleanup functions in reverse order.
 func (p *process) close() {
 	for _, server := range p.servers {
 		_ = server.Close()
@@ -92,12 +94,12 @@
 	}
 }
 
-// listen serves on an address with fixed limits on channels.
+// listen serves on an address with the default connection limits.
 func (p *process) listen(address string, handler http.Handler) error {
 	return p.listenWithLimits(address, handler, func() catalog.Limits { return catalog.Limits{} })
 }
 
-// listenWithLimits serves on an address with limits that may change.
+// listenWithLimits serves on an address with connection limits that may change.
 func (p *process) listenWithLimits(address string, handler http.Handler, limits func() catalog.Limits) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -126,7 +128,7 @@
 	}
 }
 
-// shutdown lets answers that are being written go out.
+// shutdown waits until responses in flight are written, for at most shutdownTimeout.
 func (p *process) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -135,22 +137,22 @@
 	}
 }
 
-// reloadInterval is how often the settings file is looked at for changes that no
-// signal tells of.
+// reloadInterval is the interval between checks of the settings file for changes without a
+// signal.
 const reloadInterval = time.Second
 
-// settingsReloader follows a settings file.
+// settingsReloader reloads a settings file when it changes.
 type settingsReloader struct {
 	path    string
 	use     settings.Use
 	process *process
-	// reload is signalled when the file should be read again.
+	// reload is signalled when the file should be reloaded.
 	reload <-chan os.Signal
 	apply  func(*settings.Installation)
 }
 
-// run reads the file when it changes or a signal says so. A file with faults
-// is logged and changes nothing.
+// run reloads the file when it changes or on a signal. If the file is invalid, the error is
+// logged and the current settings stay active.
 func (r *settingsReloader) run(ctx context.Context) {
 	last := r.readStamp()
 	ticker := time.NewTicker(reloadInterval)
@@ -182,7 +184,7 @@
 	}
 }
 
-// fileStamp tells whether a file has changed.
+// fileStamp identifies a state of a file, to detect changes.
 type fileStamp struct {
 	size     int64
 	modified time.Time
--- a/internal/transport/installation/roles.go
+++ b/internal/transport/installation/roles.go
@@ -19,40 +19,42 @@
 	"github.com/filbertlever/filbertlever/internal/transport/sidecar"
 )
 
-// EntryPorts is what an entry needs of a platform.
+// EntryDependencies holds a platform's implementations of the interfaces that an entry
+// needs.
 type EntryPorts struct {
 	Store  gateway.Store
 	Codec  gateway.Codec
 	Sender gateway.Sender
 	Origin relay.Origin
-	// Routes adds the calls that the platform itself makes.
+	// Routes registers the handlers of requests from the platform itself.
 	Routes func(mux *http.ServeMux, g *gateway.Gateway)
 }
 
-// AgentPorts is what an agent needs of a platform.
+// AgentDependencies holds a platform's implementations of the interfaces that an agent
+// needs.
 type AgentPorts struct {
 	Engine  sidecar.Engine
 	Entries sidecar.EntryLister
 }
 
-// File is a settings file and how changes of it are told.
+// SettingsFile is the path of a settings file and the channel that triggers a reload.
 type File struct {
 	Path   string
 	Reload <-chan os.Signal
 }
 
-// Times of stops.
+// Timeouts of processes.
 const (
-	// acceptShare is the part of a stop in which new requests are still accepted, while
-	// callers learn to go elsewhere; the rest is for those under way.
+	// acceptShare is the part of the drain timeout in which new requests are still accepted
+	// while callers switch to other entries. The rest is for requests in flight.
 	acceptShare = 0.2
-	// stopMargin is left before the platform ends the process.
+	// stopMargin is the time reserved before the platform kills the process.
 	stopMargin = 500 * time.Millisecond
-	// peerTimeout bounds connections between processes.
+	// dialTimeout limits connection attempts between processes.
 	dialTimeout = 700 * time.Millisecond
 )
 
-// RunEntry runs an entry until ctx ends, then leaves.
+// RunEntry runs an entry until ctx is cancelled, then drains it.
 func RunEntry(ctx context.Context, s *settings.Installation, file File, ports EntryPorts) error {
 	p, err := start(s, filbertlever.RoleEntry, os.Stdout)
 	if err != nil {
@@ -63,9 +65,9 @@
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", s.Listen.Datagrams, err)
 	}
-	work, endWork := context.WithCancel(context.Background())
-	defer endWork()
-	g := gateway.New(work, gatewayConfig(s), ports.Store, ports.Codec, ports.Sender, ports.Origin, newClient(),
+	runCtx, cancelRun := context.WithCancel(context.Background())
+	defer cancelRun()
+	g := gateway.New(runCtx, gatewayConfig(s), ports.Store, ports.Codec, ports.Sender, ports.Origin, newClient(),
 		socket, p.log, p.registry, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	g.Register(p.registry)
 	if err := p.listenEntry(s, g, ports); err != nil {
@@ -73,23 +75,23 @@
 	}
 	r := &settingsReloader{path: file.Path, use: settings.UseEntry, process: p, reload: file.Reload,
 		apply: func(s *settings.Installation) { g.Reconfigure(gatewayConfig(s)) }}
-	go r.run(work)
+	go r.run(runCtx)
 	p.log.Info("started", zap.String("Callers", s.Listen.Callers), zap.String("Peers", s.Listen.Peers))
 	select {
 	case <-ctx.Done():
 	case err := <-p.serveErrs:
 		return err
 	}
-	leave, cancel := context.WithTimeout(context.Background(), time.Duration(s.Bounds.Stop)-stopMargin)
+	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Bounds.Stop)-stopMargin)
 	defer cancel()
-	g.Leave(leave)
+	g.Leave(drainCtx)
 	p.shutdown()
 	p.log.Info("stopped")
 	return nil
 }
 
-// listenEntry opens an entry's listeners. Calls that share an address share a
-// listener.
+// listenEntry opens an entry's listeners. The Ready and Locate handlers share a listener
+// if their addresses are equal.
 func (p *process) listenEntry(s *settings.Installation, g *gateway.Gateway, ports EntryPorts) error {
 	platform := http.NewServeMux()
 	ports.Routes(platform, g)
@@ -123,7 +125,7 @@
 	}
 }
 
-// newClient returns a client for calls between processes.
+// newClient returns an HTTP client for requests between processes.
 func newClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}}
@@ -131,7 +133,7 @@
 		DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 8, IdleConnTimeout: 30 * time.Second}}
 }
 
-// RunAgent runs an agent until ctx ends.
+// RunAgent runs an agent until ctx is cancelled.
 func RunAgent(ctx context.Context, s *settings.Installation, file File, ports AgentPorts) error {
 	p, err := start(s, filbertlever.RoleAgent, os.Stdout)
 	if err != nil {
@@ -142,20 +144,20 @@
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", s.Listen.Datagrams, err)
 	}
-	work, endWork := context.WithCancel(context.Background())
-	defer endWork()
-	agent := sidecar.New(work, sidecar.Config{
+	runCtx, cancelRun := context.WithCancel(context.Background())
+	defer cancelRun()
+	agent := sidecar.New(runCtx, sidecar.Config{
 		Site: s.Site, Service: s.ModelServer.Service, Address: s.ModelServer.Address, Seeds: s.Seeds,
 		Bound: time.Duration(s.Bounds.Version), FirstStart: s.FirstStart,
 	}, ports.Engine, ports.Entries, newClient(), socket, p.log, p.registry)
 	pieces := http.NewServeMux()
 	agent.Routes(pieces)
-	// Entries ask for pieces where the reports come from.
+	// Entries request pieces from the address that the agent's reports are sent from.
 	if err := p.listen(s.Listen.Datagrams, pieces); err != nil {
 		return err
 	}
 	r := &settingsReloader{path: file.Path, use: settings.UseAgent, process: p, reload: file.Reload, apply: func(*settings.Installation) {}}
-	go r.run(work)
+	go r.run(runCtx)
 	p.log.Info("started", zap.String("ModelServer", s.ModelServer.Address), zap.String("Service", s.ModelServer.Service))
 	select {
 	case <-ctx.Done():
--- a/internal/transport/logsink/logsink.go
+++ b/internal/transport/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without ever making their author wait: lines
-// go through a bounded queue, and what does not fit is counted and dropped.
+// Package logsink writes log lines without blocking the caller. Lines go through a bounded
+// queue, and lines that do not fit are counted and dropped.
 package logsink
 
 import (
@@ -7,11 +7,11 @@
 	"sync/atomic"
 )
 
-// maxQueuedLines bounds the lines that wait; at about 300 bytes a line it is 1.2 MB.
+// maxQueuedLines is the capacity of the queue: 1.2 MB at about 300 bytes per line.
 const maxQueuedLines = 4096
 
-// writeBatchBytes is how much is gathered for one write, so that a busy process
-// makes few system calls for its log.
+// writeBatchBytes is the approximate size of one write, so that a busy process makes few
+// system calls for its log.
 const writeBatchBytes = 16 << 10
 
 // Sink is an io.Writer whose Write never blocks.
@@ -23,8 +23,8 @@
 	dropped atomic.Int64
 }
 
-// New starts a sink that writes to out. The returned function flushes what
-// waits and stops it.
+// New starts a sink that writes to out. The returned function flushes the queued lines and
+// stops the sink.
 func New(out io.Writer) (*Sink, func()) {
 	s := &Sink{out: out, lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), stopped: make(chan struct{})}
 	go s.run()
@@ -44,7 +44,7 @@
 // Sync is part of zapcore.WriteSyncer; the sink flushes when it is stopped.
 func (s *Sink) Sync() error { return nil }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 func (s *Sink) run() {
@@ -54,7 +54,7 @@
 		select {
 		case line := <-s.lines:
 			batch = s.appendQueued(append(batch[:0], line...))
-			// A log that cannot be written has nowhere to say so.
+			// An error cannot be logged, because this is the log.
 			_, _ = s.out.Write(batch)
 		case <-s.stop:
 			for batch = s.appendQueued(batch[:0]); len(batch) > 0; batch = s.appendQueued(batch[:0]) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// appendQueued appends the lines that wait, up to about batchBytes.
+// appendQueued appends the queued lines to batch, up to about writeBatchBytes.
 func (s *Sink) appendQueued(batch []byte) []byte {
 	for len(batch) < writeBatchBytes {
 		select {
--- a/internal/transport/logsink/logsink_test.go
+++ b/internal/transport/logsink/logsink_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// blockedOutput is an output that takes nothing until it is released.
+// blockedOutput is an output whose writes block until it is released.
 type blockedOutput struct {
 	release chan struct{}
 	written bytes.Buffer
@@ -20,8 +20,8 @@
 	return s.written.Write(p)
 }
 
-// Requests hang because whoever reads the log does not. Lines beyond the queue
-// are dropped and counted, and writing one never waits.
+// Requests would hang if the reader of the log stopped reading. Lines beyond the queue's
+// capacity must be dropped and counted, and a write must never block.
 func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	c := qt.New(t)
 	out := &blockedOutput{release: make(chan struct{})}
@@ -39,7 +39,7 @@
 	c.Assert(sink.Dropped() > 0, qt.IsTrue)
 }
 
-// A process that stops must not lose its last lines.
+// A process that stops must still write its last lines.
 func TestStopFlushesQueue(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
--- a/internal/transport/network/network.go
+++ b/internal/transport/network/network.go
@@ -1,5 +1,5 @@
-// Package network is how processes listen and connect, so that tests can put
-// links with faults in place of TCP.
+// Package network abstracts listening and dialing, so that tests can replace TCP with
+// faulty links.
 package network
 
 import (
@@ -14,9 +14,9 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// TCP is the real network.
+// TCP is the Network of the operating system.
 type TCP struct {
-	// DialTimeout bounds a connection attempt.
+	// DialTimeout limits one connection attempt.
 	DialTimeout time.Duration
 }
 
