--- a/internal/transport/sidecar/boots.go
+++ b/internal/transport/sidecar/boots.go
@@ -52,9 +52,9 @@
 // lock. Pieces and manifests are kept because they are on the host, and staged pieces are
 // read back before each load.
 //
-// A restarted server has no models and no requests. Without this, the agent waited for
-// the previous boot's turn, fetched at the rate of a serving server, and had entries hold
-// back requests for a switchover that the new boot does not make.
+// A restarted server has no models and no requests. Without this, the agent waited for the
+// switchover scheduled for the previous boot, fetched at the rate of a serving server, and
+// made entries hold back requests for a switchover that the new boot does not make.
 func (s *Sidecar) handleRestart(previous catalog.Boot, report *Report) {
 	s.log.Info("model server restarted", zap.Int64("Before", int64(previous)), zap.Int64("After", int64(report.Boot)),
 		zap.Int("Held", len(s.report.Models)), zap.Int("Holds", len(report.Models)))
--- a/internal/transport/sidecar/fetch.go
+++ b/internal/transport/sidecar/fetch.go
@@ -265,9 +265,9 @@
 		zap.Int("Staged", len(staged)), zap.Int("Taken", reused))
 }
 
-// stageComplete stages a complete version before the server's turn to load it.
+// stageComplete stages a complete version before the server's scheduled switchover.
 //
-// All processes may lose power while servers wait for their turn. Pieces in an agent's
+// All processes may lose power while servers wait for their switchovers. Pieces in an agent's
 // memory are then lost, but staged ones survive. A server that crashes in the meantime
 // loads the newer version, which is acceptable because that version is wanted as well.
 func (f *fetchTask) stageComplete(ctx context.Context, manifest *relay.Manifest) {
