--- /dev/null
+++ b/internal/transport/installation/conn_limits_test.go
@@ -0,0 +1,90 @@
+package installation
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"github.com/filbertlever/filbertlever/internal/coordination/catalog"
+)
+
+// limitedServer is an HTTP server whose connection limits a test can change.
+type limitedServer struct {
+	address string
+	limits  atomic.Pointer[catalog.Limits]
+}
+
+func newLimitedServer(t *testing.T, limits catalog.Limits) *limitedServer {
+	l := &limitedServer{}
+	l.limits.Store(&limits)
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	qt.Assert(t, err, qt.IsNil)
+	l.address = listener.Addr().String()
+	server := &http.Server{
+		Handler:   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }),
+		ConnState: newConnLimits(func() catalog.Limits { return *l.limits.Load() }).onStateChange,
+	}
+	go func() { _ = server.Serve(listener) }()
+	t.Cleanup(func() { _ = server.Close() })
+	return l
+}
+
+// sendRequest sends a request on a connection and reports whether it got a response.
+func sendRequest(c net.Conn, reader *bufio.Reader) bool {
+	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
+	if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
+		return false
+	}
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		return false
+	}
+	_, err = io.ReadAll(response.Body)
+	return err == nil
+}
+
+// Operators change the idle timeout. A connection that is idle for four fifths of the new
+// timeout must stay open, and one that is idle for longer must be closed.
+func TestIdleConnectionsFollowDesiredState(t *testing.T) {
+	c := qt.New(t)
+	server := newLimitedServer(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: 200 * time.Millisecond})
+	for _, test := range []struct {
+		idleTimeout, pause time.Duration
+		open               bool
+	}{
+		{200 * time.Millisecond, 160 * time.Millisecond, true},
+		{200 * time.Millisecond, 600 * time.Millisecond, false},
+		{time.Second, 800 * time.Millisecond, true},
+	} {
+		server.limits.Store(&catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: test.idleTimeout})
+		conn, err := net.Dial("tcp4", server.address)
+		c.Assert(err, qt.IsNil)
+		reader := bufio.NewReader(conn)
+		c.Assert(sendRequest(conn, reader), qt.IsTrue)
+		time.Sleep(test.pause)
+		c.Check(sendRequest(conn, reader), qt.Equals, test.open, qt.Commentf("%+v", test))
+		_ = conn.Close()
+	}
+}
+
+// A client that sends incomplete request headers must not keep connections open.
+func TestSlowHeaderClosesConnection(t *testing.T) {
+	c := qt.New(t)
+	server := newLimitedServer(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: time.Minute})
+	conn, err := net.Dial("tcp4", server.address)
+	c.Assert(err, qt.IsNil)
+	defer func() { _ = conn.Close() }()
+	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost:")
+	c.Assert(err, qt.IsNil)
+	_ = conn.SetReadDeadline(time.Now().Add(2 * time.Second))
+	startedAt := time.Now()
+	_, err = conn.Read(make([]byte, 1))
+	c.Assert(err, qt.IsNotNil)
+	c.Assert(time.Since(startedAt) < time.Second, qt.IsTrue)
+}
--- a/internal/transport/logsink/logsink.go
+++ b/internal/transport/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without ever making their author wait: lines
-// go through a bounded queue, and what does not fit is counted and dropped.
+// Package logsink writes log lines without blocking the caller. Lines go through a bounded
+// queue, and lines that do not fit are counted and dropped.
 package logsink
 
 import (
@@ -7,28 +7,28 @@
 	"sync/atomic"
 )
 
-// queueLines bounds the lines that wait; at about 300 bytes a line it is 1.2 MB.
-const queueLines = 4096
+// maxQueuedLines is the capacity of the queue: 1.2 MB at about 300 bytes per line.
+const maxQueuedLines = 4096
 
-// batchBytes is how much is gathered for one write, so that a busy process
-// makes few system calls for its log.
-const batchBytes = 16 << 10
+// writeBatchBytes is the approximate size of one write, so that a busy process makes few
+// system calls for its log.
+const writeBatchBytes = 16 << 10
 
 // Sink is an io.Writer whose Write never blocks.
 type Sink struct {
 	out     io.Writer
 	lines   chan []byte
-	done    chan struct{}
-	ended   chan struct{}
+	stop    chan struct{}
+	stopped chan struct{}
 	dropped atomic.Int64
 }
 
-// New starts a sink that writes to out. The returned function flushes what
-// waits and stops it.
+// New starts a sink that writes to out. The returned function flushes the queued lines and
+// stops the sink.
 func New(out io.Writer) (*Sink, func()) {
-	s := &Sink{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{}), ended: make(chan struct{})}
+	s := &Sink{out: out, lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), stopped: make(chan struct{})}
 	go s.run()
-	return s, func() { close(s.done); <-s.ended }
+	return s, func() { close(s.stop); <-s.stopped }
 }
 
 // Write queues a copy of line; it is dropped and counted if the queue is full.
@@ -44,20 +44,20 @@
 // Sync is part of zapcore.WriteSyncer; the sink flushes when it is stopped.
 func (s *Sink) Sync() error { return nil }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 func (s *Sink) run() {
-	defer close(s.ended)
-	batch := make([]byte, 0, batchBytes)
+	defer close(s.stopped)
+	batch := make([]byte, 0, writeBatchBytes)
 	for {
 		select {
 		case line := <-s.lines:
-			batch = s.gather(append(batch[:0], line...))
-			// A log that cannot be written has nowhere to say so.
+			batch = s.appendQueued(append(batch[:0], line...))
+			// An error cannot be logged, because this is the log.
 			_, _ = s.out.Write(batch)
-		case <-s.done:
-			for batch = s.gather(batch[:0]); len(batch) > 0; batch = s.gather(batch[:0]) {
+		case <-s.stop:
+			for batch = s.appendQueued(batch[:0]); len(batch) > 0; batch = s.appendQueued(batch[:0]) {
 				_, _ = s.out.Write(batch)
 			}
 			return
@@ -65,9 +65,9 @@
 	}
 }
 
-// gather appends the lines that wait, up to about batchBytes.
-func (s *Sink) gather(batch []byte) []byte {
-	for len(batch) < batchBytes {
+// appendQueued appends the queued lines to batch, up to about writeBatchBytes.
+func (s *Sink) appendQueued(batch []byte) []byte {
+	for len(batch) < writeBatchBytes {
 		select {
 		case line := <-s.lines:
 			batch = append(batch, line...)
