--- a/internal/transport/agent/agent.go
+++ b/internal/transport/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is the process beside each backend server: the only door to
-// it. It queues and runs requests, is the gate of orders, fetches, verifies
-// and serves weights, and alone gives orders to its engine.
+// Package agent implements the process that runs beside each backend server
+// and through which all access to it goes. The agent queues and runs requests,
+// runs each order at most once, fetches, verifies and serves weights, and is
+// the only process that sends commands to its engine.
 package agent
 
 import (
@@ -28,169 +29,176 @@
 	"github.com/filbertlever/filbertlever/internal/transport/weights"
 )
 
-// Platform is what an agent reads and writes of the platform.
+// Platform is the part of the platform's API that an agent uses.
 type Platform interface {
 	Get(ctx context.Context, keys ...string) ([]platform.Row, error)
 	Commit(ctx context.Context, writes ...platform.Write) (bool, []uint64, []platform.Row, error)
 	GetObject(ctx context.Context, key string) ([]byte, error)
 }
 
-// Config is an agent's part of the settings.
+// Config holds the settings of an agent.
 type Config struct {
 	Host filbertlever.Host
-	// EngineURL and ServiceURL say where the backend server is; one is empty.
+	// EngineURL and ServiceURL are the addresses of a model engine and of a
+	// plain service. An agent has one of them; the other is empty.
 	EngineURL  string
 	ServiceURL string
-	// WeightsURL is where the engine reads weights from this agent.
+	// WeightsURL is the base URL from which the engine reads weights from this
+	// agent.
 	WeightsURL string
 	Origin     string
 	Store      string
 	Network    network.Network
-	// Link is the pace of weights on this host's link, each way.
+	// Link limits the bandwidth of weight transfers on this host's link,
+	// separately for each direction.
 	Link  distribution.Pace
 	Fetch weights.FetchConfig
 }
 
-// Agent is the agent's process. It is safe for concurrent use.
+// Agent serves the requests for one backend server and manages its weights. It
+// is safe for concurrent use.
 type Agent struct {
-	config   Config
-	node     *node.Node
-	platform Platform
-	log      *zap.Logger
-	metrics  *metrics
-	plain    *http.Client
-	engine   enginev1connect.EngineServiceClient
-	service  servicev1connect.PlainServiceClient
-	sets     *weights.Library
-	server   *weights.Server
-	fetcher  *weights.Fetcher
-	in, out  *weights.Limiter
-	door     *door
-	gates    *gates
-	loader   *loader
-	reporter *reporter
+	config            Config
+	node              *node.Node
+	platform          Platform
+	log               *zap.Logger
+	metrics           *metrics
+	httpClient        *http.Client
+	engine            enginev1connect.EngineServiceClient
+	service           servicev1connect.PlainServiceClient
+	library           *weights.Library
+	server            *weights.Server
+	fetcher           *weights.Fetcher
+	inbound, outbound *weights.Limiter
+	queue             *requestQueue
+	gates             *orderGates
+	loader            *loader
+	reporter          *reporter
 }
 
-// New returns an agent over a node.
+// New returns an agent that uses n to communicate with other processes.
 func New(config Config, n *node.Node, client Platform, log *zap.Logger, m *metrics) *Agent {
-	plain := &http.Client{Transport: &http.Transport{DialContext: config.Network.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute}}
+	httpClient := &http.Client{Transport: &http.Transport{DialContext: config.Network.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Minute}}
 	a := &Agent{
-		config:   config,
-		node:     n,
-		platform: client,
-		log:      log,
-		metrics:  m,
-		plain:    plain,
-		in:       weights.NewLimiter(config.Link),
-		out:      weights.NewLimiter(config.Link),
-		door:     newDoor(),
-		gates:    newGates(n.Incarnation()),
+		config:     config,
+		node:       n,
+		platform:   client,
+		log:        log,
+		metrics:    m,
+		httpClient: httpClient,
+		inbound:    weights.NewLimiter(config.Link),
+		outbound:   weights.NewLimiter(config.Link),
+		queue:      newRequestQueue(),
+		gates:      newGates(n.Incarnation()),
 	}
-	a.sets = weights.NewLibrary(state.NewChunks())
-	a.server = weights.NewServer(a.sets, a.out)
-	sources := &weights.HTTPSources{Peers: a, Origin: config.Origin, Store: config.Store, Client: plain, Pacer: a.in}
+	a.library = weights.NewLibrary(state.NewChunks())
+	a.server = weights.NewServer(a.library, a.outbound)
+	sources := &weights.HTTPSources{Peers: a, Origin: config.Origin, Store: config.Store, Client: httpClient, Pacer: a.inbound}
 	self := distribution.Peer{ID: config.Host.ID, Site: config.Host.Site}
-	a.fetcher = weights.NewFetcher(config.Fetch, self, a.sets, sources, log)
+	a.fetcher = weights.NewFetcher(config.Fetch, self, a.library, sources, log)
 	if config.EngineURL != "" {
-		a.engine = enginev1connect.NewEngineServiceClient(plain, config.EngineURL)
+		a.engine = enginev1connect.NewEngineServiceClient(httpClient, config.EngineURL)
 	}
 	if config.ServiceURL != "" {
-		a.service = servicev1connect.NewPlainServiceClient(plain, config.ServiceURL)
+		a.service = servicev1connect.NewPlainServiceClient(httpClient, config.ServiceURL)
 	}
 	a.loader = newLoader(a)
 	a.reporter = newReporter(a)
-	n.OnAdopted(a.adopted)
+	n.OnAdopted(a.applyBundle)
 	n.AddMethod(control.MethodRecorded, a.handleRecorded)
 	return a
 }
 
-// Peer returns the client and address for a host, for fetching weights.
+// Peer returns the HTTP client and base URL for fetching weights from a host.
 func (a *Agent) Peer(host filbertlever.HostID) (*http.Client, string, bool) {
 	address, ok := a.node.PeerAddress(host)
 	return a.node.Clients().For(host), "https://" + address, ok
 }
 
-// Routes adds the agent's paths for other processes to a mux.
+// Routes registers the handlers for other processes on a mux.
 func (a *Agent) Routes(mux *http.ServeMux) {
-	path, handler := peerv1connect.NewAgentServiceHandler(a, connect.WithReadMaxBytes(maxMessage), connect.WithCompressMinBytes(compressLeast))
+	path, handler := peerv1connect.NewAgentServiceHandler(a, connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(minCompressBytes))
 	mux.Handle(path, peer.Allow(handler, peer.RoleEntry))
 	a.server.Routes(mux, func(next http.Handler) http.Handler { return peer.Allow(next, peer.RoleAgent) })
 	mux.Handle(peer.ControlPath, a.node.Control())
 }
 
-// maxMessage bounds a message of an entry.
-const maxMessage = 4 << 20
+// maxMessageBytes is the maximum size of a message from an entry.
+const maxMessageBytes = 4 << 20
 
-// compressLeast keeps single tokens from being compressed.
-const compressLeast = 8 << 10
+// minCompressBytes is the smallest message that is compressed, so that messages
+// with single tokens are not.
+const minCompressBytes = 8 << 10
 
-// EngineRoutes adds the paths that the engine on this host reads.
+// EngineRoutes registers the handlers that the engine on this host uses.
 func (a *Agent) EngineRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+weights.PathWhole+"{digest}", a.server.Whole)
 }
 
-// Serve works until ctx ends.
+// Serve runs the agent until ctx is done.
 func (a *Agent) Serve(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { a.node.Run(ctx) })
 	group.Go(func() { a.reporter.run(ctx) })
-	group.Go(func() { a.door.run(ctx, a.setLive) })
+	group.Go(func() { a.queue.run(ctx, a.onLoad) })
 	group.Go(func() { a.gates.run(ctx) })
 	if a.engine != nil {
 		group.Go(func() { a.loader.run(ctx) })
 	}
 	group.Wait()
-	a.plain.CloseIdleConnections()
+	a.httpClient.CloseIdleConnections()
 }
 
-// setLive paces weights under the requests that run, and has entries told of a
-// load that is far from what they were told last.
-func (a *Agent) setLive(load control.Load) {
-	a.in.SetLive(load.Running)
-	a.out.SetLive(load.Running)
-	if a.reporter.stale(load) {
-		a.reporter.poke()
+// onLoad adapts the bandwidth of weight transfers to the number of running
+// requests, and triggers a report if the load differs much from the one last
+// reported.
+func (a *Agent) onLoad(load control.Load) {
+	a.inbound.SetLive(load.Running)
+	a.outbound.SetLive(load.Running)
+	if a.reporter.loadChanged(load) {
+		a.reporter.trigger()
 	}
 }
 
-// Leave carries out the planned stop and returns once nothing is left to do.
+// Leave carries out a planned stop. It returns when no request is left, or when
+// ctx is done.
 func (a *Agent) Leave(ctx context.Context) {
 	a.node.AnnounceStop()
-	a.reporter.poke()
-	moved := false
+	a.reporter.trigger()
+	interrupted := false
 	for {
-		work := a.door.work() + a.gates.running()
-		phase := a.node.AdvanceStop(work)
+		unfinished := a.queue.inFlight() + a.gates.running()
+		phase := a.node.AdvanceStop(unfinished)
 		if phase >= drain.PhaseRefusing {
-			a.door.flush()
+			a.queue.refuseWaiting()
 		}
-		if phase == drain.PhaseMoving && !moved {
-			moved = true
-			a.door.move()
+		if phase == drain.PhaseMoving && !interrupted {
+			interrupted = true
+			a.queue.interruptRunning()
 		}
 		if phase == drain.PhaseDone {
-			a.log.Info("stop complete")
+			a.log.Info("planned stop complete")
 			return
 		}
 		select {
 		case <-ctx.Done():
-			a.log.Warn("stop cut short", zap.Int("Work", work))
+			a.log.Warn("planned stop aborted with unfinished requests", zap.Int("Work", unfinished))
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// Ready returns nil if this agent can serve.
+// Ready returns nil if this agent can serve requests.
 func (a *Agent) Ready() error { return a.node.Ready() }
 
-// adopted puts a new bundle's settings in force here.
-func (a *Agent) adopted(current *state.Current) {
+// applyBundle applies the settings of a newly active bundle.
+func (a *Agent) applyBundle(current *state.Current) {
 	if pool, ok := current.Bundle.Pool(a.config.Host.Pool); ok {
-		a.door.resize(pool.Concurrency, pool.Queue)
+		a.queue.resize(pool.Concurrency, pool.Queue)
 	}
-	a.loader.poke()
-	a.reporter.poke()
+	a.loader.trigger()
+	a.reporter.trigger()
 }
 
 var errNotSent = errors.New("not sent")
--- a/internal/transport/agent/attestation.go
+++ b/internal/transport/agent/attestation.go
@@ -10,50 +10,51 @@
 	enginev1 "github.com/filbertlever/filbertlever/internal/protocol/engine/v1"
 )
 
-// attest compares what the engine says it has loaded with what is live.
+// attest compares the weights that the engine has loaded with those recorded as
+// live, at most once per attestInterval and with one call in flight.
 func (l *loader) attest(ctx context.Context, now time.Time) {
 	l.mu.Lock()
-	due := !l.asking && now.Sub(l.attested) >= attestEvery
+	due := !l.attesting && now.Sub(l.attestedAt) >= attestInterval
 	if due {
-		l.asking = true
-		l.attested = now
+		l.attesting = true
+		l.attestedAt = now
 	}
 	l.mu.Unlock()
 	if due {
-		q := attestation{loader: l}
-		go q.run(ctx)
+		check := attestation{loader: l}
+		go check.reconcile(ctx)
 	}
 }
 
-// attestation asks the engine once.
+// attestation is one query of the engine's status.
 type attestation struct {
 	loader *loader
 }
 
-func (q *attestation) run(ctx context.Context) {
-	l := q.loader
+func (c *attestation) reconcile(ctx context.Context) {
+	l := c.loader
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	l.mu.Lock()
-	orders := l.orders
+	finishedLoads := l.finishedLoads
 	l.mu.Unlock()
 	status, err := l.agent.engine.Status(ctx, connect.NewRequest(&enginev1.StatusRequest{}))
 	l.mu.Lock()
-	l.asking = false
+	l.attesting = false
 	changed := false
-	// An answer from before the last order would lack the weights just
-	// loaded and have them loaded again.
-	if err == nil && orders == l.orders {
+	// A status taken before the latest load ended lacks the weights just
+	// loaded, which would then be loaded a second time.
+	if err == nil && finishedLoads == l.finishedLoads {
 		var loaded []filbertlever.Digest
 		for _, w := range status.Msg.Loaded {
 			loaded = append(loaded, filbertlever.Digest(w.Digest))
 		}
-		changed = l.sets.Attested(loaded)
+		changed = l.placements.Attested(loaded)
 	}
 	l.mu.Unlock()
 	if changed {
-		l.agent.log.Warn("engine lost weights; loading them again")
-		l.poke()
-		l.agent.reporter.poke()
+		l.agent.log.Warn("engine no longer has live weights loaded, reloading them")
+		l.trigger()
+		l.agent.reporter.trigger()
 	}
 }
--- a/internal/transport/agent/gates.go
+++ b/internal/transport/agent/gates.go
@@ -9,8 +9,9 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/order"
 )
 
-// gates are the order gate in shards, each under its own lock.
-type gates struct {
+// orderGates is the order gate divided into shards, each with its own lock to
+// reduce contention.
+type orderGates struct {
 	shards [gateShards]gateShard
 }
 
@@ -20,21 +21,22 @@
 }
 
 const (
-	gateShards  = 16
-	gateKeep    = 10 * time.Minute
-	expireGates = time.Minute
+	gateShards         = 16
+	gateRetention      = 10 * time.Minute
+	gateExpireInterval = time.Minute
 )
 
-func newGates(incarnation filbertlever.Incarnation) *gates {
-	g := &gates{}
+func newGates(incarnation filbertlever.Incarnation) *orderGates {
+	g := &orderGates{}
 	for i := range g.shards {
-		g.shards[i].gate = order.NewGate(incarnation, gateKeep)
+		g.shards[i].gate = order.NewGate(incarnation, gateRetention)
 	}
 	return g
 }
 
-// with calls use with the gate of a key, under its lock.
-func (g *gates) with(key order.Key, use func(*order.Gate)) {
+// withGate calls use with the gate that is responsible for a key, while holding
+// the lock of its shard.
+func (g *orderGates) withGate(key order.Key, use func(*order.Gate)) {
 	hash := uint32(2166136261)
 	for _, c := range []byte(string(key.Organisation) + "\x00" + key.Key) {
 		hash = (hash ^ uint32(c)) * 16777619
@@ -45,7 +47,8 @@
 	use(shard.gate)
 }
 
-func (g *gates) running() int {
+// running returns the number of orders that have started and not ended.
+func (g *orderGates) running() int {
 	total := 0
 	for i := range g.shards {
 		g.shards[i].mu.Lock()
@@ -55,8 +58,9 @@
 	return total
 }
 
-func (g *gates) run(ctx context.Context) {
-	ticker := time.NewTicker(expireGates)
+// run periodically removes expired orders until ctx is done.
+func (g *orderGates) run(ctx context.Context) {
+	ticker := time.NewTicker(gateExpireInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/transport/agent/enginelease.go
+++ b/internal/transport/agent/lease.go
@@ -15,33 +15,36 @@
 	return l.lease.Fence()
 }
 
-// pause returns how long a new holder waits for the one before.
-func (l *loader) pause() time.Duration {
+// handoverDelay returns how long a new holder must wait before its first
+// command, until the confirmation of the previous holder has expired.
+func (l *loader) handoverDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lease.Pause(time.Now(), l.engineChecks())
+	return l.lease.Pause(time.Now(), l.engineChecksFencing())
 }
 
-// confirm returns the fencing number if this agent may act now. Orders are
-// rare, so the platform is asked each time; only while it cannot be reached
-// does an earlier confirmation count.
+// confirmLease returns the fencing number if this agent may send a command to
+// the engine now. Commands are rare, so the lease is renewed at the platform
+// each time. An earlier confirmation is used only while the platform is
+// unreachable.
 //
-// An agent that was paused and replaced wakes and acts as if it still held the
-// lease; once another holder was seen, no order is given any more.
-func (l *loader) confirm(ctx context.Context) (uint64, error) {
+// An agent that was paused and replaced would continue as if it still held the
+// lease. Once another holder has been observed, the agent therefore sends no
+// more commands.
+func (l *loader) confirmLease(ctx context.Context) (uint64, error) {
 	l.mu.Lock()
 	fence, lost := l.lease.Fence(), l.lease.Lost()
 	l.mu.Unlock()
 	if lost {
 		return 0, errLeaseLost
 	}
-	if err := l.renew(ctx, fence == 0); err != nil {
+	if err := l.renewLease(ctx, fence == 0); err != nil {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.lease.MayActAlone(l.engineChecks()) {
+		if l.lease.MayActAlone(l.engineChecksFencing()) {
 			return l.lease.Fence(), nil
 		}
-		return 0, fmt.Errorf("%w: %w", errLeaseLapsed, err)
+		return 0, fmt.Errorf("%w: %w", errLeaseUnconfirmed, err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,7 +57,8 @@
 	return l.lease.Fence(), nil
 }
 
-func (l *loader) engineChecks() bool {
+// engineChecksFencing reports whether the engine refuses stale fencing numbers.
+func (l *loader) engineChecksFencing() bool {
 	current := l.agent.node.Current()
 	if current == nil {
 		return false
@@ -63,8 +67,9 @@
 	return pool.ChecksFencing
 }
 
-// renew reads the lease row and, if acquire is set, takes the next number.
-func (l *loader) renew(ctx context.Context, acquire bool) error {
+// renewLease reads the lease row and, if acquire is set, acquires the lease with
+// the next fencing number.
+func (l *loader) renewLease(ctx context.Context, acquire bool) error {
 	key := platform.KeyLease(l.agent.config.Host.ID)
 	sent := time.Now()
 	rows, err := l.agent.platform.Get(ctx, key)
@@ -85,7 +90,7 @@
 			return err
 		}
 		if !applied {
-			return errOrderLapsing
+			return errLeaseConflict
 		}
 		record = next
 	}
--- a/internal/transport/agent/loader.go
+++ b/internal/transport/agent/loader.go
@@ -20,74 +20,77 @@
 	"github.com/filbertlever/filbertlever/internal/transport/weights"
 )
 
-// Times of the loader.
+// Intervals, timeouts and limits of the loader.
 const (
-	leaseTTL      = 5 * time.Second
-	leasePause    = time.Second
-	lookEvery     = 100 * time.Millisecond
-	attestEvery   = time.Second
-	engineTimeout = 2 * time.Second
-	loadTimeout   = 10 * time.Minute
-	manifestPause = 100 * time.Millisecond
-	manifestTries = 3
-	hostsPatience = 3 * time.Second
+	leaseTTL              = 5 * time.Second
+	processPauseThreshold = time.Second
+	loaderInterval        = 100 * time.Millisecond
+	attestInterval        = time.Second
+	engineTimeout         = 2 * time.Second
+	loadTimeout           = 10 * time.Minute
+	transferRetryDelay    = 100 * time.Millisecond
+	maxManifestPeers      = 3
+	hostListTimeout       = 3 * time.Second
 )
 
 var (
-	errLeaseLost    = errors.New("lease lost to another holder")
-	errLeaseLapsed  = errors.New("lease cannot be confirmed after a pause")
-	errNoManifest   = errors.New("nobody has the manifest")
-	errStaleOrder   = errors.New("lease lapsed while the engine carried out the order")
-	errNotAcquired  = errors.New("lease not acquired, or the answer took too long")
-	errOrderLapsing = errors.New("order superseded")
+	errLeaseLost              = errors.New("lease lost to another holder")
+	errLeaseUnconfirmed       = errors.New("lease cannot be confirmed after a pause")
+	errNoManifest             = errors.New("no peer has the manifest")
+	errLeaseExpiredDuringLoad = errors.New("lease lapsed while the engine carried out the order")
+	errNotAcquired            = errors.New("lease not acquired, or the answer took too long")
+	errLeaseConflict          = errors.New("order superseded")
 )
 
-// loader carries the wanted weights to the engine.
+// loader fetches the weights that the bundle assigns to this host and loads them
+// into the engine.
 type loader struct {
 	agent *Agent
 	wake  chan struct{}
 
-	mu    sync.Mutex
-	sets  placement.Loader
-	lease *lease.Lease
-	// fetching holds the cancel function of each transfer under way.
+	mu         sync.Mutex
+	placements placement.Loader
+	lease      *lease.Lease
+	// fetching holds the cancel function of each transfer in flight.
 	fetching map[placement.Weights]context.CancelFunc
-	// wanted is the bundle version that sets were last set from.
-	wanted uint64
-	// attested is when the engine was last asked what it has loaded.
-	attested time.Time
-	// asking is true while the engine is asked.
-	asking bool
-	// started is when this life began.
-	started time.Time
-	// orders counts orders to the engine that ended.
-	orders int
+	// bundleVersion is the version of the bundle last applied to placements.
+	bundleVersion uint64
+	// attestedAt is when the engine's status was last requested.
+	attestedAt time.Time
+	// attesting is true while a status request is in flight.
+	attesting bool
+	// startedAt is when this process started.
+	startedAt time.Time
+	// finishedLoads counts the load commands that ended, successfully or not.
+	finishedLoads int
 }
 
 func newLoader(a *Agent) *loader {
 	return &loader{
-		agent:    a,
-		wake:     make(chan struct{}, 1),
-		started:  time.Now(),
-		lease:    lease.New(a.node.Incarnation(), leaseTTL),
-		fetching: map[placement.Weights]context.CancelFunc{},
+		agent:     a,
+		wake:      make(chan struct{}, 1),
+		startedAt: time.Now(),
+		lease:     lease.New(a.node.Incarnation(), leaseTTL),
+		fetching:  map[placement.Weights]context.CancelFunc{},
 	}
 }
 
-func (l *loader) poke() {
+// trigger wakes run ahead of its next interval.
+func (l *loader) trigger() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// live returns the live weights that a request must run on.
-func (l *loader) live(message *peerv1.RunRequest) (placement.Progress, bool) {
+// liveWeights returns the live weights that a request needs, or false if they
+// are not live here.
+func (l *loader) liveWeights(message *peerv1.RunRequest) (placement.Progress, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	manifest := filbertlever.Digest(message.VersionDigest)
 	adapter := filbertlever.Digest(message.AdapterDigest)
-	for _, p := range l.sets.Live() {
+	for _, p := range l.placements.Live() {
 		if adapter == "" && p.Weights.Manifest == manifest && p.Weights.Kind == placement.KindModel {
 			return p, true
 		}
@@ -98,18 +101,19 @@
 	return placement.Progress{}, false
 }
 
+// report returns the live weights and the progress of all assigned weights.
 func (l *loader) report() ([]control.LiveWeights, []control.Progress) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var live []control.LiveWeights
-	for _, p := range l.sets.Live() {
+	for _, p := range l.placements.Live() {
 		live = append(live, control.LiveWeights{
 			Model: p.Weights.Model, Version: p.Weights.Version, Manifest: p.Weights.Manifest, Base: p.Weights.Base,
 		})
 	}
 	var progress []control.Progress
-	for _, p := range l.sets.All() {
-		held, chunks := l.agent.sets.Held(p.Weights.Manifest)
+	for _, p := range l.placements.All() {
+		held, chunks := l.agent.library.Held(p.Weights.Manifest)
 		progress = append(progress, control.Progress{
 			Model: p.Weights.Model, Version: p.Weights.Version, Manifest: p.Weights.Manifest,
 			Stage: p.Stage, Held: held, Chunks: chunks, Failures: p.Failures, Reason: p.Reason,
@@ -118,77 +122,80 @@
 	return live, progress
 }
 
-// run looks for work until ctx ends.
+// run applies new bundles, starts transfers and loads, and checks the engine
+// until ctx is done.
 func (l *loader) run(ctx context.Context) {
 	for {
 		now := time.Now()
 		l.mu.Lock()
-		l.lease.Tick(now, leasePause)
+		l.lease.Tick(now, processPauseThreshold)
 		l.mu.Unlock()
 		if current := l.agent.node.Current(); current != nil {
-			l.want(current)
-			l.fetch(ctx, current)
-			l.load(ctx)
+			l.applyBundle(current)
+			l.startTransfers(ctx, current)
+			l.startNextLoad(ctx)
 			l.attest(ctx, now)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.wake:
-		case <-time.After(lookEvery):
+		case <-time.After(loaderInterval):
 		}
 	}
 }
 
-// want takes what a new bundle wants.
-func (l *loader) want(current *state.Current) {
+// applyBundle replaces the wanted weights with those of a new bundle and cancels
+// transfers that are no longer wanted.
+func (l *loader) applyBundle(current *state.Current) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if current.Head.Version == l.wanted {
+	if current.Head.Version == l.bundleVersion {
 		return
 	}
-	l.wanted = current.Head.Version
+	l.bundleVersion = current.Head.Version
 	wanted := placement.Wanted(current.Bundle, l.agent.config.Host.Pool)
-	l.sets.SetWanted(wanted)
+	l.placements.SetWanted(wanted)
 	for weights, cancel := range l.fetching {
-		if !contains(wanted, weights) {
+		if !containsWeights(wanted, weights) {
 			cancel()
 		}
 	}
-	l.agent.sets.Retain(l.kept())
+	l.agent.library.Retain(l.retained())
 }
 
-// kept returns the sets whose chunks stay: those wanted and those still live;
-// l.mu is held.
-func (l *loader) kept() map[filbertlever.Digest]bool {
+// retained returns the manifests whose chunks are kept: those of wanted and of
+// live weights. The caller holds l.mu.
+func (l *loader) retained() map[filbertlever.Digest]bool {
 	keep := map[filbertlever.Digest]bool{}
-	for _, p := range append(l.sets.All(), l.sets.Live()...) {
+	for _, p := range append(l.placements.All(), l.placements.Live()...) {
 		keep[p.Weights.Manifest] = true
 	}
 	return keep
 }
 
-func contains(all []placement.Weights, one placement.Weights) bool {
+func containsWeights(all []placement.Weights, wanted placement.Weights) bool {
 	for _, weights := range all {
-		if weights == one {
+		if weights == wanted {
 			return true
 		}
 	}
 	return false
 }
 
-// fetch starts the transfers that are due.
+// startTransfers starts a transfer for each set of weights that is not yet
+// fetched.
 //
-// A host that has just started may learn the bundle before it learns
-// who else wants the weights, and would draw all of them from the origin; it
-// waits for the host list, but not for long.
-func (l *loader) fetch(ctx context.Context, current *state.Current) {
-	if !l.agent.knowsHosts() && time.Since(l.started) < hostsPatience {
+// A host that has just started may receive the bundle before the host list. As
+// it has no peers then, it would fetch all weights from the origin. It therefore
+// waits for the host list, for at most hostListTimeout.
+func (l *loader) startTransfers(ctx context.Context, current *state.Current) {
+	if !l.agent.hasHostList() && time.Since(l.startedAt) < hostListTimeout {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, weights := range l.sets.Fetch() {
+	for _, weights := range l.placements.Fetch() {
 		if _, ok := l.fetching[weights]; ok {
 			continue
 		}
@@ -199,71 +206,72 @@
 	}
 }
 
-// load gives the engine the next order, if one is due.
-func (l *loader) load(ctx context.Context) {
+// startNextLoad sends the engine the next load command, if one is due.
+func (l *loader) startNextLoad(ctx context.Context) {
 	l.mu.Lock()
-	p, ok := l.sets.Next(time.Now())
+	p, ok := l.placements.Next(time.Now())
 	l.mu.Unlock()
 	if !ok {
 		return
 	}
-	o := loadOrder{loader: l, progress: p}
-	go o.run(ctx)
+	c := engineLoad{loader: l, progress: p}
+	go c.run(ctx)
 }
 
-// loadOrder is one order to the engine.
-type loadOrder struct {
+// engineLoad is one load command to the engine.
+type engineLoad struct {
 	loader   *loader
 	progress placement.Progress
 }
 
-func (o *loadOrder) run(ctx context.Context) {
-	l := o.loader
+func (c *engineLoad) run(ctx context.Context) {
+	l := c.loader
 	a := l.agent
-	attested, err := o.give(ctx)
+	attested, err := c.execute(ctx)
 	now := time.Now()
 	l.mu.Lock()
-	l.orders++
+	l.finishedLoads++
 	live := false
 	if err != nil {
-		l.sets.Failed(o.progress.Weights, err.Error(), now)
+		l.placements.Failed(c.progress.Weights, err.Error(), now)
 	} else {
-		live = l.sets.Loaded(o.progress.Weights, attested, now)
-		l.agent.sets.Retain(l.kept())
+		live = l.placements.Loaded(c.progress.Weights, attested, now)
+		l.agent.library.Retain(l.retained())
 	}
 	l.mu.Unlock()
-	fields := []zap.Field{zap.String("Model", o.progress.Weights.Model), zap.String("Version", o.progress.Weights.Version), zap.Uint64("Fence", l.fence())}
+	fields := []zap.Field{zap.String("Model", c.progress.Weights.Model), zap.String("Version", c.progress.Weights.Version), zap.Uint64("Fence", l.fence())}
 	if live {
 		a.metrics.loads.WithLabelValues("Live").Inc()
-		a.log.Info("weights live", fields...)
+		a.log.Info("weights are live", fields...)
 	} else {
 		a.metrics.loads.WithLabelValues("Failed").Inc()
 		a.log.Warn("load failed", append(fields, zap.Error(err), zap.String("Attested", string(attested)))...)
 	}
-	l.poke()
-	a.reporter.poke()
+	l.trigger()
+	a.reporter.trigger()
 }
 
-// give gives the order under the lease.
+// execute sends the load command while this agent holds the lease, and returns
+// the digest that the engine attests.
 //
-// The lease is confirmed before the order, and again after the engine carried
-// it out; an order that outlived the lease counts as failed.
-func (o *loadOrder) give(ctx context.Context) (filbertlever.Digest, error) {
-	l := o.loader
+// The lease is confirmed before the command and again after the engine has
+// executed it. If the lease expired in between, the command counts as failed.
+func (c *engineLoad) execute(ctx context.Context) (filbertlever.Digest, error) {
+	l := c.loader
 	a := l.agent
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	fence, err := l.confirm(ctx)
+	fence, err := l.confirmLease(ctx)
 	if err != nil {
 		return "", err
 	}
-	if wait := l.pause(); wait > 0 {
+	if wait := l.handoverDelay(); wait > 0 {
 		time.Sleep(wait)
-		if fence, err = l.confirm(ctx); err != nil {
+		if fence, err = l.confirmLease(ctx); err != nil {
 			return "", err
 		}
 	}
-	w := o.progress.Weights
+	w := c.progress.Weights
 	kind := enginev1.WeightsKind_WEIGHTS_KIND_MODEL
 	if w.Kind == placement.KindAdapter {
 		kind = enginev1.WeightsKind_WEIGHTS_KIND_ADAPTER
@@ -273,7 +281,7 @@
 		Kind:       kind,
 		Model:      w.Model,
 		Version:    w.Version,
-		Digest:     string(o.progress.Digest),
+		Digest:     string(c.progress.Digest),
 		Url:        a.config.WeightsURL + weights.PathWhole + string(w.Manifest),
 		BaseDigest: l.baseDigest(w),
 		MaxBatch:   uint32(w.MaxBatch),
@@ -282,17 +290,19 @@
 	if err != nil {
 		return "", fmt.Errorf("load at engine: %w", err)
 	}
-	if _, err := l.confirm(ctx); err != nil {
-		return "", fmt.Errorf("%w: %w", errStaleOrder, err)
+	if _, err := l.confirmLease(ctx); err != nil {
+		return "", fmt.Errorf("%w: %w", errLeaseExpiredDuringLoad, err)
 	}
 	return filbertlever.Digest(response.Msg.AttestedDigest), nil
 }
 
+// baseDigest returns the digest of an adapter's base model, or "" if there is
+// none or its manifest is unavailable.
 func (l *loader) baseDigest(w placement.Weights) string {
 	if w.Base == "" {
 		return ""
 	}
-	if manifest := l.agent.sets.Manifest(w.Base); manifest != nil {
+	if manifest := l.agent.library.Manifest(w.Base); manifest != nil {
 		return string(manifest.Digest)
 	}
 	return ""
--- a/internal/transport/agent/metrics.go
+++ b/internal/transport/agent/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the agent's own figures. None bears an organisation.
+// metrics holds the agent's counters. No label names an organisation.
 type metrics struct {
 	requests *prometheus.CounterVec
 	loads    *prometheus.CounterVec
@@ -24,13 +24,13 @@
 	return m
 }
 
-// Register adds figures that are read from the agent itself.
+// Register registers the gauges that are computed from the agent's state.
 func (a *Agent) Register(registry prometheus.Registerer) {
 	gauge := func(name, help string, read func() float64) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 	}
-	gauge("filbertlever_agent_running", "Requests that run now.", func() float64 { return float64(a.door.load().Running) })
-	gauge("filbertlever_agent_queued", "Requests that wait now.", func() float64 { return float64(a.door.load().Queued) })
+	gauge("filbertlever_agent_running", "Requests that run now.", func() float64 { return float64(a.queue.load().Running) })
+	gauge("filbertlever_agent_queued", "Requests that wait now.", func() float64 { return float64(a.queue.load().Queued) })
 	gauge("filbertlever_agent_origin_bytes", "Bytes of weights drawn from the origin.", func() float64 { return float64(a.fetcher.Drawn.Origin.Load()) })
 	gauge("filbertlever_agent_store_bytes", "Bytes of weights drawn from the weight store.", func() float64 { return float64(a.fetcher.Drawn.Store.Load()) })
 	gauge("filbertlever_agent_peer_bytes", "Bytes of weights taken from other agents.", func() float64 { return float64(a.fetcher.Drawn.Peer.Load()) })
--- a/internal/transport/agent/orders.go
+++ b/internal/transport/agent/orders.go
@@ -20,10 +20,11 @@
 	"github.com/filbertlever/filbertlever/internal/transport/peer"
 )
 
-// orderTimeout bounds a call of a plain service, whatever the caller waits.
+// orderTimeout limits a call that runs at most once on a plain service,
+// regardless of the caller's own timeout.
 const orderTimeout = 30 * time.Second
 
-var gateAnswers = map[order.GateAnswer]peerv1.GateAnswer{
+var gateAnswerMessages = map[order.GateAnswer]peerv1.GateAnswer{
 	order.GateDone:    peerv1.GateAnswer_GATE_ANSWER_DONE,
 	order.GateNever:   peerv1.GateAnswer_GATE_ANSWER_NEVER,
 	order.GateRunning: peerv1.GateAnswer_GATE_ANSWER_RUNNING,
@@ -41,41 +42,43 @@
 		return a.runRepeatable(ctx, message)
 	}
 	key := order.Key{Organisation: filbertlever.OrganisationID(message.Organisation), Key: message.IdempotencyKey}
-	reply := a.begin(key, message)
+	reply := a.beginAtGate(key, message)
 	if reply.Gate == order.GateStart {
-		reply = a.start(ctx, key, message)
+		reply = a.runOnce(ctx, key, message)
 	}
-	a.log.Info("order at gate", zap.String("Organisation", message.Organisation), zap.String("Call", message.Call),
-		zap.Uint64("Fence", message.Fence), zap.Stringer("Gate", gateAnswers[reply.Gate]), zap.String("Reason", reply.Reason))
-	return connect.NewResponse(toReply(reply)), nil
+	a.log.Info("order gate replied", zap.String("Organisation", message.Organisation), zap.String("Call", message.Call),
+		zap.Uint64("Fence", message.Fence), zap.Stringer("Gate", gateAnswerMessages[reply.Gate]), zap.String("Reason", reply.Reason))
+	return connect.NewResponse(toRunOrderResponse(reply)), nil
 }
 
-// begin asks the gate; a leaving agent starts nothing.
-func (a *Agent) begin(key order.Key, message *peerv1.RunOrderRequest) order.GateReply {
+// beginAtGate asks the gate whether to run the order. An agent that is stopping
+// starts no orders.
+func (a *Agent) beginAtGate(key order.Key, message *peerv1.RunOrderRequest) order.GateReply {
 	var reply order.GateReply
 	incarnation := filbertlever.Incarnation(message.Incarnation)
 	accepts := a.node.Accepts()
-	a.gates.with(key, func(gate *order.Gate) {
+	a.gates.withGate(key, func(gate *order.Gate) {
 		if accepts {
 			reply = gate.Begin(key, incarnation, message.Fence)
 			return
 		}
 		reply = gate.Settle(key, incarnation, message.Fence)
 		if reply.Gate == order.GateNever {
-			reply.Reason = reasonLeaving
+			reply.Reason = reasonStopping
 		}
 	})
 	return reply
 }
 
-// start calls the service. It goes on when the entry that asked is gone, since
-// the answer is wanted whoever asks for it next.
-func (a *Agent) start(ctx context.Context, key order.Key, message *peerv1.RunOrderRequest) order.GateReply {
+// runOnce calls the service and records the result at the gate. The call
+// continues if the requesting entry disconnects, because another entry may
+// request the result later.
+func (a *Agent) runOnce(ctx context.Context, key order.Key, message *peerv1.RunOrderRequest) order.GateReply {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderTimeout)
 	defer cancel()
-	answer, err := a.call(ctx, message)
+	answer, err := a.callService(ctx, message)
 	var reply order.GateReply
-	a.gates.with(key, func(gate *order.Gate) {
+	a.gates.withGate(key, func(gate *order.Gate) {
 		switch {
 		case err == nil:
 			gate.Finish(key, answer)
@@ -88,17 +91,17 @@
 	})
 	if err != nil {
 		reply.Reason = err.Error()
-		a.log.Warn("order failed", zap.String("Organisation", message.Organisation), zap.String("Call", message.Call), zap.Error(err))
+		a.log.Warn("call of plain service failed", zap.String("Organisation", message.Organisation), zap.String("Call", message.Call), zap.Error(err))
 	}
 	return reply
 }
 
-// call sends the order to the service.
+// callService sends the order to the service.
 //
-// Note that net/http sends a request again by itself if it bears a header named
-// Idempotency-Key and a kept connection breaks; the order's key therefore
-// travels in the message, where the library does not see it.
-func (a *Agent) call(ctx context.Context, message *peerv1.RunOrderRequest) ([]byte, error) {
+// net/http repeats a request on its own if the request has an Idempotency-Key
+// header and a reused connection breaks. The order's key is therefore sent in
+// the message body.
+func (a *Agent) callService(ctx context.Context, message *peerv1.RunOrderRequest) ([]byte, error) {
 	response, err := a.service.Call(ctx, connect.NewRequest(&servicev1.CallRequest{
 		Organisation: message.Organisation,
 		Call:         message.Call,
@@ -115,31 +118,34 @@
 	return nil, fmt.Errorf("call service: %w", err)
 }
 
+// runRepeatable runs a call that is safe to repeat, without the gate.
 func (a *Agent) runRepeatable(ctx context.Context, message *peerv1.RunOrderRequest) (*connect.Response[peerv1.RunOrderResponse], error) {
 	if !a.node.Accepts() {
-		return connect.NewResponse(toReply(order.GateReply{Gate: order.GateNever, Reason: reasonLeaving})), nil
+		return connect.NewResponse(toRunOrderResponse(order.GateReply{Gate: order.GateNever, Reason: reasonStopping})), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, message.Timeout.AsDuration())
 	defer cancel()
-	answer, err := a.call(ctx, message)
+	answer, err := a.callService(ctx, message)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	return connect.NewResponse(toReply(order.GateReply{Gate: order.GateDone, Answer: answer})), nil
+	return connect.NewResponse(toRunOrderResponse(order.GateReply{Gate: order.GateDone, Answer: answer})), nil
 }
 
-// SettleOrder says what became of an order and forbids one that never started.
+// SettleOrder returns the state of an order. An order that has not started can
+// no longer start under this fencing number.
 func (a *Agent) SettleOrder(_ context.Context, request *connect.Request[peerv1.SettleOrderRequest]) (*connect.Response[peerv1.RunOrderResponse], error) {
 	message := request.Msg
 	key := order.Key{Organisation: filbertlever.OrganisationID(message.Organisation), Key: message.IdempotencyKey}
 	var reply order.GateReply
-	a.gates.with(key, func(gate *order.Gate) {
+	a.gates.withGate(key, func(gate *order.Gate) {
 		reply = gate.Settle(key, filbertlever.Incarnation(message.Incarnation), message.Fence)
 	})
-	return connect.NewResponse(toReply(reply)), nil
+	return connect.NewResponse(toRunOrderResponse(reply)), nil
 }
 
-// handleRecorded notes that the platform holds an order's end.
+// handleRecorded handles the notification that the platform has stored the
+// result of an order.
 func (a *Agent) handleRecorded(_ context.Context, caller peer.Caller, params []byte) (any, error) {
 	var message control.Recorded
 	if err := json.Unmarshal(params, &message); err != nil {
@@ -149,13 +155,13 @@
 		return nil, nil
 	}
 	key := order.Key{Organisation: message.Organisation, Key: message.Key}
-	a.gates.with(key, func(gate *order.Gate) { gate.Recorded(key, time.Now()) })
+	a.gates.withGate(key, func(gate *order.Gate) { gate.Recorded(key, time.Now()) })
 	return nil, nil
 }
 
-func toReply(reply order.GateReply) *peerv1.RunOrderResponse {
+func toRunOrderResponse(reply order.GateReply) *peerv1.RunOrderResponse {
 	return &peerv1.RunOrderResponse{
-		Gate:       gateAnswers[reply.Gate],
+		Gate:       gateAnswerMessages[reply.Gate],
 		Answer:     reply.Answer,
 		Reason:     reply.Reason,
 		RetryAfter: durationpb.New(reply.RetryAfter),
--- a/internal/transport/agent/report.go
+++ b/internal/transport/agent/report.go
@@ -13,102 +13,108 @@
 	"github.com/filbertlever/filbertlever/internal/protocol/control"
 )
 
-// Times of reports.
+// Intervals and timeouts of reports.
 const (
-	reportEvery   = 2 * time.Second
-	reportTimeout = time.Second
-	reportLeast   = 50 * time.Millisecond
+	reportInterval       = 2 * time.Second
+	reportTimeout        = time.Second
+	triggeredReportDelay = 50 * time.Millisecond
 )
 
-// fullEvery is how often an unchanged full report is sent again.
-const fullEvery = 10 * time.Second
+// fullReportInterval is the interval at which an unchanged full report is sent
+// again.
+const fullReportInterval = 10 * time.Second
 
-// reporter tells entries of this agent's load and weights.
+// reporter sends this agent's load and weights to entries.
 type reporter struct {
-	agent   *Agent
-	entries counters
-	wake    chan struct{}
+	agent    *Agent
+	received requestCounters
+	wake     chan struct{}
 
 	mu sync.Mutex
-	// told is the load last told, and toldAt when.
-	told   control.Load
-	toldAt time.Time
-	// sent holds the last full report that each entry took.
-	sent map[filbertlever.HostID]sentReport
+	// lastLoad is the load last reported, at lastLoadAt.
+	lastLoad   control.Load
+	lastLoadAt time.Time
+	// accepted holds the last full report that each entry accepted.
+	accepted map[filbertlever.HostID]acceptedReport
 }
 
-type sentReport struct {
-	full *control.FullReport
-	at   time.Time
+type acceptedReport struct {
+	full       *control.FullReport
+	acceptedAt time.Time
 }
 
 func newReporter(a *Agent) *reporter {
-	return &reporter{agent: a, wake: make(chan struct{}, 1), sent: map[filbertlever.HostID]sentReport{}}
+	return &reporter{agent: a, wake: make(chan struct{}, 1), accepted: map[filbertlever.HostID]acceptedReport{}}
 }
 
-// seen notes a request of an entry.
-func (r *reporter) seen(entry filbertlever.HostID) { r.entries.of(entry).Add(1) }
+// recordRequest counts a request received from an entry.
+func (r *reporter) recordRequest(entry filbertlever.HostID) { r.received.counter(entry).Add(1) }
 
-func (r *reporter) seenOf(entry filbertlever.HostID) uint64 { return r.entries.of(entry).Load() }
+// receivedFrom returns the number of requests received from an entry.
+func (r *reporter) receivedFrom(entry filbertlever.HostID) uint64 {
+	return r.received.counter(entry).Load()
+}
 
-// stale reports whether the load told last is so far off that entries route by
-// a wrong picture. Told at most four times a second.
-func (r *reporter) stale(load control.Load) bool {
+// loadChanged reports whether the load differs from the last reported one by so
+// much that entries would route on outdated data. It limits these additional
+// reports to four per second.
+func (r *reporter) loadChanged(load control.Load) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	off := load.Running + load.Queued - r.told.Running - r.told.Queued
-	return max(off, -off) >= max(load.Concurrency/2, 2) && time.Since(r.toldAt) >= reportEvery/8
+	difference := load.Running + load.Queued - r.lastLoad.Running - r.lastLoad.Queued
+	return max(difference, -difference) >= max(load.Concurrency/2, 2) && time.Since(r.lastLoadAt) >= reportInterval/8
 }
 
-// poke asks for a report soon.
-func (r *reporter) poke() {
+// trigger requests a report ahead of the next interval.
+func (r *reporter) trigger() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
+// run sends reports until ctx is done.
 func (r *reporter) run(ctx context.Context) {
 	for {
-		every := r.report(ctx)
+		interval := r.reportAll(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(every):
+		case <-time.After(interval):
 		case <-r.wake:
-			time.Sleep(reportLeast)
+			time.Sleep(triggeredReportDelay)
 		}
 	}
 }
 
-// report tells every entry that this agent reports to, and returns when to
-// report again.
-func (r *reporter) report(ctx context.Context) time.Duration {
+// reportAll sends a report to each target entry and returns the interval until
+// the next report.
+func (r *reporter) reportAll(ctx context.Context) time.Duration {
 	var group sync.WaitGroup
 	full := r.agent.fullReport()
-	load := r.agent.door.load()
+	load := r.agent.queue.load()
 	r.mu.Lock()
-	r.told, r.toldAt = load, time.Now()
+	r.lastLoad, r.lastLoadAt = load, time.Now()
 	r.mu.Unlock()
-	entries, every := r.agent.reportTo()
+	entries, interval := r.agent.reportTargets()
 	for _, entry := range entries {
 		group.Go(func() {
-			if err := r.tell(ctx, entry, load, full); err != nil {
+			if err := r.send(ctx, entry, load, full); err != nil {
 				r.agent.node.Failed(entry)
 			}
 		})
 	}
 	group.Wait()
-	return every
+	return interval
 }
 
-// tell sends one report, without the full part if the entry has it.
-func (r *reporter) tell(ctx context.Context, entry filbertlever.HostID, load control.Load, full *control.FullReport) error {
+// send sends one report. It omits the full report if the entry already has it.
+func (r *reporter) send(ctx context.Context, entry filbertlever.HostID, load control.Load, full *control.FullReport) error {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	load.Seen = r.seenOf(entry)
+	load.Seen = r.receivedFrom(entry)
 	report := control.Report{Incarnation: r.agent.node.Incarnation(), Load: load}
-	if !r.has(entry, full) {
+	if !r.hasCurrent(entry, full) {
 		report.Full = full
 	}
 	var response control.ReportResponse
@@ -116,30 +122,34 @@
 		return err
 	}
 	if report.Full != nil || response.WantFull {
-		r.note(entry, report.Full)
+		r.recordAccepted(entry, report.Full)
 	}
 	if response.WantFull {
-		r.poke()
+		r.trigger()
 	}
 	return nil
 }
 
-// has reports whether an entry has taken this full report lately.
-func (r *reporter) has(entry filbertlever.HostID, full *control.FullReport) bool {
+// hasCurrent reports whether an entry accepted this full report within
+// fullReportInterval.
+func (r *reporter) hasCurrent(entry filbertlever.HostID, full *control.FullReport) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sent, ok := r.sent[entry]
-	return ok && sent.full != nil && time.Since(sent.at) < fullEvery && reflect.DeepEqual(sent.full, full)
+	sent, ok := r.accepted[entry]
+	return ok && sent.full != nil && time.Since(sent.acceptedAt) < fullReportInterval && reflect.DeepEqual(sent.full, full)
 }
 
-func (r *reporter) note(entry filbertlever.HostID, full *control.FullReport) {
+// recordAccepted records the full report that an entry accepted, nil if it has
+// none.
+func (r *reporter) recordAccepted(entry filbertlever.HostID, full *control.FullReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent[entry] = sentReport{full: full, at: time.Now()}
+	r.accepted[entry] = acceptedReport{full: full, acceptedAt: time.Now()}
 }
 
-// reportTo returns the entries that this agent reports to, and how often.
-func (a *Agent) reportTo() ([]filbertlever.HostID, time.Duration) {
+// reportTargets returns the entries that this agent reports to, and the interval
+// between reports.
+func (a *Agent) reportTargets() ([]filbertlever.HostID, time.Duration) {
 	var entries []filbertlever.HostID
 	pool := 0
 	a.node.Read(func(base *knowledge.Base) {
@@ -152,10 +162,11 @@
 			}
 		}
 	})
-	to, every := routing.ReportPlan(len(entries), pool, reportEvery)
-	return rollout.Rank("report "+string(a.config.Host.ID), entries)[:to], every
+	count, interval := routing.ReportPlan(len(entries), pool, reportInterval)
+	return rollout.Rank("report "+string(a.config.Host.ID), entries)[:count], interval
 }
 
+// fullReport returns the complete state of this agent for entries.
 func (a *Agent) fullReport() *control.FullReport {
 	full := &control.FullReport{From: a.node.Self()}
 	if current := a.node.Current(); current != nil {
--- a/internal/transport/agent/requests.go
+++ b/internal/transport/agent/requests.go
@@ -22,43 +22,45 @@
 
 // Reasons for refusals.
 const (
-	reasonLeaving  = "backend server is leaving"
-	reasonNotLive  = "weights are not live here"
-	reasonEngine   = "engine failed"
-	reasonNotReady = "no bundle in force here"
+	reasonStopping       = "backend server is leaving"
+	reasonWeightsNotLive = "weights are not live here"
+	reasonEngine         = "engine failed"
+	reasonNotReady       = "no bundle in force here"
 )
 
-// retryNotLive is when to come back to a host whose weights are not live.
-const retryNotLive = 200 * time.Millisecond
+// unavailableRetryAfter is the retry delay for a host on which the weights are not
+// live or whose engine failed.
+const unavailableRetryAfter = 200 * time.Millisecond
 
-var errVersion = errors.New("engine answered from other weights")
+var errWrongWeights = errors.New("engine answered from other weights")
 
-// Run generates an answer on the backend server of this agent.
+// Run generates an answer on the backend server and streams it to the entry.
 func (a *Agent) Run(ctx context.Context, request *connect.Request[peerv1.RunRequest], stream *connect.ServerStream[peerv1.RunResponse]) error {
 	message := request.Msg
 	entry := peer.CallerOf(ctx)
-	a.reporter.seen(entry)
+	a.reporter.recordRequest(entry)
 	ctx, cancel := context.WithTimeout(ctx, message.Timeout.AsDuration())
 	defer cancel()
 	if !a.node.Accepts() {
-		return a.refuse(stream, entry, message, reasonLeaving, 0)
+		return a.refuse(stream, entry, message, reasonStopping, 0)
 	}
-	weights, ok := a.loader.live(message)
+	weights, ok := a.loader.liveWeights(message)
 	if !ok {
 		return a.refuseNotLive(stream, entry, message)
 	}
 	deadline, _ := ctx.Deadline()
-	run, leave, refusal := a.door.enter(ctx, a.item(message, deadline))
+	run, release, refusal := a.queue.admit(ctx, a.queueItem(message, deadline))
 	if refusal != nil {
 		return a.refuse(stream, entry, message, refusal.Reason, refusal.RetryAfter)
 	}
-	defer leave()
-	g := generation{agent: a, entry: entry, message: message, weights: weights, stream: stream, started: time.Now()}
+	defer release()
+	g := generation{agent: a, entry: entry, message: message, weights: weights, stream: stream, startedAt: time.Now()}
 	return g.run(run)
 }
 
-// item describes a request to the queue.
-func (a *Agent) item(message *peerv1.RunRequest, deadline time.Time) admission.Item {
+// queueItem returns the queue item of a request, with the weight of its
+// organisation.
+func (a *Agent) queueItem(message *peerv1.RunRequest, deadline time.Time) admission.Item {
 	item := admission.Item{
 		Organisation: filbertlever.OrganisationID(message.Organisation),
 		Priority:     filbertlever.Priority(message.Priority),
@@ -75,10 +77,11 @@
 	return item
 }
 
-// refuseNotLive refuses and says which weights are live here, so that the entry
-// need not wait for the next report.
+// refuseNotLive refuses a request for weights that are not live. The refusal
+// lists the live weights, so that the entry can route correctly before the next
+// report.
 func (a *Agent) refuseNotLive(stream *connect.ServerStream[peerv1.RunResponse], entry filbertlever.HostID, message *peerv1.RunRequest) error {
-	refusal := &peerv1.Refusal{Reason: reasonNotLive, RetryAfter: durationpb.New(retryNotLive), NotLive: true}
+	refusal := &peerv1.Refusal{Reason: reasonWeightsNotLive, RetryAfter: durationpb.New(unavailableRetryAfter), NotLive: true}
 	live, _ := a.loader.report()
 	for _, w := range live {
 		refusal.Live = append(refusal.Live, &peerv1.LiveWeights{Model: w.Model, Version: w.Version, Manifest: string(w.Manifest), Base: string(w.Base)})
@@ -87,6 +90,7 @@
 	return stream.Send(&peerv1.RunResponse{Attempt: message.Attempt, Refusal: refusal, Load: a.loadFor(entry)})
 }
 
+// refuse refuses a request with a reason and a retry delay.
 func (a *Agent) refuse(stream *connect.ServerStream[peerv1.RunResponse], entry filbertlever.HostID, message *peerv1.RunRequest, reason string, after time.Duration) error {
 	a.metrics.requests.WithLabelValues("Refused").Inc()
 	a.log.Info("request refused", zap.String("RequestID", message.RequestId), zap.String("Organisation", message.Organisation),
@@ -98,9 +102,10 @@
 	})
 }
 
-// loadFor returns the load with what this agent has seen of an entry.
+// loadFor returns the current load, with the number of requests received from
+// this entry.
 func (a *Agent) loadFor(entry filbertlever.HostID) *peerv1.Load {
-	load := a.door.load()
+	load := a.queue.load()
 	return &peerv1.Load{
 		Sequence:    load.Sequence,
 		Running:     uint32(load.Running),
@@ -108,22 +113,23 @@
 		Wait:        durationpb.New(load.Wait),
 		Concurrency: uint32(load.Concurrency),
 		Incarnation: string(a.node.Incarnation()),
-		Seen:        a.reporter.seenOf(entry),
+		Seen:        a.reporter.receivedFrom(entry),
 	}
 }
 
-// generation is one request under way at the engine.
+// generation is one request that runs on the engine.
 type generation struct {
-	agent   *Agent
-	entry   filbertlever.HostID
-	message *peerv1.RunRequest
-	weights placement.Progress
-	stream  *connect.ServerStream[peerv1.RunResponse]
-	started time.Time
-	first   bool
+	agent          *Agent
+	entry          filbertlever.HostID
+	message        *peerv1.RunRequest
+	weights        placement.Progress
+	stream         *connect.ServerStream[peerv1.RunResponse]
+	startedAt      time.Time
+	sentFirstToken bool
 }
 
-// run passes the engine's frames on. The end of ctx cancels the engine's work.
+// run forwards the engine's frames to the entry. Cancelling ctx cancels the
+// request on the engine.
 func (g *generation) run(ctx context.Context) error {
 	a := g.agent
 	err := g.generate(ctx)
@@ -139,18 +145,20 @@
 		return err
 	}
 	a.metrics.requests.WithLabelValues("Failed").Inc()
-	a.door.failed()
+	a.queue.recordFailure()
 	a.log.Warn("generation failed", zap.String("RequestID", g.message.RequestId), zap.Error(err))
-	if !g.first {
+	if !g.sentFirstToken {
 		return g.stream.Send(&peerv1.RunResponse{
 			Attempt: g.message.Attempt,
-			Refusal: &peerv1.Refusal{Reason: reasonEngine, RetryAfter: durationpb.New(retryNotLive), Started: true},
+			Refusal: &peerv1.Refusal{Reason: reasonEngine, RetryAfter: durationpb.New(unavailableRetryAfter), Started: true},
 			Load:    a.loadFor(g.entry),
 		})
 	}
 	return connect.NewError(connect.CodeUnavailable, err)
 }
 
+// generate starts the request on the engine and forwards frames until the answer
+// is complete.
 func (g *generation) generate(ctx context.Context) error {
 	m := g.message
 	frames, err := g.agent.engine.Generate(ctx, connect.NewRequest(&enginev1.GenerateRequest{
@@ -161,8 +169,8 @@
 		Delivered:     m.Delivered,
 		MaxTokens:     m.MaxTokens,
 		Priority:      m.Priority,
-		// Guard: a prompt cache shared by organisations would tell one, by its
-		// speed, what another has asked.
+		// A prompt cache shared between organisations would reveal through
+		// its latency what another organisation has asked.
 		CacheScope: m.Organisation,
 	}))
 	if err != nil {
@@ -170,7 +178,7 @@
 	}
 	defer frames.Close()
 	for frames.Receive() {
-		done, err := g.pass(frames.Msg())
+		done, err := g.forward(frames.Msg())
 		if done || err != nil {
 			return err
 		}
@@ -181,14 +189,14 @@
 	return errors.New("engine ended the stream before the answer was whole")
 }
 
-// pass hands one frame of the engine on.
+// forward sends one frame of the engine to the entry.
 //
-// Guard: an order of a stale lease holder, or the engine's own restart, may
-// change the weights below a running answer; frames from other weights than
-// those asked for are not passed on, and the attempt ends.
-func (g *generation) pass(frame *enginev1.GenerateResponse) (done bool, err error) {
+// A command of a stale lease holder or a restart of the engine may replace the
+// weights while an answer is generated. Frames from other weights than those
+// requested are not forwarded, and the attempt fails.
+func (g *generation) forward(frame *enginev1.GenerateResponse) (done bool, err error) {
 	if frame.VersionDigest != string(g.weights.Digest) {
-		return false, fmt.Errorf("frame at %d from %s: %w", frame.Offset, frame.VersionDigest, errVersion)
+		return false, fmt.Errorf("frame at %d from %s: %w", frame.Offset, frame.VersionDigest, errWrongWeights)
 	}
 	response := &peerv1.RunResponse{
 		Attempt:       g.message.Attempt,
@@ -197,15 +205,15 @@
 		VersionDigest: g.message.VersionDigest,
 		Done:          frame.Done,
 	}
-	if !g.first && len(frame.Pieces) > 0 {
-		g.first = true
-		g.agent.door.firstToken(time.Since(g.started))
+	if !g.sentFirstToken && len(frame.Pieces) > 0 {
+		g.sentFirstToken = true
+		g.agent.queue.recordFirstToken(time.Since(g.startedAt))
 		response.Load = g.agent.loadFor(g.entry)
 	}
 	if frame.Done {
 		response.Load = g.agent.loadFor(g.entry)
 		if response.Load.Running > 0 {
-			// This request ends with this frame.
+			// This request still counts as running, but ends with this frame.
 			response.Load.Running--
 		}
 	}
@@ -215,12 +223,13 @@
 	return frame.Done, nil
 }
 
-// counters counts the requests received of each entry.
-type counters struct {
+// requestCounters counts the requests received from each entry.
+type requestCounters struct {
 	entries sync.Map
 }
 
-func (c *counters) of(entry filbertlever.HostID) *atomic.Uint64 {
+// counter returns the counter of an entry and creates it if necessary.
+func (c *requestCounters) counter(entry filbertlever.HostID) *atomic.Uint64 {
 	counter, ok := c.entries.Load(entry)
 	if !ok {
 		counter, _ = c.entries.LoadOrStore(entry, &atomic.Uint64{})
--- a/internal/transport/agent/transfer.go
+++ b/internal/transport/agent/transfer.go
@@ -16,41 +16,42 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// transfer fetches one set of weights.
+// transfer is the fetch of one set of weights.
 type transfer struct {
 	loader  *loader
 	weights placement.Weights
 	favour  bundle.Favour
 }
 
+// run fetches the weights and records them as verified.
 func (t *transfer) run(ctx context.Context) {
 	l := t.loader
 	digest, err := t.fetch(ctx)
 	if err != nil && ctx.Err() == nil {
-		l.agent.log.Warn("weights not fetched", zap.String("Model", t.weights.Model), zap.Error(err))
-		t.pause(ctx)
+		l.agent.log.Warn("fetching weights failed", zap.String("Model", t.weights.Model), zap.String("Version", t.weights.Version), zap.Error(err))
+		t.waitBeforeRetry(ctx)
 	}
 	l.mu.Lock()
 	l.fetching[t.weights]()
 	delete(l.fetching, t.weights)
 	if err == nil {
-		l.sets.Verified(t.weights, digest)
+		l.placements.Verified(t.weights, digest)
 	}
 	l.mu.Unlock()
 	if err == nil {
 		l.agent.log.Info("weights verified", zap.String("Model", t.weights.Model), zap.String("Version", t.weights.Version))
 	}
-	l.poke()
-	l.agent.reporter.poke()
+	l.trigger()
+	l.agent.reporter.trigger()
 }
 
-// pause waits before the transfer is tried again.
+// waitBeforeRetry delays the next attempt of a failed transfer.
 //
-// Guard: while the platform is down nobody may have the manifest; without a
-// pause that counts as part of the transfer, every host would ask its peers
-// for it as fast as it can.
-func (t *transfer) pause(ctx context.Context) {
-	timer := time.NewTimer(manifestPause)
+// While the platform is down, possibly no host has the manifest. Without a delay
+// during which the transfer still counts as in flight, every host would request
+// the manifest from its peers in a tight loop.
+func (t *transfer) waitBeforeRetry(ctx context.Context) {
+	timer := time.NewTimer(transferRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -58,21 +59,23 @@
 	}
 }
 
+// fetch fetches the manifest and the chunks, and returns the digest of the
+// weights.
 func (t *transfer) fetch(ctx context.Context) (filbertlever.Digest, error) {
 	a := t.loader.agent
-	hosts := a.sharers()
-	if err := a.fetchManifest(ctx, t.weights.Manifest, hosts); err != nil {
+	peers := a.poolPeers()
+	if err := a.fetchManifest(ctx, t.weights.Manifest, peers); err != nil {
 		return "", err
 	}
-	if err := a.fetcher.Fetch(ctx, t.weights.Manifest, hosts, t.favour); err != nil {
+	if err := a.fetcher.Fetch(ctx, t.weights.Manifest, peers, t.favour); err != nil {
 		return "", err
 	}
-	return a.sets.Manifest(t.weights.Manifest).Digest, nil
+	return a.library.Manifest(t.weights.Manifest).Digest, nil
 }
 
-// sharers returns the agents of this agent's pool, in the order that all of
-// them use for a set of weights.
-func (a *Agent) sharers() []distribution.Peer {
+// poolPeers returns the usable agents of this agent's pool, ranked in the same
+// order on all agents that have the same host list.
+func (a *Agent) poolPeers() []distribution.Peer {
 	sites := map[filbertlever.HostID]string{}
 	var ids []filbertlever.HostID
 	a.node.Read(func(base *knowledge.Base) {
@@ -90,26 +93,26 @@
 	return peers
 }
 
-// knowsHosts reports whether the platform's host list has arrived.
-func (a *Agent) knowsHosts() bool {
-	known := false
-	a.node.Read(func(base *knowledge.Base) { known = base.Members.Revision() > 0 })
-	return known
+// hasHostList reports whether the platform's host list has been received.
+func (a *Agent) hasHostList() bool {
+	received := false
+	a.node.Read(func(base *knowledge.Base) { received = base.Members.Revision() > 0 })
+	return received
 }
 
-// fetchManifest gets a manifest from the platform, or from another agent when
-// the platform is down.
-func (a *Agent) fetchManifest(ctx context.Context, digest filbertlever.Digest, hosts []distribution.Peer) error {
-	if a.sets.Manifest(digest) != nil {
+// fetchManifest fetches a manifest from another agent of the pool, or from the
+// platform if none of up to maxManifestPeers agents has it.
+func (a *Agent) fetchManifest(ctx context.Context, digest filbertlever.Digest, peers []distribution.Peer) error {
+	if a.library.Manifest(digest) != nil {
 		return nil
 	}
 	failures := []error{errNoManifest}
-	for _, host := range rollout.Rank(string(a.config.Host.ID), ids(hosts))[:min(manifestTries, len(hosts))] {
+	for _, host := range rollout.Rank(string(a.config.Host.ID), hostIDs(peers))[:min(maxManifestPeers, len(peers))] {
 		if host == a.config.Host.ID {
 			continue
 		}
-		askCtx, cancel := context.WithTimeout(ctx, engineTimeout)
-		err := a.sets.FetchManifest(askCtx, a, host, digest)
+		peerCtx, cancel := context.WithTimeout(ctx, engineTimeout)
+		err := a.library.FetchManifest(peerCtx, a, host, digest)
 		cancel()
 		if err == nil {
 			return nil
@@ -124,11 +127,12 @@
 	if err != nil {
 		return err
 	}
-	a.sets.Add(digest, manifest, data)
+	a.library.Add(digest, manifest, data)
 	return nil
 }
 
-func ids(peers []distribution.Peer) []filbertlever.HostID {
+// hostIDs returns the host IDs of peers.
+func hostIDs(peers []distribution.Peer) []filbertlever.HostID {
 	out := make([]filbertlever.HostID, len(peers))
 	for i, p := range peers {
 		out[i] = p.ID
--- a/internal/transport/entry/ask.go
+++ b/internal/transport/entry/ask.go
@@ -18,15 +18,15 @@
 	filbertleverv1 "github.com/filbertlever/filbertlever/pkg/api/filbertlever/v1"
 )
 
-// Ask streams the answer of a model.
+// Ask streams the answer of a model to the caller.
 func (e *Entry) Ask(ctx context.Context, request *connect.Request[filbertleverv1.AskRequest], out *connect.ServerStream[filbertleverv1.AskResponse]) error {
-	entered, final, err := e.admit(request.Header())
+	admitted, final, err := e.admit(request.Header())
 	if err != nil {
 		return err
 	}
 	if final == nil {
-		defer entered.leave()
-		final, err = e.ask(ctx, entered, request.Msg, &streamSink{out: out})
+		defer admitted.release()
+		final, err = e.ask(ctx, admitted, request.Msg, &streamSink{out: out})
 		if err != nil {
 			return err
 		}
@@ -34,86 +34,92 @@
 	return out.Send(&filbertleverv1.AskResponse{Event: &filbertleverv1.AskResponse_Final{Final: final}})
 }
 
-// Answer is Ask with the whole answer in one message.
+// Answer returns the complete answer of a model in one message.
 func (e *Entry) Answer(ctx context.Context, request *connect.Request[filbertleverv1.AskRequest]) (*connect.Response[filbertleverv1.AnswerResponse], error) {
-	entered, final, err := e.admit(request.Header())
+	admitted, final, err := e.admit(request.Header())
 	if err != nil {
 		return nil, err
 	}
 	response := &filbertleverv1.AnswerResponse{Final: final}
 	if final == nil {
-		defer entered.leave()
-		whole := &wholeSink{}
-		response.Final, err = e.ask(ctx, entered, request.Msg, whole)
+		defer admitted.release()
+		buffer := &bufferSink{}
+		response.Final, err = e.ask(ctx, admitted, request.Msg, buffer)
 		if err != nil {
 			return nil, err
 		}
-		response.Text = whole.text.String()
-		response.ModelVersion = whole.version.Name
-		response.VersionDigest = string(whole.version.Model)
+		response.Text = buffer.text.String()
+		response.ModelVersion = buffer.version.Name
+		response.VersionDigest = string(buffer.version.Model)
 	}
 	return connect.NewResponse(response), nil
 }
 
-// question is a model request under way at this entry.
-type question struct {
-	entry    *Entry
-	message  *filbertleverv1.AskRequest
-	entered  *admitted
-	sink     sink
-	deadline time.Time
-	versions []version
-	// version is the one that the answer is bound to, once a token went out.
+// modelRequest is a model request in flight at this entry.
+type modelRequest struct {
+	entry     *Entry
+	message   *filbertleverv1.AskRequest
+	admission *admittedRequest
+	sink      sink
+	deadline  time.Time
+	versions  []version
+	// version is the version of the current attempt. It is fixed once tokens have
+	// been delivered.
 	version  version
 	answer   *stream.Assembler
 	attempts int
-	avoid    []filbertlever.HostID
-	// began is true once the sink knows the version.
-	began bool
-	// last is why the last attempt did not finish.
-	last attemptEnd
-	// mayHaveRun is true once an attempt ended that the agent did not refuse.
+	// excluded holds the hosts that refused an attempt or failed during one.
+	excluded []filbertlever.HostID
+	// startSent is true once the version has been sent to the sink.
+	startSent bool
+	// lastResult is the result of the last attempt.
+	lastResult attemptResult
+	// mayHaveRun is true once an attempt has failed that was not refused before
+	// it started.
 	mayHaveRun bool
 }
 
-// attemptEnd is how an attempt ended.
-type attemptEnd struct {
-	done bool
-	end  retry.End
-	// reason and retryAfter come from a refusal.
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	answered bool
+	end      retry.End
+	// reason says why the attempt failed. retryAfter is the retry delay given by a
+	// refusal.
 	reason     string
 	retryAfter time.Duration
-	// caller is set if the caller is gone.
-	caller error
+	// callerErr is set if the caller has disconnected.
+	callerErr error
 }
 
-func (e *Entry) ask(ctx context.Context, entered *admitted, message *filbertleverv1.AskRequest, out sink) (*filbertleverv1.Final, error) {
+// ask validates the request and runs it until its final outcome.
+func (e *Entry) ask(ctx context.Context, admitted *admittedRequest, message *filbertleverv1.AskRequest, out sink) (*filbertleverv1.Final, error) {
 	if message.RequestId == "" || len(message.RequestId) > maxIDBytes {
 		return nil, badRequest(fmt.Sprintf("RequestId: expected 1 to %d bytes", maxIDBytes))
 	}
 	if message.MaxTokens == 0 || message.MaxTokens > maxTokens {
 		return nil, badRequest(fmt.Sprintf("MaxTokens: expected 1 to %d", maxTokens))
 	}
-	versions, ok := e.versions(entered.bundle, message.Model, message.Adapter)
+	versions, ok := e.versions(admitted.bundle, message.Model, message.Adapter)
 	if !ok {
 		return nil, connect.NewError(connect.CodeNotFound, fmt.Errorf("model %q with adapter %q is not in the bundle in force", message.Model, message.Adapter))
 	}
-	q := &question{entry: e, message: message, entered: entered, sink: out, deadline: e.deadline(message.Timeout), versions: versions}
+	q := &modelRequest{entry: e, message: message, admission: admitted, sink: out, deadline: e.deadline(message.Timeout), versions: versions}
 	if err := q.resume(); err != nil {
 		return nil, err
 	}
-	e.budget.fresh()
+	e.budget.recordRequest()
 	ctx, cancel := context.WithDeadline(ctx, q.deadline)
 	defer cancel()
 	final, err := q.run(ctx)
 	if err == nil {
-		e.logOutcome("Ask", message.RequestId, entered.organisation.Name, outcomeOf(final.Outcome), final.Reason)
+		e.logOutcome("Ask", message.RequestId, admitted.organisation.Name, outcomeOf(final.Outcome), final.Reason)
 	}
 	return final, err
 }
 
-// resume binds the request to the weights that began its answer.
-func (q *question) resume() error {
+// resume binds a resumed request to the model version that generated the
+// delivered part of its answer.
+func (q *modelRequest) resume() error {
 	if q.message.Resume == nil || len(q.message.Resume.Delivered) == 0 {
 		return nil
 	}
@@ -126,61 +132,66 @@
 	return connect.NewError(connect.CodeFailedPrecondition, errors.New("the model version that began the answer is gone"))
 }
 
-func (q *question) bind(v version, delivered []string) {
+// bind sets the version that the answer comes from, and the part already
+// delivered.
+func (q *modelRequest) bind(v version, delivered []string) {
 	q.version = v
 	q.answer = stream.New(v.Model, delivered)
 }
 
-func (q *question) delivered() bool {
+// hasDelivered reports whether the caller has received part of the answer.
+func (q *modelRequest) hasDelivered() bool {
 	return q.answer != nil && len(q.answer.Delivered()) > 0
 }
 
-// run makes attempts until the answer is whole or the request is given up.
-// A request given up on gets its final answer at once.
-func (q *question) run(ctx context.Context) (*filbertleverv1.Final, error) {
+// run makes attempts until the answer is complete or no further attempt is
+// allowed. In the second case it returns the final outcome without delay.
+func (q *modelRequest) run(ctx context.Context) (*filbertleverv1.Final, error) {
 	for {
 		choice, ok := q.choose()
 		if !ok {
-			return q.giveUp(reasonNoHost), nil
+			return q.finalFailure(reasonNoHost), nil
 		}
 		q.attempts++
-		q.last = q.attempt(ctx, choice)
-		if q.last.done {
+		q.lastResult = q.attempt(ctx, choice)
+		if q.lastResult.answered {
 			total := uint32(len(q.answer.Delivered()))
 			return &filbertleverv1.Final{Outcome: filbertleverv1.Outcome_OUTCOME_ANSWERED, Total: total}, nil
 		}
-		if q.last.caller != nil {
-			return nil, connect.NewError(connect.CodeCanceled, q.last.caller)
+		if q.lastResult.callerErr != nil {
+			return nil, connect.NewError(connect.CodeCanceled, q.lastResult.callerErr)
 		}
-		q.settle(choice.Host)
-		attempt := retry.Attempt{End: q.last.end, Number: q.attempts, Delivered: q.delivered(), RetryAfter: q.last.retryAfter}
-		if !q.entry.budget.again(attempt, time.Until(q.deadline)) {
-			return q.giveUp(q.last.reason), nil
+		q.recordFailure(choice.Host)
+		attempt := retry.Attempt{End: q.lastResult.end, Number: q.attempts, Delivered: q.hasDelivered(), RetryAfter: q.lastResult.retryAfter}
+		if !q.entry.budget.allow(attempt, time.Until(q.deadline)) {
+			return q.finalFailure(q.lastResult.reason), nil
 		}
 		q.entry.metrics.retries.Inc()
 	}
 }
 
-// settle learns from an attempt that did not finish the answer.
-func (q *question) settle(host filbertlever.HostID) {
-	switch q.last.end {
+// recordFailure updates the request after an attempt that did not complete the
+// answer.
+func (q *modelRequest) recordFailure(host filbertlever.HostID) {
+	switch q.lastResult.end {
 	case retry.EndNotLive:
-		// The host may serve the bundle's version now; ask it again for that.
-		if !q.delivered() {
-			q.versions, _ = q.entry.versions(q.entered.bundle, q.message.Model, q.message.Adapter)
+		// The host is not excluded, as it may serve the bundle's version by now.
+		if !q.hasDelivered() {
+			q.versions, _ = q.entry.versions(q.admission.bundle, q.message.Model, q.message.Adapter)
 		}
 		return
 	case retry.EndFailed, retry.EndLost:
 		q.mayHaveRun = true
 	}
-	q.avoid = append(q.avoid, host)
+	q.excluded = append(q.excluded, host)
 }
 
-// choose picks the host for the next attempt, on the bundle's version if one
-// is live and, before any token went out, else on one that is still served.
-func (q *question) choose() (routing.Choice, bool) {
+// choose selects the host for the next attempt. It prefers the bundle's version.
+// If no host has that version live and no token has been delivered, it selects
+// another version that is still served.
+func (q *modelRequest) choose() (routing.Choice, bool) {
 	versions := q.versions
-	if q.delivered() {
+	if q.hasDelivered() {
 		versions = []version{q.version}
 	}
 	for _, v := range versions {
@@ -188,12 +199,12 @@
 			Target:       v.target(),
 			Prefix:       q.prefix(),
 			PromptTokens: len(q.message.Prompt) / bytesPerToken,
-			Avoid:        q.avoid,
+			Avoid:        q.excluded,
 		}
 		choice := q.entry.routes.choose(&request)
-		q.log(v, choice)
+		q.logRouting(v, choice)
 		if choice.Host != "" {
-			if !q.delivered() {
+			if !q.hasDelivered() {
 				q.bind(v, nil)
 			}
 			return choice, true
@@ -202,23 +213,26 @@
 	return routing.Choice{}, false
 }
 
-// Estimates of a prompt's shape.
 const (
+	// bytesPerToken is the estimated average size of a token.
 	bytesPerToken = 4
-	prefixBytes   = 1024
+	// prefixBytes is the length of the prompt prefix that prompt caching is
+	// estimated by.
+	prefixBytes = 1024
 )
 
-// prefix hashes the beginning of the prompt; short prompts have none worth
-// caching.
-func (q *question) prefix() uint64 {
+// prefix returns a hash of the beginning of the prompt, or 0 for a prompt that is
+// too short to be worth caching.
+func (q *modelRequest) prefix() uint64 {
 	prompt := q.message.Prompt
 	if len(prompt) < prefixBytes/4 {
 		return 0
 	}
-	return routing.PrefixHash(q.entered.organisation.Name, prompt[:min(len(prompt), prefixBytes)])
+	return routing.PrefixHash(q.admission.organisation.Name, prompt[:min(len(prompt), prefixBytes)])
 }
 
-func (q *question) log(v version, choice routing.Choice) {
+// logRouting logs the candidates and the selected host.
+func (q *modelRequest) logRouting(v version, choice routing.Choice) {
 	ce := q.entry.log.Check(zap.InfoLevel, "request routed")
 	if ce == nil {
 		return
@@ -228,48 +242,48 @@
 		candidate := choice.Candidates[i]
 		hosts[i] = string(candidate.Host) + "=" + candidate.Predicted.String()
 	}
-	ce.Write(zap.String("RequestID", q.message.RequestId), zap.String("Organisation", string(q.entered.organisation.Name)),
+	ce.Write(zap.String("RequestID", q.message.RequestId), zap.String("Organisation", string(q.admission.organisation.Name)),
 		zap.String("Version", v.Name), zap.Int("Attempt", q.attempts+1), zap.Strings("Candidates", hosts),
 		zap.String("Choice", string(choice.Host)), zap.Duration("Predicted", choice.Predicted), zap.String("Reason", string(choice.Reason)))
 }
 
-// giveUp returns the final answer of a request that is not tried again.
-func (q *question) giveUp(reason string) *filbertleverv1.Final {
+// finalFailure returns the final outcome of a request that is not retried.
+func (q *modelRequest) finalFailure(reason string) *filbertleverv1.Final {
 	if !time.Now().Before(q.deadline) {
 		reason = reasonDeadline
 	}
-	const least = 100 * time.Millisecond
+	const minRetryAfter = 100 * time.Millisecond
 	final := &filbertleverv1.Final{
 		Outcome:    filbertleverv1.Outcome_OUTCOME_NOT_RUN,
 		Reason:     reason,
-		RetryAfter: durationpb.New(max(q.last.retryAfter, least)),
+		RetryAfter: durationpb.New(max(q.lastResult.retryAfter, minRetryAfter)),
 	}
-	// An engine may have worked on the request although no token came of it;
-	// "not run" would not be true.
-	if q.delivered() || q.mayHaveRun {
+	// An engine may have run the request without returning a token, so the
+	// outcome "not run" would be wrong.
+	if q.hasDelivered() || q.mayHaveRun {
 		final.Outcome = filbertleverv1.Outcome_OUTCOME_INCOMPLETE
 		final.Total = uint32(len(q.answer.Delivered()))
 	}
 	return final
 }
 
-// attempt runs the request at one host until the answer is whole or the
+// attempt runs the request on one host until the answer is complete or the
 // attempt has failed.
-func (q *question) attempt(ctx context.Context, choice routing.Choice) attemptEnd {
+func (q *modelRequest) attempt(ctx context.Context, choice routing.Choice) attemptResult {
 	e := q.entry
 	client, ok := e.agentClient(choice.Host)
 	if !ok {
-		return attemptEnd{end: retry.EndLost, reason: "address unknown"}
+		return attemptResult{end: retry.EndLost, reason: "address unknown"}
 	}
 	number := q.answer.Begin()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(e.config.FirstToken, func() { cancel(errSilent) })
-	defer silence.Stop()
+	tokenTimer := time.AfterFunc(e.config.FirstTokenTimeout, func() { cancel(errTokenTimeout) })
+	defer tokenTimer.Stop()
 	frames, err := client.Run(ctx, connect.NewRequest(&peerv1.RunRequest{
 		RequestId:     q.message.RequestId,
 		Attempt:       number,
-		Organisation:  string(q.entered.organisation.Name),
+		Organisation:  string(q.admission.organisation.Name),
 		Model:         q.message.Model,
 		VersionDigest: string(q.version.Model),
 		AdapterDigest: string(q.version.Adapter),
@@ -280,13 +294,13 @@
 		Timeout:       durationpb.New(time.Until(q.deadline)),
 	}))
 	if err != nil {
-		return q.lost(ctx, choice.Host, err)
+		return q.attemptFailed(ctx, choice.Host, err)
 	}
 	defer frames.Close()
 	for frames.Receive() {
-		silence.Reset(e.config.NextToken)
+		tokenTimer.Reset(e.config.NextTokenTimeout)
 		frame := frames.Msg()
-		e.routes.piggyback(choice.Host, frame.Load)
+		e.routes.applyLoad(choice.Host, frame.Load)
 		if frame.Refusal != nil {
 			e.node.Answered(choice.Host)
 			end := retry.EndRefused
@@ -295,42 +309,44 @@
 				end = retry.EndFailed
 			case frame.Refusal.NotLive:
 				end = retry.EndNotLive
-				e.routes.correct(choice.Host, frame.Refusal.Live)
+				e.routes.setLive(choice.Host, frame.Refusal.Live)
 			}
-			return attemptEnd{end: end, reason: frame.Refusal.Reason, retryAfter: frame.Refusal.RetryAfter.AsDuration()}
+			return attemptResult{end: end, reason: frame.Refusal.Reason, retryAfter: frame.Refusal.RetryAfter.AsDuration()}
 		}
-		if end, over := q.frame(frame); over {
-			if end.done {
+		if result, ended := q.acceptFrame(frame); ended {
+			if result.answered {
 				e.node.Answered(choice.Host)
 			}
-			return end
+			return result
 		}
 	}
-	return q.lost(ctx, choice.Host, frames.Err())
+	return q.attemptFailed(ctx, choice.Host, frames.Err())
 }
 
-var errSilent = errors.New("no token for too long")
+var errTokenTimeout = errors.New("timeout waiting for the next token")
 
-// lost notes that the host did not finish, and why.
-func (q *question) lost(ctx context.Context, host filbertlever.HostID, err error) attemptEnd {
-	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, errSilent) && !errors.Is(cause, context.DeadlineExceeded) {
-		q.entry.routes.ended(host)
-		return attemptEnd{caller: fmt.Errorf("caller of %s left: %w", q.message.RequestId, cause)}
+// attemptFailed handles an attempt whose stream ended before the answer was
+// complete, either because the caller disconnected or because the host failed.
+func (q *modelRequest) attemptFailed(ctx context.Context, host filbertlever.HostID, err error) attemptResult {
+	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, errTokenTimeout) && !errors.Is(cause, context.DeadlineExceeded) {
+		q.entry.routes.release(host)
+		return attemptResult{callerErr: fmt.Errorf("caller of %s left: %w", q.message.RequestId, cause)}
 	}
 	if err == nil {
-		err = errors.New("stream ended early")
+		err = errors.New("stream ended before the answer was complete")
 	}
-	if errors.Is(context.Cause(ctx), errSilent) {
-		err = errSilent
+	if errors.Is(context.Cause(ctx), errTokenTimeout) {
+		err = errTokenTimeout
 	}
 	q.entry.node.Failed(host)
-	q.entry.routes.ended(host)
-	q.entry.log.Warn("attempt lost", zap.String("RequestID", q.message.RequestId), zap.String("Peer", string(host)), zap.Error(err))
-	return attemptEnd{end: retry.EndLost, reason: "backend server was lost"}
+	q.entry.routes.release(host)
+	q.entry.log.Warn("attempt failed", zap.String("RequestID", q.message.RequestId), zap.String("Peer", string(host)), zap.Error(err))
+	return attemptResult{end: retry.EndLost, reason: "backend server was lost"}
 }
 
-// frame takes one frame and passes on what the caller lacks.
-func (q *question) frame(frame *peerv1.RunResponse) (attemptEnd, bool) {
+// acceptFrame processes one frame and forwards the pieces that the caller has not
+// received yet. It also reports whether the attempt has ended.
+func (q *modelRequest) acceptFrame(frame *peerv1.RunResponse) (attemptResult, bool) {
 	offset := uint32(len(q.answer.Delivered()))
 	pieces, verdict := q.answer.Frame(stream.Frame{
 		Attempt: frame.Attempt,
@@ -340,20 +356,22 @@
 		Done:    frame.Done,
 	})
 	if verdict == stream.VerdictBroken {
-		return attemptEnd{end: retry.EndLost, reason: "backend server broke its stream"}, true
+		return attemptResult{end: retry.EndLost, reason: "backend server broke its stream"}, true
 	}
-	if err := q.pass(offset, pieces); err != nil {
-		return attemptEnd{caller: err}, true
+	if err := q.forward(offset, pieces); err != nil {
+		return attemptResult{callerErr: err}, true
 	}
-	return attemptEnd{done: verdict == stream.VerdictDone}, verdict == stream.VerdictDone
+	return attemptResult{answered: verdict == stream.VerdictDone}, verdict == stream.VerdictDone
 }
 
-func (q *question) pass(offset uint32, pieces []string) error {
+// forward sends pieces to the caller, preceded by the version if they are the
+// first.
+func (q *modelRequest) forward(offset uint32, pieces []string) error {
 	if len(pieces) == 0 {
 		return nil
 	}
-	if !q.began {
-		q.began = true
+	if !q.startSent {
+		q.startSent = true
 		if err := q.sink.Start(q.version); err != nil {
 			return fmt.Errorf("send to caller: %w", err)
 		}
--- a/internal/transport/entry/callers.go
+++ b/internal/transport/entry/callers.go
@@ -21,51 +21,52 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// Errors that callers see.
+// Errors returned to callers.
 var (
-	errToken    = errors.New("token is not that of an organisation")
-	errNoBundle = errors.New("no bundle in force at this entry yet; try another one")
-	errRequest  = errors.New("bad request")
+	errUnknownToken = errors.New("token is not that of an organisation")
+	errNoBundle     = errors.New("no bundle in force at this entry yet; try another one")
+	errBadRequest   = errors.New("bad request")
 )
 
-// Bounds of a caller's request.
+// Limits of a caller's request.
 const (
 	maxIDBytes = 256
 	maxTokens  = 1 << 16
 	maxTimeout = 10 * time.Minute
 )
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
 // authenticate returns the organisation of a token.
 //
-// A comparison that stops at the first difference would let a caller
-// guess a token byte by byte; all digests are compared, each in constant time.
+// A comparison that stops at the first difference would let a caller guess a
+// token byte by byte. All digests are therefore compared, each in constant time.
 func authenticate(b *bundle.Bundle, header http.Header) (*bundle.Organisation, error) {
-	token, ok := strings.CutPrefix(header.Get("Authorization"), bearer)
+	token, ok := strings.CutPrefix(header.Get("Authorization"), bearerPrefix)
 	if !ok || token == "" {
-		return nil, connect.NewError(connect.CodeUnauthenticated, errToken)
+		return nil, connect.NewError(connect.CodeUnauthenticated, errUnknownToken)
 	}
 	sum := sha256.Sum256([]byte(token))
 	digest := []byte("sha256:" + hex.EncodeToString(sum[:]))
 	var found *bundle.Organisation
 	for i := range b.Organisations {
-		for _, known := range b.Organisations[i].TokenDigests {
-			if subtle.ConstantTimeCompare(digest, []byte(known)) == 1 {
+		for _, stored := range b.Organisations[i].TokenDigests {
+			if subtle.ConstantTimeCompare(digest, []byte(stored)) == 1 {
 				found = &b.Organisations[i]
 			}
 		}
 	}
 	if found == nil {
-		return nil, connect.NewError(connect.CodeUnauthenticated, errToken)
+		return nil, connect.NewError(connect.CodeUnauthenticated, errUnknownToken)
 	}
 	return found, nil
 }
 
-// Locate names the entry hosts to use, best first.
+// Locate returns the entry hosts that a caller should use, in order of
+// preference.
 func (e *Entry) Locate(_ context.Context, request *connect.Request[filbertleverv1.LocateRequest]) (*connect.Response[filbertleverv1.LocateResponse], error) {
 	response := &filbertleverv1.LocateResponse{
-		Entries: e.entries(request.Msg.Site),
+		Entries: e.entryAddresses(request.Msg.Site),
 		Keep:    durationpb.New(e.config.Keep),
 	}
 	if current := e.node.Current(); current != nil {
@@ -75,10 +76,10 @@
 	return connect.NewResponse(response), nil
 }
 
-// entries returns the entries that callers may use: those at the caller's site
-// first, and within that in an order of its own for each answer, so that
-// callers spread over the entries.
-func (e *Entry) entries(site string) []*filbertleverv1.EntryAddress {
+// entryAddresses returns the entries that callers may use, those at the caller's
+// site first. The order within a site differs between calls, so that callers
+// spread over the entries.
+func (e *Entry) entryAddresses(site string) []*filbertleverv1.EntryAddress {
 	hosts := map[filbertlever.HostID]filbertlever.Host{}
 	var ids []filbertlever.HostID
 	e.node.Read(func(base *knowledge.Base) {
@@ -94,7 +95,7 @@
 		ids = append(ids, e.config.Host.ID)
 	}
 	salt := time.Now().Format(time.RFC3339Nano)
-	var near, far []*filbertleverv1.EntryAddress
+	var sameSite, otherSites []*filbertleverv1.EntryAddress
 	for _, id := range rollout.Rank(salt, ids) {
 		host := hosts[id]
 		address := &filbertleverv1.EntryAddress{Host: string(id), Address: host.CallerAddress, Site: host.Site}
@@ -102,36 +103,38 @@
 			continue
 		}
 		if host.Site == site {
-			near = append(near, address)
+			sameSite = append(sameSite, address)
 		} else {
-			far = append(far, address)
+			otherSites = append(otherSites, address)
 		}
 	}
-	return append(near, far...)
+	return append(sameSite, otherSites...)
 }
 
-// admitted is a caller's request that may go on.
-type admitted struct {
+// admittedRequest is a caller's request that has passed authentication and the
+// concurrency limit. Its release must be called when the request has ended.
+type admittedRequest struct {
 	organisation *bundle.Organisation
 	bundle       *bundle.Bundle
-	leave        func()
+	release      func()
 }
 
-// Reasons for refusals at an entry.
+// Reasons for which an entry refuses or ends a request.
 const (
-	reasonLeaving  = "this entry is leaving"
-	reasonFull     = "organisation has too many requests under way"
-	reasonNoHost   = "no backend server has the model live"
-	reasonOverload = "backend servers cannot meet the deadline"
-	reasonDeadline = "deadline passed"
+	reasonStopping         = "this entry is leaving"
+	reasonConcurrencyLimit = "organisation has too many requests under way"
+	reasonNoHost           = "no backend server has the model live"
+	reasonOverload         = "backend servers cannot meet the deadline"
+	reasonDeadline         = "deadline passed"
 )
 
-// retryFull is when to come back after an organisation's limit.
-const retryFull = 100 * time.Millisecond
+// concurrencyRetryAfter is the retry delay for an organisation that has reached
+// its concurrency limit.
+const concurrencyRetryAfter = 100 * time.Millisecond
 
-// admit lets a request of a caller in, or returns why not. A refusal has run
-// nothing.
-func (e *Entry) admit(header http.Header) (*admitted, *filbertleverv1.Final, error) {
+// admit admits a caller's request or returns a refusal. No part of a refused
+// request has run.
+func (e *Entry) admit(header http.Header) (*admittedRequest, *filbertleverv1.Final, error) {
 	current := e.node.Current()
 	if current == nil {
 		return nil, nil, connect.NewError(connect.CodeUnavailable, errNoBundle)
@@ -140,34 +143,37 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// Counted before the look at the stop, so that the stop cannot end between.
-	e.running.Add(1)
+	// The request is counted before the check for a planned stop, so that the
+	// stop cannot complete in between.
+	e.inFlight.Add(1)
 	if !e.node.Accepts() {
-		e.running.Add(-1)
-		final := refusal(reasonLeaving, 0)
-		final.Elsewhere = e.entries(e.config.Host.Site)
+		e.inFlight.Add(-1)
+		final := refusal(reasonStopping, 0)
+		final.Elsewhere = e.entryAddresses(e.config.Host.Site)
 		return nil, final, nil
 	}
-	if !e.flows.enter(organisation.Name, organisation.MaxConcurrent) {
-		e.running.Add(-1)
-		return nil, refusal(reasonFull, retryFull), nil
+	if !e.perOrganisation.acquire(organisation.Name, organisation.MaxConcurrent) {
+		e.inFlight.Add(-1)
+		return nil, refusal(reasonConcurrencyLimit, concurrencyRetryAfter), nil
 	}
-	leave := func() {
-		e.flows.leave(organisation.Name)
-		e.running.Add(-1)
+	release := func() {
+		e.perOrganisation.release(organisation.Name)
+		e.inFlight.Add(-1)
 	}
-	return &admitted{organisation: organisation, bundle: current.Bundle, leave: leave}, nil, nil
+	return &admittedRequest{organisation: organisation, bundle: current.Bundle, release: release}, nil, nil
 }
 
-func refusal(reason string, after time.Duration) *filbertleverv1.Final {
+// refusal returns the final outcome of a request that is refused before it runs.
+func refusal(reason string, retryAfter time.Duration) *filbertleverv1.Final {
 	return &filbertleverv1.Final{
 		Outcome:    filbertleverv1.Outcome_OUTCOME_NOT_RUN,
 		Reason:     reason,
-		RetryAfter: durationpb.New(after),
+		RetryAfter: durationpb.New(retryAfter),
 	}
 }
 
-// deadline returns when a request must be over.
+// deadline returns the deadline of a request, based on the caller's timeout or
+// else the default.
 func (e *Entry) deadline(timeout *durationpb.Duration) time.Time {
 	wanted := timeout.AsDuration()
 	if wanted <= 0 {
@@ -176,10 +182,12 @@
 	return time.Now().Add(min(wanted, maxTimeout))
 }
 
+// badRequest returns an error for an invalid argument.
 func badRequest(problem string) error {
-	return connect.NewError(connect.CodeInvalidArgument, errors.Join(errRequest, errors.New(problem)))
+	return connect.NewError(connect.CodeInvalidArgument, errors.Join(errBadRequest, errors.New(problem)))
 }
 
+// logOutcome counts and logs the outcome of a request.
 func (e *Entry) logOutcome(kind, id string, organisation filbertlever.OrganisationID, outcome filbertlever.Outcome, reason string) {
 	e.metrics.outcomes.WithLabelValues(kind, outcome.String()).Inc()
 	e.log.Info("request ended", zap.String("Kind", kind), zap.String("RequestID", id),
--- a/internal/transport/entry/entry.go
+++ b/internal/transport/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process on each entry host: it tells callers which
-// entry to use, routes their requests to agents, retries and resumes them,
-// and claims orders.
+// Package entry implements the process on each entry host. It returns to callers
+// the addresses of entries, routes their requests to agents, retries and resumes
+// these requests, and claims orders so that each runs at most once.
 package entry
 
 import (
@@ -28,52 +28,54 @@
 	"github.com/filbertlever/filbertlever/pkg/api/filbertlever/v1/filbertleverv1connect"
 )
 
-// Platform is what an entry reads and writes of the platform.
+// Platform is the part of the platform's API that an entry uses.
 type Platform interface {
 	Get(ctx context.Context, keys ...string) ([]platform.Row, error)
 	Commit(ctx context.Context, writes ...platform.Write) (bool, []uint64, []platform.Row, error)
 }
 
-// Config is an entry's part of the settings.
+// Config holds the settings of an entry.
 type Config struct {
 	Host filbertlever.Host
-	// Keep is how long callers may keep an answer of Locate.
+	// LocateTTL is how long callers may cache a response of Locate.
 	Keep time.Duration
-	// Timeout is a request's deadline if the caller names none.
+	// DefaultTimeout is the timeout of a request if the caller sets none.
 	Timeout time.Duration
-	// OrderWrites is how many platform writes a second all orders may take.
+	// OrderWriteRate is the maximum number of platform writes per second for the
+	// orders of all entries together.
 	OrderWrites int
 	Routing     routing.Config
 	Retry       retry.Config
-	// FirstToken and NextToken are how long an attempt may be silent.
-	FirstToken time.Duration
-	NextToken  time.Duration
+	// FirstTokenTimeout and NextTokenTimeout limit the wait for the first token of
+	// an attempt and for each further one.
+	FirstTokenTimeout time.Duration
+	NextTokenTimeout  time.Duration
 }
 
-// DefaultConfig returns the limits used in production.
+// DefaultConfig returns the configuration used in production.
 func DefaultConfig() Config {
 	return Config{
-		Keep:        30 * time.Second,
-		Timeout:     time.Minute,
-		OrderWrites: 300,
-		Routing:     routing.DefaultConfig(),
-		Retry:       retry.DefaultConfig(),
-		FirstToken:  10 * time.Second,
-		NextToken:   3 * time.Second,
+		Keep:              30 * time.Second,
+		Timeout:           time.Minute,
+		OrderWrites:       300,
+		Routing:           routing.DefaultConfig(),
+		Retry:             retry.DefaultConfig(),
+		FirstTokenTimeout: 10 * time.Second,
+		NextTokenTimeout:  3 * time.Second,
 	}
 }
 
-// Entry is the entry's process. It is safe for concurrent use.
+// Entry serves the requests of callers. It is safe for concurrent use.
 type Entry struct {
 	config   Config
 	node     *node.Node
 	platform Platform
 	log      *zap.Logger
 	metrics  *metrics
-	// running counts the callers' requests under way.
-	running atomic.Int64
-	// flows count each organisation's requests under way.
-	flows flows
+	// inFlight counts the callers' requests in flight.
+	inFlight atomic.Int64
+	// perOrganisation limits the requests in flight of each organisation.
+	perOrganisation concurrencyLimiter
 
 	routes   routes
 	budget   retryBudget
@@ -81,7 +83,7 @@
 	recorder *recorder
 }
 
-// New returns an entry over a node.
+// New returns an entry that uses n to communicate with other processes.
 func New(config Config, n *node.Node, client Platform, log *zap.Logger, m *metrics) *Entry {
 	e := &Entry{config: config, node: n, platform: client, log: log, metrics: m}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -90,34 +92,34 @@
 	e.routes.loads = map[filbertlever.HostID]control.Load{}
 	e.budget.budget = retry.NewBudget(config.Retry)
 	e.orders.budget = order.NewBudget(float64(config.OrderWrites), 1)
-	e.recorder = &recorder{entry: e, queue: make(chan record, recorderQueue)}
-	e.flows.running = map[filbertlever.OrganisationID]int{}
+	e.recorder = &recorder{entry: e, queue: make(chan pendingRecord, recorderQueueSize)}
+	e.perOrganisation.inFlight = map[filbertlever.OrganisationID]int{}
 	n.AddMethod(control.MethodReport, e.handleReport)
 	n.AddMethod(control.MethodStatus, e.handleStatus)
 	return e
 }
 
-// maxMessage bounds a message of a caller.
-const maxMessage = 4 << 20
+// maxMessageBytes is the maximum size of a message from a caller.
+const maxMessageBytes = 4 << 20
 
-// compressLeast keeps single tokens from being compressed, which cost a third
-// of the processor time of a request.
-const compressLeast = 8 << 10
+// minCompressBytes is the smallest message that is compressed. Compressing
+// messages with single tokens took a third of the CPU time of a request.
+const minCompressBytes = 8 << 10
 
-// CallerRoutes adds the paths for callers to a mux.
+// CallerRoutes registers the handlers for callers on a mux.
 func (e *Entry) CallerRoutes(mux *http.ServeMux) {
-	path, handler := filbertleverv1connect.NewCallerServiceHandler(e, connect.WithReadMaxBytes(maxMessage), connect.WithCompressMinBytes(compressLeast))
+	path, handler := filbertleverv1connect.NewCallerServiceHandler(e, connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(minCompressBytes))
 	mux.Handle(path, handler)
 }
 
-// PeerRoutes adds the paths for other processes to a mux.
+// PeerRoutes registers the handlers for other processes on a mux.
 func (e *Entry) PeerRoutes(mux *http.ServeMux) {
 	mux.Handle(peer.ControlPath, e.node.Control())
 }
 
-// Serve works until ctx ends.
+// Serve runs the entry until ctx is done.
 func (e *Entry) Serve(ctx context.Context) {
-	refresher := &refresher{entry: e}
+	refresher := &routeRefresher{entry: e}
 	var group sync.WaitGroup
 	group.Go(func() { e.node.Run(ctx) })
 	group.Go(func() { refresher.run(ctx) })
@@ -125,52 +127,55 @@
 	group.Wait()
 }
 
-// Leave carries out the planned stop and returns once nothing is left to do.
-// Streams that outlast it are ended with the word where to go on.
+// Leave carries out a planned stop. It returns when no request and no unwritten
+// order result is left, or when ctx is done.
 func (e *Entry) Leave(ctx context.Context) {
 	e.node.AnnounceStop()
 	for {
-		work := int(e.running.Load()) + e.recorder.pending()
-		if e.node.AdvanceStop(work) == drain.PhaseDone {
-			e.log.Info("stop complete")
+		unfinished := int(e.inFlight.Load()) + e.recorder.pending()
+		if e.node.AdvanceStop(unfinished) == drain.PhaseDone {
+			e.log.Info("planned stop complete")
 			return
 		}
 		select {
 		case <-ctx.Done():
-			e.log.Warn("stop cut short", zap.Int("Work", work))
+			e.log.Warn("planned stop aborted with unfinished requests", zap.Int("Work", unfinished))
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// Ready returns nil if this entry can serve.
+// Ready returns nil if this entry can serve requests.
 func (e *Entry) Ready() error { return e.node.Ready() }
 
+// agentClient returns a client for the agent on a host, and whether the address
+// of the host is known.
 func (e *Entry) agentClient(host filbertlever.HostID) (peerv1connect.AgentServiceClient, bool) {
 	address, ok := e.node.PeerAddress(host)
 	return peerv1connect.NewAgentServiceClient(e.node.Clients().ForRequests(host), "https://"+address), ok
 }
 
-// retryBudget is the entry's retry budget under its lock.
+// retryBudget is the entry's retry budget. It is safe for concurrent use.
 type retryBudget struct {
 	mu     sync.Mutex
 	budget *retry.Budget
 }
 
-func (b *retryBudget) fresh() {
+func (b *retryBudget) recordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget.Fresh()
 }
 
-func (b *retryBudget) again(attempt retry.Attempt, remaining time.Duration) bool {
+func (b *retryBudget) allow(attempt retry.Attempt, remaining time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget.Again(attempt, remaining)
 }
 
-// orderBudget is the entry's share of the platform's writes under its lock.
+// orderBudget is the entry's share of the platform writes for orders. It is safe
+// for concurrent use.
 type orderBudget struct {
 	mu     sync.Mutex
 	budget *order.Budget
@@ -182,48 +187,51 @@
 	return b.budget.Take(time.Now())
 }
 
-func (b *orderBudget) share(writes, entries int) {
+func (b *orderBudget) setEntries(writeRate, entries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget.SetEntries(float64(writes), entries)
+	b.budget.SetEntries(float64(writeRate), entries)
 }
 
-// flows counts the requests of each organisation under its lock.
-type flows struct {
-	mu      sync.Mutex
-	running map[filbertlever.OrganisationID]int
+// concurrencyLimiter counts the requests in flight of each organisation. It is
+// safe for concurrent use.
+type concurrencyLimiter struct {
+	mu       sync.Mutex
+	inFlight map[filbertlever.OrganisationID]int
 }
 
-// enter counts a request in, unless the organisation has most already.
-func (f *flows) enter(organisation filbertlever.OrganisationID, most int) bool {
+// acquire counts a request and returns true, unless the organisation has reached
+// its limit.
+func (f *concurrencyLimiter) acquire(organisation filbertlever.OrganisationID, limit int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.running[organisation] >= most {
+	if f.inFlight[organisation] >= limit {
 		return false
 	}
-	f.running[organisation]++
+	f.inFlight[organisation]++
 	return true
 }
 
-func (f *flows) leave(organisation filbertlever.OrganisationID) {
+func (f *concurrencyLimiter) release(organisation filbertlever.OrganisationID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.running[organisation]--
-	if f.running[organisation] == 0 {
-		delete(f.running, organisation)
+	f.inFlight[organisation]--
+	if f.inFlight[organisation] == 0 {
+		delete(f.inFlight, organisation)
 	}
 }
 
-// refresher carries what the node learns of hosts into the router.
-type refresher struct {
+// routeRefresher copies the state of hosts from the node to the router.
+type routeRefresher struct {
 	entry *Entry
 }
 
-// refreshEvery is how soon a suspicion, a stop or a new host shows in routing.
-const refreshEvery = 50 * time.Millisecond
+// refreshInterval is the maximum delay until a suspected host, a planned stop or
+// a new host affects routing.
+const refreshInterval = 50 * time.Millisecond
 
-func (r *refresher) run(ctx context.Context) {
-	ticker := time.NewTicker(refreshEvery)
+func (r *routeRefresher) run(ctx context.Context) {
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
 		r.entry.refresh()
@@ -235,21 +243,23 @@
 	}
 }
 
+// refresh updates the router with the usable agents, and the order budget with
+// the number of entries.
 func (e *Entry) refresh() {
 	now := time.Now()
-	type seen struct {
+	type hostState struct {
 		host   filbertlever.Host
 		usable bool
 	}
-	var agents []seen
+	var agents []hostState
 	entries := 0
 	e.node.Read(func(base *knowledge.Base) {
 		for _, host := range base.Members.Hosts(filbertlever.RoleAgent) {
-			agents = append(agents, seen{host: host, usable: base.Usable(host.ID, now)})
+			agents = append(agents, hostState{host: host, usable: base.Usable(host.ID, now)})
 		}
 		entries = len(base.Members.Hosts(filbertlever.RoleEntry))
 	})
-	e.orders.share(e.config.OrderWrites, entries)
+	e.orders.setEntries(e.config.OrderWrites, entries)
 	e.routes.mu.Lock()
 	defer e.routes.mu.Unlock()
 	for _, agent := range agents {
--- a/internal/transport/entry/metrics.go
+++ b/internal/transport/entry/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the entry's own figures. None bears an organisation, so that
-// nobody who reads metrics learns of one.
+// metrics holds the entry's counters. No label names an organisation, so that the
+// metrics disclose none to their readers.
 type metrics struct {
 	outcomes *prometheus.CounterVec
 	retries  prometheus.Counter
@@ -25,10 +25,10 @@
 	return m
 }
 
-// Register adds figures that are read from the entry itself.
+// Register registers the gauges that are computed from the entry's state.
 func (e *Entry) Register(registry prometheus.Registerer) {
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "filbertlever_entry_running",
 		Help: "Callers' requests under way.",
-	}, func() float64 { return float64(e.running.Load()) }))
+	}, func() float64 { return float64(e.inFlight.Load()) }))
 }
--- a/internal/transport/entry/orders.go
+++ b/internal/transport/entry/orders.go
@@ -26,11 +26,11 @@
 	filbertlever.OutcomeUnknown:  filbertleverv1.Outcome_OUTCOME_UNKNOWN,
 }
 
-// Order runs a call of a plain service, at most once for each organisation and
-// key unless the bundle says that the call may be repeated.
+// Order runs a call of a plain service. It runs the call at most once for each
+// organisation and key, unless the bundle marks the call as repeatable.
 func (e *Entry) Order(ctx context.Context, request *connect.Request[filbertleverv1.OrderRequest]) (*connect.Response[filbertleverv1.OrderResponse], error) {
 	message := request.Msg
-	entered, final, err := e.admit(request.Header())
+	admitted, final, err := e.admit(request.Header())
 	if err != nil {
 		return nil, err
 	}
@@ -40,36 +40,36 @@
 		response.Elsewhere = final.Elsewhere
 		return connect.NewResponse(response), nil
 	}
-	defer entered.leave()
-	service, call, ok := entered.bundle.Call(message.Service, message.Call)
+	defer admitted.release()
+	service, call, ok := admitted.bundle.Call(message.Service, message.Call)
 	if !ok {
 		return nil, connect.NewError(connect.CodeNotFound, fmt.Errorf("call %q of service %q is not in the bundle in force", message.Call, message.Service))
 	}
-	p := &purchase{entry: e, message: message, organisation: entered.organisation.Name, pool: service.Pool, deadline: e.deadline(message.Timeout)}
+	p := &orderRequest{entry: e, message: message, organisation: admitted.organisation.Name, pool: service.Pool, deadline: e.deadline(message.Timeout)}
 	var result order.Result
 	if call.Repeatable {
-		result = p.repeatable(ctx)
+		result = p.runRepeatable(ctx)
 	} else {
 		if message.IdempotencyKey == "" || len(message.IdempotencyKey) > maxIDBytes {
 			return nil, badRequest(fmt.Sprintf("IdempotencyKey: expected 1 to %d bytes", maxIDBytes))
 		}
-		result = p.once(ctx)
+		result = p.runOnce(ctx)
 	}
 	e.logOutcome("Order", "", p.organisation, result.Outcome, result.Reason)
 	return connect.NewResponse(toOrderResponse(result)), nil
 }
 
-// LookupOrder returns what is known of an order, and never runs it.
+// LookupOrder returns the recorded state of an order without running it.
 func (e *Entry) LookupOrder(ctx context.Context, request *connect.Request[filbertleverv1.LookupOrderRequest]) (*connect.Response[filbertleverv1.OrderResponse], error) {
-	entered, final, err := e.admit(request.Header())
+	admitted, final, err := e.admit(request.Header())
 	if err != nil {
 		return nil, err
 	}
 	if final != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New(final.Reason))
 	}
-	defer entered.leave()
-	rows, err := e.platform.Get(ctx, platform.KeyOrder(entered.organisation.Name, request.Msg.IdempotencyKey))
+	defer admitted.release()
+	rows, err := e.platform.Get(ctx, platform.KeyOrder(admitted.organisation.Name, request.Msg.IdempotencyKey))
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
@@ -80,10 +80,11 @@
 	if err := rows[0].Decode(&row); err != nil {
 		return nil, connect.NewError(connect.CodeInternal, err)
 	}
-	return connect.NewResponse(lookedUp(row)), nil
+	return connect.NewResponse(lookupResponse(row)), nil
 }
 
-func lookedUp(row order.Row) *filbertleverv1.OrderResponse {
+// lookupResponse returns the response for the stored row of an order.
+func lookupResponse(row order.Row) *filbertleverv1.OrderResponse {
 	switch row.State {
 	case order.StateDone:
 		return &filbertleverv1.OrderResponse{Outcome: filbertleverv1.Outcome_OUTCOME_ANSWERED, Answer: row.Answer}
@@ -105,8 +106,9 @@
 	}
 }
 
-// purchase is one arrival of an order at this entry.
-type purchase struct {
+// orderRequest is one request for an order at this entry. The same order may be
+// requested several times.
+type orderRequest struct {
 	entry        *Entry
 	message      *filbertleverv1.OrderRequest
 	organisation filbertlever.OrganisationID
@@ -114,8 +116,9 @@
 	deadline     time.Time
 }
 
-// target picks a live agent of the service's pool, at random.
-func (p *purchase) target() order.Target {
+// chooseTarget selects a usable agent of the service's pool. The choice depends on
+// the clock, so that orders spread over the agents.
+func (p *orderRequest) chooseTarget() order.Target {
 	var targets []order.Target
 	p.entry.node.Read(func(base *knowledge.Base) {
 		for _, host := range base.UsableHosts(filbertlever.RoleAgent, time.Now()) {
@@ -131,41 +134,43 @@
 	return targets[time.Now().UnixNano()%int64(len(targets))]
 }
 
-// once runs the order's decisions and carries out their actions. It goes on
-// when the caller is gone, until the order has ended.
-func (p *purchase) once(ctx context.Context) order.Result {
+// runOnce runs the state machine of the order and performs its actions. It
+// continues after the caller has disconnected, until the order has ended.
+func (p *orderRequest) runOnce(ctx context.Context) order.Result {
 	e := p.entry
-	if ok, after := e.orders.take(); !ok {
-		return order.Refuse(p.message.Repeated, "orders exceed the platform's writes", after)
+	if ok, retryAfter := e.orders.take(); !ok {
+		return order.Refuse(p.message.Repeated, "orders exceed the platform's writes", retryAfter)
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Until(p.deadline)+2*time.Second)
 	defer cancel()
 	run := order.NewRun(order.Request{
 		ClaimID:  newClaimID(e.config.Host.ID),
 		Body:     order.BodyDigest(p.message.Service, p.message.Call, p.message.Body),
-		Target:   p.target(),
+		Target:   p.chooseTarget(),
 		Deadline: p.deadline,
 		Repeated: p.message.Repeated,
 	})
 	key := platform.KeyOrder(p.organisation, p.message.IdempotencyKey)
 	action := run.Start(time.Now())
 	for action.Kind != order.ActionFinish {
-		p.log(action)
+		p.logDispatch(action)
 		time.Sleep(action.Wait)
-		action = p.carryOut(ctx, run, key, action)
+		action = p.perform(ctx, run, key, action)
 	}
-	p.recordLater(key, action.Result)
+	p.enqueueRecord(key, action.Result)
 	return action.Result
 }
 
-func (p *purchase) log(action order.Action) {
+// logDispatch logs an action that dispatches the order to an agent.
+func (p *orderRequest) logDispatch(action order.Action) {
 	if action.Kind == order.ActionDispatch {
 		p.entry.log.Info("order placed", zap.String("Organisation", string(p.organisation)), zap.String("Call", p.message.Call),
 			zap.String("Choice", string(action.Row.Agent)), zap.Uint64("Fence", action.Row.Fence))
 	}
 }
 
-func (p *purchase) carryOut(ctx context.Context, run *order.Run, key string, action order.Action) order.Action {
+// perform performs an action of the state machine and returns the next one.
+func (p *orderRequest) perform(ctx context.Context, run *order.Run, key string, action order.Action) order.Action {
 	switch action.Kind {
 	case order.ActionRead:
 		rows, err := p.entry.platform.Get(ctx, key)
@@ -181,18 +186,19 @@
 		reply, err := p.dispatch(ctx, action.Row)
 		return run.Dispatched(reply, err, time.Now())
 	default:
-		reply, err := p.settle(ctx, action.Row)
+		reply, err := p.resolve(ctx, action.Row)
 		return run.Settled(reply, err, time.Now())
 	}
 }
 
-func (p *purchase) write(ctx context.Context, run *order.Run, key string, action order.Action) order.Action {
+// write stores the row if it has not changed, and notifies the gate of a result.
+func (p *orderRequest) write(ctx context.Context, run *order.Run, key string, action order.Action) order.Action {
 	applied, revisions, conflicts, err := p.entry.platform.Commit(ctx, platform.Write{Key: key, Value: action.Row, Expected: action.Revision})
 	if err != nil {
 		return run.Wrote(false, order.Row{}, 0, err, time.Now())
 	}
 	if applied {
-		p.tellRecorded(action.Row)
+		p.notifyRecorded(action.Row)
 		return run.Wrote(true, order.Row{}, revisions[0], nil, time.Now())
 	}
 	var row order.Row
@@ -200,7 +206,8 @@
 	return run.Wrote(false, row, conflicts[0].Revision, err, time.Now())
 }
 
-func (p *purchase) dispatch(ctx context.Context, row order.Row) (order.GateReply, error) {
+// dispatch requests the agent that the row names to run the order.
+func (p *orderRequest) dispatch(ctx context.Context, row order.Row) (order.GateReply, error) {
 	client, ok := p.entry.agentClient(row.Agent)
 	if !ok {
 		return order.GateReply{}, fmt.Errorf("dispatch to %s: address unknown", row.Agent)
@@ -216,11 +223,13 @@
 		Timeout:        durationpb.New(time.Until(p.deadline)),
 		Once:           true,
 	}))
-	return p.reply(row.Agent, response, err)
+	return p.gateReply(row.Agent, response, err)
 }
 
-func (p *purchase) settle(ctx context.Context, row order.Row) (order.GateReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+// resolve requests the state of the order from the agent that the row names, and
+// forbids an order that has not started.
+func (p *orderRequest) resolve(ctx context.Context, row order.Row) (order.GateReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	client, ok := p.entry.agentClient(row.Agent)
 	if !ok {
@@ -232,12 +241,12 @@
 		Incarnation:    string(row.Incarnation),
 		Fence:          row.Fence,
 	}))
-	return p.reply(row.Agent, response, err)
+	return p.gateReply(row.Agent, response, err)
 }
 
-const settleTimeout = 2 * time.Second
+const resolveTimeout = 2 * time.Second
 
-var gateAnswers = map[peerv1.GateAnswer]order.GateAnswer{
+var gateAnswersByMessage = map[peerv1.GateAnswer]order.GateAnswer{
 	peerv1.GateAnswer_GATE_ANSWER_DONE:              order.GateDone,
 	peerv1.GateAnswer_GATE_ANSWER_NEVER:             order.GateNever,
 	peerv1.GateAnswer_GATE_ANSWER_RUNNING:           order.GateRunning,
@@ -245,12 +254,13 @@
 	peerv1.GateAnswer_GATE_ANSWER_OTHER_INCARNATION: order.GateOther,
 }
 
-func (p *purchase) reply(agent filbertlever.HostID, response *connect.Response[peerv1.RunOrderResponse], err error) (order.GateReply, error) {
+// gateReply converts an agent's response, and reports a failed call to the node.
+func (p *orderRequest) gateReply(agent filbertlever.HostID, response *connect.Response[peerv1.RunOrderResponse], err error) (order.GateReply, error) {
 	if err != nil {
 		p.entry.node.Failed(agent)
 		return order.GateReply{}, fmt.Errorf("order at %s: %w", agent, err)
 	}
-	gate, ok := gateAnswers[response.Msg.Gate]
+	gate, ok := gateAnswersByMessage[response.Msg.Gate]
 	if !ok {
 		return order.GateReply{}, fmt.Errorf("order at %s: gate answered %s", agent, response.Msg.Gate)
 	}
@@ -262,13 +272,14 @@
 	}, nil
 }
 
-// repeatable runs a call that may be run twice, on one agent after the other.
-func (p *purchase) repeatable(ctx context.Context) order.Result {
+// runRepeatable runs a call that is safe to repeat, with up to
+// maxRepeatableAttempts attempts.
+func (p *orderRequest) runRepeatable(ctx context.Context) order.Result {
 	ctx, cancel := context.WithDeadline(ctx, p.deadline)
 	defer cancel()
 	result := order.Result{Outcome: filbertlever.OutcomeNotRun, Reason: order.ReasonNoAgent, RetryAfter: time.Second}
-	for range repeatableTries {
-		target := p.target()
+	for range maxRepeatableAttempts {
+		target := p.chooseTarget()
 		if target.Agent == "" {
 			break
 		}
@@ -283,14 +294,14 @@
 			Body:         p.message.Body,
 			Timeout:      durationpb.New(time.Until(p.deadline)),
 		}))
-		reply, err := p.reply(target.Agent, response, err)
+		reply, err := p.gateReply(target.Agent, response, err)
 		if err == nil && reply.Gate == order.GateDone {
 			return order.Result{Outcome: filbertlever.OutcomeAnswered, Answer: reply.Answer}
 		}
 		result.Reason = reply.Reason
 		if err != nil {
-			// The call may have run; it may be repeated, but "not run" is no
-			// longer true.
+			// The call is safe to repeat, but it may have run, so the outcome
+			// "not run" would be wrong.
 			result.Outcome = filbertlever.OutcomeUnknown
 			result.Reason = err.Error()
 		}
@@ -298,8 +309,9 @@
 	return result
 }
 
-const repeatableTries = 3
+const maxRepeatableAttempts = 3
 
+// newClaimID returns a unique identifier for a claim of this host.
 func newClaimID(host filbertlever.HostID) string {
 	var random [12]byte
 	_, _ = rand.Read(random[:])
--- a/internal/transport/entry/recorder.go
+++ b/internal/transport/entry/recorder.go
@@ -12,12 +12,13 @@
 	"github.com/filbertlever/filbertlever/internal/transport/platform"
 )
 
-// tellRecorded tells the gate that the platform holds the order's end.
-func (p *purchase) tellRecorded(row order.Row) {
+// notifyRecorded notifies the agent's gate that the platform has stored the result
+// of the order.
+func (p *orderRequest) notifyRecorded(row order.Row) {
 	if row.State != order.StateDone && row.State != order.StateUnknown {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), resolveTimeout)
 	defer cancel()
 	_ = p.entry.node.Control().Notify(ctx, row.Agent, control.MethodRecorded, control.Recorded{
 		Incarnation:  row.Incarnation,
@@ -26,68 +27,72 @@
 	})
 }
 
-// record is the end of an order that the platform does not hold yet.
-type record struct {
-	purchase *purchase
+// pendingRecord is the result of an order that is not yet stored on the platform.
+type pendingRecord struct {
+	order    *orderRequest
 	key      string
 	row      order.Row
 	revision uint64
 }
 
 const (
-	recorderQueue = 4096
-	recorderPause = 500 * time.Millisecond
+	recorderQueueSize  = 4096
+	recorderRetryDelay = 500 * time.Millisecond
 )
 
-// recorder writes ends of orders that could not be written at once.
+// recorder stores the results of orders that could not be written immediately. It
+// retries each until the platform responds.
 type recorder struct {
-	entry *Entry
-	queue chan record
-	left  atomic.Int64
+	entry     *Entry
+	queue     chan pendingRecord
+	unwritten atomic.Int64
 }
 
-func (r *recorder) pending() int { return int(r.left.Load()) }
+// pending returns the number of results that are not yet stored.
+func (r *recorder) pending() int { return int(r.unwritten.Load()) }
 
-func (p *purchase) recordLater(key string, result order.Result) {
+// enqueueRecord queues a result that is not yet stored, if there is one.
+func (p *orderRequest) enqueueRecord(key string, result order.Result) {
 	if result.Record == nil {
 		return
 	}
 	r := p.entry.recorder
 	select {
-	case r.queue <- record{purchase: p, key: key, row: *result.Record, revision: result.Revision}:
-		r.left.Add(1)
+	case r.queue <- pendingRecord{order: p, key: key, row: *result.Record, revision: result.Revision}:
+		r.unwritten.Add(1)
 	default:
-		p.entry.log.Error("end of an order is not recorded: too many wait for the platform", zap.String("Organisation", string(p.organisation)))
+		p.entry.log.Error("order result dropped: the queue of unwritten results is full", zap.String("Organisation", string(p.organisation)))
 	}
 }
 
+// run writes queued results until ctx is done.
 func (r *recorder) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case late := <-r.queue:
-			for !r.write(ctx, late) {
+		case pending := <-r.queue:
+			for !r.write(ctx, pending) {
 				select {
 				case <-ctx.Done():
 					return
-				case <-time.After(recorderPause):
+				case <-time.After(recorderRetryDelay):
 				}
 			}
-			r.left.Add(-1)
+			r.unwritten.Add(-1)
 		}
 	}
 }
 
-// write reports whether the record is settled: written, or no longer needed
-// because the row has moved on.
-func (r *recorder) write(ctx context.Context, late record) bool {
-	applied, _, _, err := r.entry.platform.Commit(ctx, platform.Write{Key: late.key, Value: late.row, Expected: late.revision})
+// write stores a result if its row has not changed. It reports whether the record
+// needs no further attempt, which includes a row that has changed since.
+func (r *recorder) write(ctx context.Context, pending pendingRecord) bool {
+	applied, _, _, err := r.entry.platform.Commit(ctx, platform.Write{Key: pending.key, Value: pending.row, Expected: pending.revision})
 	if err != nil {
 		return false
 	}
 	if applied {
-		late.purchase.tellRecorded(late.row)
+		pending.order.notifyRecorded(pending.row)
 	}
 	return true
 }
--- a/internal/transport/entry/routes.go
+++ b/internal/transport/entry/routes.go
@@ -18,7 +18,8 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// routes is the router and the agents' reports under one lock.
+// routes holds the router and the latest reports of agents. It is safe for
+// concurrent use.
 type routes struct {
 	mu      sync.Mutex
 	router  *routing.Router
@@ -26,19 +27,21 @@
 	loads   map[filbertlever.HostID]control.Load
 }
 
-// version is the weights that an answer comes from.
+// version identifies the weights that generate an answer.
 type version struct {
-	// Model is the manifest of the model, Adapter that of the adapter or empty.
+	// Model is the digest of the model's manifest. Adapter is the digest of the
+	// adapter's manifest, or empty.
 	Model   filbertlever.Digest
 	Adapter filbertlever.Digest
 	Name    string
 }
 
+// target returns the key under which the router finds hosts with this version.
 func (v version) target() routing.Target {
 	return routing.Target(string(v.Model) + "+" + string(v.Adapter))
 }
 
-// handleReport takes an agent's report.
+// handleReport handles an agent's report.
 func (e *Entry) handleReport(_ context.Context, caller peer.Caller, params []byte) (any, error) {
 	var report control.Report
 	if err := json.Unmarshal(params, &report); err != nil {
@@ -52,20 +55,21 @@
 	} else {
 		e.node.Answered(caller.Host)
 	}
-	return e.routes.take(caller.Host, report), nil
+	return e.routes.applyReport(caller.Host, report), nil
 }
 
-// take notes a report, and says whether the full one is lacking.
-func (r *routes) take(host filbertlever.HostID, report control.Report) control.ReportResponse {
+// applyReport stores a report, and requests a full report if none has been
+// received from this incarnation.
+func (r *routes) applyReport(host filbertlever.HostID, report control.Report) control.ReportResponse {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.reports[host]
+	last, ok := r.reports[host]
 	if full := report.Full; full != nil {
-		known = *full
-		r.reports[host] = known
+		last = *full
+		r.reports[host] = last
 		r.router.SetHost(full.From.Host, !full.From.Leaving)
 		r.router.SetLoaded(host, targets(full.Live))
-	} else if !ok || known.From.Incarnation != report.Incarnation {
+	} else if !ok || last.From.Incarnation != report.Incarnation {
 		return control.ReportResponse{WantFull: true}
 	}
 	r.loads[host] = report.Load
@@ -81,22 +85,22 @@
 	return control.ReportResponse{}
 }
 
-// correct takes the weights that a host said are live when it refused others.
-func (r *routes) correct(host filbertlever.HostID, live []*peerv1.LiveWeights) {
+// setLive replaces the live weights of a host with those listed in its refusal.
+func (r *routes) setLive(host filbertlever.HostID, live []*peerv1.LiveWeights) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.reports[host]
-	known.Live = nil
+	last := r.reports[host]
+	last.Live = nil
 	for _, w := range live {
-		known.Live = append(known.Live, control.LiveWeights{
+		last.Live = append(last.Live, control.LiveWeights{
 			Model: w.Model, Version: w.Version, Manifest: filbertlever.Digest(w.Manifest), Base: filbertlever.Digest(w.Base),
 		})
 	}
-	r.reports[host] = known
-	r.router.SetLoaded(host, targets(known.Live))
+	r.reports[host] = last
+	r.router.SetLoaded(host, targets(last.Live))
 }
 
-// targets returns what a host with these weights can serve.
+// targets returns the routing targets that a host with these weights can serve.
 func targets(live []control.LiveWeights) []routing.Target {
 	var out []routing.Target
 	for _, weights := range live {
@@ -109,8 +113,8 @@
 	return out
 }
 
-// piggyback takes the load that came with an answer.
-func (r *routes) piggyback(host filbertlever.HostID, load *peerv1.Load) {
+// applyLoad updates the load of a host from a response frame.
+func (r *routes) applyLoad(host filbertlever.HostID, load *peerv1.Load) {
 	if load == nil {
 		return
 	}
@@ -127,20 +131,22 @@
 	})
 }
 
+// choose selects a host for a request.
 func (r *routes) choose(request *routing.Request) routing.Choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.router.Choose(request)
 }
 
-func (r *routes) ended(host filbertlever.HostID) {
+// release removes a failed or cancelled request from the estimated load of a host.
+func (r *routes) release(host filbertlever.HostID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.router.Ended(host)
 }
 
-// versions returns the weights that may answer for a model and adapter: the
-// bundle's, then those that hosts still serve until the bundle's are live.
+// versions returns the versions that may answer for a model and adapter: the
+// bundle's version, then those that hosts serve until the bundle's is live.
 func (e *Entry) versions(b *bundle.Bundle, model, adapter string) ([]version, bool) {
 	m, ok := b.Model(model)
 	if !ok {
@@ -155,12 +161,12 @@
 		wanted.Adapter = a.Manifest
 		wanted.Name += "+" + a.Version
 	}
-	return append([]version{wanted}, e.outgoing(wanted, model, adapter)...), true
+	return append([]version{wanted}, e.otherLiveVersions(wanted, model, adapter)...), true
 }
 
-// outgoing returns other versions of the same model and adapter that agents
-// report as live.
-func (e *Entry) outgoing(wanted version, model, adapter string) []version {
+// otherLiveVersions returns the other versions of the same model and adapter that
+// agents report as live.
+func (e *Entry) otherLiveVersions(wanted version, model, adapter string) []version {
 	name := model
 	if adapter != "" {
 		name += "/" + adapter
@@ -185,7 +191,8 @@
 	return found
 }
 
-// handleStatus returns what this entry knows, for operators.
+// handleStatus returns this entry's view of all hosts to operators and other
+// entries.
 func (e *Entry) handleStatus(_ context.Context, caller peer.Caller, _ []byte) (any, error) {
 	if caller.Role != peer.RoleOperator && caller.Role != peer.RoleEntry {
 		return nil, fmt.Errorf("status for %s: %w", caller.Host, peer.ErrRole)
--- a/internal/transport/entry/sinks.go
+++ b/internal/transport/entry/sinks.go
@@ -8,18 +8,18 @@
 	filbertleverv1 "github.com/filbertlever/filbertlever/pkg/api/filbertlever/v1"
 )
 
-// sink takes the parts of an answer.
+// sink receives the parts of an answer.
 type sink interface {
 	Start(v version) error
 	Tokens(offset uint32, pieces []string) error
 }
 
-// streamSink sends each part at once.
+// streamSink sends each part to the caller immediately.
 type streamSink struct {
 	out *connect.ServerStream[filbertleverv1.AskResponse]
 }
 
-// Start sends which weights answer.
+// Start sends the version that generates the answer.
 func (s *streamSink) Start(v version) error {
 	return s.out.Send(&filbertleverv1.AskResponse{Event: &filbertleverv1.AskResponse_Start{
 		Start: &filbertleverv1.Start{ModelVersion: v.Name, VersionDigest: string(v.Model)},
@@ -33,20 +33,20 @@
 	}})
 }
 
-// wholeSink keeps the answer.
-type wholeSink struct {
+// bufferSink collects the complete answer.
+type bufferSink struct {
 	version version
 	text    strings.Builder
 }
 
-// Start notes which weights answer.
-func (s *wholeSink) Start(v version) error {
+// Start stores the version that generates the answer.
+func (s *bufferSink) Start(v version) error {
 	s.version = v
 	return nil
 }
 
-// Tokens keeps a part of the answer.
-func (s *wholeSink) Tokens(_ uint32, pieces []string) error {
+// Tokens appends a part of the answer.
+func (s *bufferSink) Tokens(_ uint32, pieces []string) error {
 	for _, piece := range pieces {
 		s.text.WriteString(piece)
 	}
