--- a/internal/transport/agent/agent.go
+++ b/internal/transport/agent/agent.go
@@ -49,7 +49,7 @@
 	Origin     string
 	Store      string
 	Network    network.Network
-	// Link limits the bandwidth of weight transfers on this host's link,
+	// BandwidthLimit limits the bandwidth of weight transfers on this host's link,
 	// separately for each direction.
 	Link  distribution.Pace
 	Fetch weights.FetchConfig
@@ -160,7 +160,7 @@
 	}
 }
 
-// Leave carries out a planned stop. It returns when no request is left, or when
+// Drain carries out a planned stop. It returns when no request is left, or when
 // ctx is done.
 func (a *Agent) Leave(ctx context.Context) {
 	a.node.AnnounceStop()
--- a/internal/transport/agent/loader.go
+++ b/internal/transport/agent/loader.go
@@ -242,7 +242,7 @@
 	fields := []zap.Field{zap.String("Model", c.progress.Weights.Model), zap.String("Version", c.progress.Weights.Version), zap.Uint64("Fence", l.fence())}
 	if live {
 		a.metrics.loads.WithLabelValues("Live").Inc()
-		a.log.Info("weights are live", fields...)
+		a.log.Info("weights live", fields...)
 	} else {
 		a.metrics.loads.WithLabelValues("Failed").Inc()
 		a.log.Warn("load failed", append(fields, zap.Error(err), zap.String("Attested", string(attested)))...)
--- a/internal/transport/agent/queue.go
+++ b/internal/transport/agent/queue.go
@@ -18,14 +18,14 @@
 	limit   *admission.Limit
 	lastID  uint64
 	waiters map[uint64]chan admission.Decision
-	// cancels holds the cancel function of each running request, so that
-	// entries resume it on another host.
+	// cancels holds the cancel function of each running request. They are called
+	// to make entries resume the requests on other hosts.
 	cancels    map[uint64]context.CancelCauseFunc
 	maxWaiting int
 }
 
-// Limits that apply until a bundle is active. The target time to the first
-// token holds afterwards as well.
+// Defaults that apply until a bundle is active. The target time to the first
+// token and the interval also apply afterwards.
 const (
 	defaultConcurrency = 8
 	defaultQueueSize   = 64
@@ -43,6 +43,7 @@
 	}
 }
 
+// resize sets the limits on running and waiting requests.
 func (q *requestQueue) resize(concurrency, size int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -97,6 +98,7 @@
 	return true
 }
 
+// release removes a running request and starts waiting ones.
 func (q *requestQueue) release(id uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -135,6 +137,7 @@
 	q.queue.Resize(q.limit.Value(), q.maxWaiting)
 }
 
+// load returns the current load for reports to entries.
 func (q *requestQueue) load() control.Load {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/transport/entry/ask.go
+++ b/internal/transport/entry/ask.go
@@ -216,8 +216,7 @@
 const (
 	// bytesPerToken is the estimated average size of a token.
 	bytesPerToken = 4
-	// prefixBytes is the length of the prompt prefix that prompt caching is
-	// estimated by.
+	// prefixBytes is the length of the beginning of the prompt that is hashed.
 	prefixBytes = 1024
 )
 
--- a/internal/transport/entry/entry.go
+++ b/internal/transport/entry/entry.go
@@ -46,8 +46,8 @@
 	OrderWrites int
 	Routing     routing.Config
 	Retry       retry.Config
-	// FirstTokenTimeout and NextTokenTimeout limit the wait for the first token of
-	// an attempt and for each further one.
+	// FirstTokenTimeout and NextTokenTimeout limit the wait for the first frame of
+	// an attempt and for each further frame.
 	FirstTokenTimeout time.Duration
 	NextTokenTimeout  time.Duration
 }
@@ -127,7 +127,7 @@
 	group.Wait()
 }
 
-// Leave carries out a planned stop. It returns when no request and no unwritten
+// Drain carries out a planned stop. It returns when no request and no unwritten
 // order result is left, or when ctx is done.
 func (e *Entry) Leave(ctx context.Context) {
 	e.node.AnnounceStop()
@@ -243,8 +243,8 @@
 	}
 }
 
-// refresh updates the router with the usable agents, and the order budget with
-// the number of entries.
+// refresh updates the router with the agents and whether each is usable, and the
+// order budget with the number of entries.
 func (e *Entry) refresh() {
 	now := time.Now()
 	type hostState struct {
