--- a/internal/transport/channel/cancelled_test.go
+++ b/internal/transport/channel/cancelled_test.go
@@ -11,12 +11,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A request that had been taken back, or whose caller had left, before anything of it was
-// sent went out all the same on a kept connection, and its caller was told that it may
-// have run.
-func TestARequestThatIsTakenBackIsNotSent(t *testing.T) {
+// A request that was cancelled, or whose caller had disconnected, before anything was written
+// was still sent on an idle connection, and the error reported that it may have run.
+func TestCancelledRequestIsNotSent(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(t, func(_ int, r *http.Request, conn net.Conn) { respond(conn, r.Header.Get("Id"), "fine") })
+	s := newScriptedServer(t, func(_ int, r *http.Request, conn net.Conn) { respond(conn, r.Header.Get("Id"), "ok") })
 	pool, closePool := New()
 	defer closePool()
 	_, err := get(pool, s, "1")
--- a/internal/transport/channel/channel.go
+++ b/internal/transport/channel/channel.go
@@ -1,6 +1,6 @@
-// Package channel sends HTTP requests to backend servers over kept connections.
-// Unlike http.Transport it never sends a request twice, and it tells whether a
-// request that failed may have reached the server.
+// Package channel sends HTTP requests to backend servers over pooled connections.
+// Unlike http.Transport it never retries a request, and its errors report whether
+// a failed request may have reached the server.
 package channel
 
 import (
@@ -20,33 +20,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of connections.
+// Connection timeouts and limits.
 const (
-	// dialTimeout bounds a new connection. Links have a few milliseconds, and a
-	// host without power answers nothing.
+	// dialTimeout bounds the setup of a connection. Links have a latency of a few
+	// milliseconds, and a host without power does not answer at all.
 	dialTimeout = 700 * time.Millisecond
-	// idleDefault is how long a connection is kept unused if the server does
-	// not say when it closes.
-	idleDefault = 4 * time.Second
-	// idleMargin is left before the server's own time, so that a request does
-	// not cross the server's close.
+	// defaultIdleTimeout is how long an idle connection is kept if the server does
+	// not send a Keep-Alive timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the server's Keep-Alive timeout, so that a request
+	// is not sent while the server closes the connection.
 	idleMargin = 500 * time.Millisecond
-	// Keep-alive probes find a peer that went silent in about 2.5 s.
-	probeIdle     = time.Second
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 3
-	// bodyInline is how much of a body fits the socket's buffer, so that writing
-	// it cannot wait for a server that answers before it reads.
-	bodyInline = 8 << 10
-	// strayAnswers is how many answers to earlier requests are skipped before a
-	// connection is given up.
-	strayAnswers = 2
-	// strayBytes bounds the body of such an answer.
-	strayBytes = 64 << 10
-	readBuffer = 4 << 10
+	// TCP keep-alive probes detect an unresponsive peer after about 2.5 s.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
+	// maxInlineBody is the largest body that is written together with the head. It fits
+	// the socket's buffer, so that the write cannot block on a server that responds
+	// before it reads.
+	maxInlineBody = 8 << 10
+	// maxUnmatchedResponses is how many responses to earlier requests are skipped before
+	// the connection is closed.
+	maxUnmatchedResponses = 2
+	// maxUnmatchedBytes bounds the body of a skipped response.
+	maxUnmatchedBytes = 64 << 10
+	readBufferSize    = 4 << 10
 )
 
-// Request is an HTTP request as it goes out.
+// Request is an HTTP request as it is sent to the server.
 type Request struct {
 	Method string
 	// Target is the path and query exactly as the caller sent them.
@@ -54,21 +55,21 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Still is asked once a connection is there; an error says that the request must not be
-	// sent any more. It may be nil.
+	// BeforeSend is called when a connection is available, before anything is written. If it
+	// returns an error, the request is not sent. It may be nil.
 	Still func() error
 }
 
-// SendError says that a request got no answer.
+// SendError is the error of a request that got no response.
 type SendError struct {
 	Address string
-	// Sent is false only if no byte of the request went out, so that it cannot
-	// have run.
+	// Sent is false only if no byte of the request was written, so that the server
+	// cannot have run it.
 	Sent bool
 	Err  error
 }
 
-// Error returns the step and the peer.
+// Error returns the address, whether the request was sent, and the cause.
 func (e *SendError) Error() string {
 	if e.Sent {
 		return fmt.Sprintf("no answer from %s: %v", e.Address, e.Err)
@@ -79,18 +80,19 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// errStray is returned when a connection delivers answers to other requests.
-var errStray = errors.New("answer to another request")
+// errUnmatched is returned if a connection delivers only responses to other requests.
+var errUnmatched = errors.New("answer to another request")
 
-// Server is one process that requests are sent to.
+// Server identifies one process of a backend server.
 type Server struct {
-	// ID names the server, which may start again under it, and Boot its process.
+	// ID identifies the server and stays the same when the server restarts. Boot
+	// identifies the process.
 	ID      string
 	Boot    int64
 	Address string
 }
 
-// Pool keeps connections by server. It is safe for concurrent use.
+// Pool holds idle connections by server ID. It is safe for concurrent use.
 type Pool struct {
 	dialer net.Dialer
 	mu     sync.Mutex
@@ -103,7 +105,7 @@
 	p := &Pool{
 		idle: map[string][]*conn{},
 		dialer: net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}},
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}},
 	}
 	return p, p.close
 }
@@ -113,40 +115,44 @@
 	net.Conn
 	reader *bufio.Reader
 	server Server
-	// until is when the connection must not be used any more.
-	until time.Time
-	used  bool
-	// writing is closed when the body has been written; nil if it was inline.
-	writing chan struct{}
+	// expiresAt is when the idle connection must not be used any more.
+	expiresAt time.Time
+	// used is true once a response was read completely on the connection.
+	used bool
+	// bodyWritten is closed when the body has been written. It is nil if the body was
+	// written together with the head.
+	bodyWritten chan struct{}
 }
 
-// Answer is a server's answer. Finish must be called once.
-type Answer struct {
+// Response is a server's response. Finish must be called once.
+type Response struct {
 	*http.Response
 	pool *Pool
 	conn *conn
 	stop func() bool
-	// stray is true if answers to other requests came on the connection.
-	stray bool
+	// unmatched is true if the connection delivered responses to other requests.
+	unmatched bool
 }
 
-// Ours tells whether an answer belongs to a request. It is the first on its connection
-// if no other request was sent there before, so that it can be no other's.
-type Ours func(answer *http.Response, first bool) bool
+// MatchFunc reports whether a response belongs to a request. The argument first is true if
+// no other request was sent on the connection before, so that the response cannot belong to
+// another request.
+type MatchFunc func(response *http.Response, first bool) bool
 
-// Do sends a request to a server and reads the head of its answer.
+// Do sends a request to a server and reads the head of its response.
 //
-// Guard: a server may send a second answer late, where the next one is
-// expected; it would be taken for the answer to this request. Answers that are
-// not ours are skipped, and the connection is not kept.
-func (p *Pool) Do(ctx context.Context, server Server, request *Request, ours Ours) (*Answer, error) {
+// A server may send a late second response to an earlier request, which would be
+// taken for the response to this one. Responses for which matches returns false are
+// skipped, and the connection is not reused afterwards.
+func (p *Pool) Do(ctx context.Context, server Server, request *Request, matches MatchFunc) (*Response, error) {
 	c, err := p.get(ctx, server)
 	if err != nil {
 		return nil, &SendError{Address: server.Address, Err: err}
 	}
 	if err := ctx.Err(); err != nil {
-		// Guard: a request that had been taken back before anything of it was sent went
-		// out on a kept connection, and its caller was told that it may have run.
+		// Without this check a request that was cancelled before anything was written
+		// is sent on an idle connection, and its caller gets an error which says that
+		// the request may have run.
 		p.put(c)
 		return nil, &SendError{Address: server.Address, Err: err}
 	}
@@ -157,7 +163,7 @@
 		}
 	}
 	stop := context.AfterFunc(ctx, c.abort)
-	fail := func(err error) (*Answer, error) {
+	fail := func(err error) (*Response, error) {
 		stop()
 		c.abort()
 		if cause := ctx.Err(); cause != nil {
@@ -168,70 +174,70 @@
 	if err := c.write(request); err != nil {
 		return fail(fmt.Errorf("write: %w", err))
 	}
-	answer := &Answer{pool: p, conn: c, stop: stop}
-	for range strayAnswers + 1 {
+	result := &Response{pool: p, conn: c, stop: stop}
+	for range maxUnmatchedResponses + 1 {
 		response, err := c.read(request)
 		if err != nil {
 			return fail(fmt.Errorf("read head: %w", err))
 		}
-		if ours(response, !c.used) {
-			answer.Response = response
-			return answer, nil
+		if matches(response, !c.used) {
+			result.Response = response
+			return result, nil
 		}
-		answer.stray = true
-		if !c.used || response.ContentLength < 0 || response.ContentLength > strayBytes {
+		result.unmatched = true
+		if !c.used || response.ContentLength < 0 || response.ContentLength > maxUnmatchedBytes {
 			break
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			return fail(fmt.Errorf("skip a stray answer: %w", err))
+			return fail(fmt.Errorf("skip response to another request: %w", err))
 		}
 	}
-	return fail(errStray)
+	return fail(errUnmatched)
 }
 
-// Finish ends the use of an answer. The connection is kept only if the answer
-// was read whole and nothing else is on it.
-func (a *Answer) Finish(whole bool) {
-	live := a.stop()
-	c := a.conn
-	if !whole {
+// Finish releases the connection of a response. The connection is reused only if the
+// response was read completely and no other data has arrived on it.
+func (r *Response) Finish(complete bool) {
+	notCancelled := r.stop()
+	c := r.conn
+	if !complete {
 		c.abort()
 		return
 	}
-	if !live || a.stray || a.Response.Close || c.reader.Buffered() > 0 || !c.written() {
+	if !notCancelled || r.unmatched || r.Response.Close || c.reader.Buffered() > 0 || !c.written() {
 		_ = c.Close()
 		return
 	}
 	c.used = true
-	c.until = time.Now().Add(idleTime(a.Response.Header))
-	a.pool.put(c)
+	c.expiresAt = time.Now().Add(idleTimeout(r.Response.Header))
+	r.pool.put(c)
 }
 
-// abort ends a connection with a reset.
+// abort closes a connection with a TCP reset.
 //
-// Guard: a request may still be on its way to a host that stands still or behind a cut.
-// An orderly end would follow it there, and it would be read and begun long after its
-// caller has left; a reset drops what has not arrived. What lies in the server's socket
-// may be read all the same.
+// The request may still be in transit to a host that is paused or partitioned. After an
+// orderly close the server would read and start it long after its caller has disconnected.
+// A reset drops the data that has not arrived. Data that is already in the server's socket
+// buffer may still be read.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		// A connection that is gone already needs no reset.
+		// An error means that the connection is already closed and needs no reset.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// written reports whether the whole request went out.
+// written reports whether the whole request has been written.
 //
-// Guard: a server may answer before it has read a long body and read on later;
-// another request would then be taken for the rest of that body.
+// A server may respond before it has read a long body, and read the rest later. It
+// would then take the next request on the connection for the rest of that body.
 func (c *conn) written() bool {
-	if c.writing == nil {
+	if c.bodyWritten == nil {
 		return true
 	}
 	select {
-	case <-c.writing:
-		c.writing = nil
+	case <-c.bodyWritten:
+		c.bodyWritten = nil
 		return true
 	default:
 		return false
@@ -249,7 +255,7 @@
 		head.WriteString("Content-Length: " + strconv.Itoa(len(request.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
-	if len(request.Body) <= bodyInline {
+	if len(request.Body) <= maxInlineBody {
 		head.Write(request.Body)
 		_, err := c.Write(head.Bytes())
 		return err
@@ -257,19 +263,21 @@
 	if _, err := c.Write(head.Bytes()); err != nil {
 		return err
 	}
-	c.writing = make(chan struct{})
-	go c.run(request.Body)
+	c.bodyWritten = make(chan struct{})
+	go c.writeBody(request.Body)
 	return nil
 }
 
-// run writes a long body while the answer is awaited. If it fails, the channel
-// is never kept, and reading the answer fails too.
-func (c *conn) run(body []byte) {
+// writeBody writes a long body while Do waits for the response. If the write fails,
+// bodyWritten is never closed, so that the connection is not reused, and reading the
+// response fails too.
+func (c *conn) writeBody(body []byte) {
 	if _, err := c.Write(body); err == nil {
-		close(c.writing)
+		close(c.bodyWritten)
 	}
 }
 
+// read returns the head of the next response and skips informational (1xx) responses.
 func (c *conn) read(request *Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: request.Method})
@@ -279,11 +287,11 @@
 	}
 }
 
-// get returns a kept connection that is still sound, or a new one.
+// get returns a healthy idle connection to the same process, or a new connection.
 //
-// Guard: a server may start again under its ID, and a cut may keep the end of its
-// connections from being seen. An order written to one of them has no answer, may have
-// run as far as anybody can tell, and is not sent again.
+// A server may restart under the same ID, and a network partition may hide that its
+// connections were closed. An order written to such a connection gets no response. Since
+// it may have run, it is not sent again.
 func (p *Pool) get(ctx context.Context, server Server) (*conn, error) {
 	now := time.Now()
 	for {
@@ -291,7 +299,7 @@
 		if c == nil {
 			break
 		}
-		if c.server == server && now.Before(c.until) && c.quiet() {
+		if c.server == server && now.Before(c.expiresAt) && c.healthy() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -303,14 +311,15 @@
 	p.mu.Lock()
 	p.opened++
 	p.mu.Unlock()
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer), server: server}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), server: server}, nil
 }
 
-// quiet reports whether nothing has arrived on an idle connection.
+// healthy reports whether an idle connection is open and has no unread data.
 //
-// Guard: bytes that came since the last answer belong to no request, and an end
-// or reset shows that the server has closed; either would spoil the next one.
-func (c *conn) quiet() bool {
+// Bytes that arrived after the last response belong to no request, and an EOF or a
+// reset means that the server has closed the connection. In both cases the next request
+// on the connection would fail.
+func (c *conn) healthy() bool {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return false
@@ -319,36 +328,39 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	wouldBlock := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = errors.Is(err, unix.EAGAIN)
+		var peeked [1]byte
+		_, _, err := unix.Recvfrom(int(fd), peeked[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		wouldBlock = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && silent
+	return err == nil && wouldBlock
 }
 
-func (p *Pool) take(key string) *conn {
+// take removes and returns the most recently used idle connection to a server, or nil.
+func (p *Pool) take(serverID string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[key]
-	if len(kept) == 0 {
+	conns := p.idle[serverID]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.idle[key] = kept[:len(kept)-1]
+	c := conns[len(conns)-1]
+	p.idle[serverID] = conns[:len(conns)-1]
 	return c
 }
 
+// put adds an idle connection to the pool.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[c.server.ID] = append(p.idle[c.server.ID], c)
 }
 
-// Refused reports whether nothing listens at an address, by connecting to it. An address
-// that answers nothing may be cut off.
+// IsRefused connects to an address and reports whether the connection is refused, which
+// means that no process listens there. A timeout is not a refusal: the host may be
+// unreachable.
 func (p *Pool) Refused(address string) bool {
 	c, err := p.dialer.Dial("tcp", address)
 	if err != nil {
@@ -358,39 +370,39 @@
 	return false
 }
 
-// Opened returns how many connections were opened.
+// Opened returns the number of connections opened so far.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Forget closes the idle connections of a server that is gone.
-func (p *Pool) Forget(key string) {
+// CloseIdle closes the idle connections to a server that has been removed.
+func (p *Pool) CloseIdle(serverID string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.idle[key] {
+	for _, c := range p.idle[serverID] {
 		_ = c.Close()
 	}
-	delete(p.idle, key)
+	delete(p.idle, serverID)
 }
 
-// Expire closes connections that were unused for too long.
-func (p *Pool) Expire(now time.Time) {
+// CloseExpired closes the connections whose idle timeout has passed.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, kept := range p.idle {
-		left := kept[:0]
-		for _, c := range kept {
-			if now.Before(c.until) {
-				left = append(left, c)
+	for serverID, conns := range p.idle {
+		remaining := conns[:0]
+		for _, c := range conns {
+			if now.Before(c.expiresAt) {
+				remaining = append(remaining, c)
 				continue
 			}
 			_ = c.Close()
 		}
-		p.idle[key] = left
-		if len(left) == 0 {
-			delete(p.idle, key)
+		p.idle[serverID] = remaining
+		if len(remaining) == 0 {
+			delete(p.idle, serverID)
 		}
 	}
 }
@@ -398,16 +410,17 @@
 func (p *Pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, kept := range p.idle {
-		for _, c := range kept {
+	for _, conns := range p.idle {
+		for _, c := range conns {
 			_ = c.Close()
 		}
 	}
 	p.idle = map[string][]*conn{}
 }
 
-// idleTime is how long a connection may be kept by its server's own word.
-func idleTime(header http.Header) time.Duration {
+// idleTimeout returns how long an idle connection may be kept, from the server's
+// Keep-Alive header or the default.
+func idleTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -417,5 +430,5 @@
 			return max(time.Duration(seconds)*time.Second-idleMargin, 0)
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/internal/transport/channel/channel_test.go
+++ b/internal/transport/channel/channel_test.go
@@ -17,8 +17,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// script is a server that plays one step for each request on a connection.
-type script struct {
+// scriptedServer is a server that calls step for each request, with its number from 1.
+type scriptedServer struct {
 	listener net.Listener
 	step     func(n int, request *http.Request, conn net.Conn)
 
@@ -27,16 +27,16 @@
 	conns    int
 }
 
-func newScript(t *testing.T, step func(n int, request *http.Request, conn net.Conn)) *script {
+func newScriptedServer(t *testing.T, step func(n int, request *http.Request, conn net.Conn)) *scriptedServer {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	s := &script{listener: listener, step: step}
+	s := &scriptedServer{listener: listener, step: step}
 	t.Cleanup(func() { _ = listener.Close() })
-	go s.run()
+	go s.serve()
 	return s
 }
 
-func (s *script) run() {
+func (s *scriptedServer) serve() {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
@@ -45,11 +45,11 @@
 		s.mu.Lock()
 		s.conns++
 		s.mu.Unlock()
-		go s.runConn(conn)
+		go s.serveConn(conn)
 	}
 }
 
-func (s *script) runConn(conn net.Conn) {
+func (s *scriptedServer) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -66,9 +66,9 @@
 	}
 }
 
-func (s *script) address() string { return s.listener.Addr().String() }
+func (s *scriptedServer) address() string { return s.listener.Addr().String() }
 
-func (s *script) counts() (requests, conns int) {
+func (s *scriptedServer) counts() (requests, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests, s.conns
@@ -78,28 +78,28 @@
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func get(pool *Pool, s *script, id string) (string, error) {
+func get(pool *Pool, s *scriptedServer, id string) (string, error) {
 	request := &Request{Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {id}}}
 	return do(pool, s, id, request)
 }
 
-func do(pool *Pool, s *script, id string, request *Request) (string, error) {
+func do(pool *Pool, s *scriptedServer, id string, request *Request) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	answer, err := pool.Do(ctx, Server{ID: "server", Boot: 1, Address: s.address()}, request, func(r *http.Response, _ bool) bool { return r.Header.Get("Id") == id })
+	response, err := pool.Do(ctx, Server{ID: "server", Boot: 1, Address: s.address()}, request, func(r *http.Response, _ bool) bool { return r.Header.Get("Id") == id })
 	if err != nil {
 		return "", err
 	}
-	body, err := io.ReadAll(answer.Body)
-	answer.Finish(err == nil)
+	body, err := io.ReadAll(response.Body)
+	response.Finish(err == nil)
 	return string(body), err
 }
 
-// A caller gets the answer to another's request. The server sent a second answer
-// late, where the next one is expected.
-func TestALateSecondAnswerIsNotTakenForTheNext(t *testing.T) {
+// A caller got the response to another request: the server sent a second response to an
+// earlier request, and it was read as the response to the next one.
+func TestLateSecondResponseIsNotMatchedToNextRequest(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(t, func(n int, r *http.Request, conn net.Conn) {
+	s := newScriptedServer(t, func(n int, r *http.Request, conn net.Conn) {
 		if n == 2 {
 			respond(conn, "1", "answer to 1 again")
 		}
@@ -113,14 +113,15 @@
 		c.Assert(body, qt.Equals, "answer to "+id)
 	}
 	_, conns := s.counts()
-	c.Assert(conns, qt.Equals, 2, qt.Commentf("the connection with the stray answer was used again"))
+	c.Assert(conns, qt.Equals, 2, qt.Commentf("the connection with the unmatched response was reused"))
 }
 
-// The same, with the second answer already there when the connection is idle.
-func TestBytesOnAnIdleConnectionEndIt(t *testing.T) {
+// A second response to an earlier request arrives while the connection is idle. The next
+// request must not get it.
+func TestUnreadBytesCloseIdleConnection(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(t, func(n int, r *http.Request, conn net.Conn) {
-		respond(conn, r.Header.Get("Id"), "fine")
+	s := newScriptedServer(t, func(n int, r *http.Request, conn net.Conn) {
+		respond(conn, r.Header.Get("Id"), "ok")
 		if n == 1 {
 			time.AfterFunc(20*time.Millisecond, func() { respond(conn, "1", "again") })
 		}
@@ -132,19 +133,19 @@
 	time.Sleep(100 * time.Millisecond)
 	body, err := get(pool, s, "2")
 	c.Assert(err, qt.IsNil)
-	c.Assert(body, qt.Equals, "fine")
+	c.Assert(body, qt.Equals, "ok")
 }
 
-// A lookup runs twice although nobody asked for that: the usual client repeats
-// a GET whose kept connection broke. Here it is sent once, and said to be sent.
-func TestARequestIsNeverRepeated(t *testing.T) {
+// http.Transport retries a GET whose reused connection broke, so that a lookup runs twice.
+// Pool sends it once and reports that it was sent.
+func TestRequestIsNotRetriedOnBrokenConnection(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(t, func(n int, r *http.Request, conn net.Conn) {
+	s := newScriptedServer(t, func(n int, r *http.Request, conn net.Conn) {
 		if n == 2 {
 			_ = conn.Close()
 			return
 		}
-		respond(conn, r.Header.Get("Id"), "fine")
+		respond(conn, r.Header.Get("Id"), "ok")
 	})
 	pool, closePool := New()
 	defer closePool()
@@ -158,12 +159,12 @@
 	c.Assert(requests, qt.Equals, 2)
 }
 
-// The server closed the kept connection long ago. Nothing was sent on it: a new
-// one is opened and the request is answered.
-func TestAClosedIdleConnectionIsNotUsed(t *testing.T) {
+// A request fails if it is sent on an idle connection that the server has closed. A new
+// connection must be opened instead.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(t, func(n int, r *http.Request, conn net.Conn) {
-		respond(conn, r.Header.Get("Id"), "fine")
+	s := newScriptedServer(t, func(n int, r *http.Request, conn net.Conn) {
+		respond(conn, r.Header.Get("Id"), "ok")
 		if n == 1 {
 			time.AfterFunc(20*time.Millisecond, func() { _ = conn.Close() })
 		}
@@ -177,10 +178,11 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// Nobody listens: the request cannot have run, and the error says so.
-func TestAnUnsentRequestIsSaidToBeUnsent(t *testing.T) {
+// If no process listens at the address, the request cannot have run, and the error must
+// report that it was not sent.
+func TestRefusedConnectionIsReportedAsUnsent(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(t, nil)
+	s := newScriptedServer(t, nil)
 	_ = s.listener.Close()
 	pool, closePool := New()
 	defer closePool()
@@ -190,12 +192,12 @@
 	c.Assert(failed.Sent, qt.IsFalse)
 }
 
-// A server answers before it has read a long body and reads on later. The next
-// request on that connection would be taken for the rest of the body.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
+// A server responds before it has read a long body and reads the rest later. It would take
+// the next request on that connection for the rest of the body.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(t, func(n int, r *http.Request, conn net.Conn) {
-		respond(conn, r.Header.Get("Id"), "fine")
+	s := newScriptedServer(t, func(n int, r *http.Request, conn net.Conn) {
+		respond(conn, r.Header.Get("Id"), "ok")
 		if n == 1 {
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -205,18 +207,18 @@
 	long := &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{"Id": {"1"}}, Body: []byte(strings.Repeat("x", 16<<20))}
 	body, err := do(pool, s, "1", long)
 	c.Assert(err, qt.IsNil)
-	c.Assert(body, qt.Equals, "fine")
+	c.Assert(body, qt.Equals, "ok")
 	body, err = get(pool, s, "2")
 	c.Assert(err, qt.IsNil)
-	c.Assert(body, qt.Equals, "fine")
+	c.Assert(body, qt.Equals, "ok")
 	_, conns := s.counts()
 	c.Assert(conns, qt.Equals, 2)
 }
 
-// An answer without a length that is reset on its way must not look whole.
-func TestAResetAnswerWithoutLengthIsNotWhole(t *testing.T) {
+// A response without a length whose connection is reset must not be taken for a complete one.
+func TestResetResponseWithoutLengthIsAnError(t *testing.T) {
 	c := qt.New(t)
-	s := newScript(t, func(_ int, r *http.Request, conn net.Conn) {
+	s := newScriptedServer(t, func(_ int, r *http.Request, conn net.Conn) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nConnection: close\r\n\r\nhalf", r.Header.Get("Id"))
 		time.Sleep(50 * time.Millisecond)
 		_ = conn.(*net.TCPConn).SetLinger(0)
@@ -228,15 +230,15 @@
 	c.Assert(err, qt.IsNotNil)
 }
 
-// A server that stood still begins requests whose callers have long left: they
-// lay unread at its host. A caller's leaving resets the connection at once, which
-// takes back what is unread; an orderly end would not.
-func TestCancellingResetsTheConnection(t *testing.T) {
+// A paused server resumes and starts requests whose callers disconnected long ago, because
+// they were unread in its host's buffers. Cancelling must reset the connection at once, which
+// discards unread data. An orderly close would not.
+func TestCancelResetsConnection(t *testing.T) {
 	c := qt.New(t)
-	ended := make(chan error, 1)
-	s := newScript(t, func(_ int, _ *http.Request, conn net.Conn) {
+	readErr := make(chan error, 1)
+	s := newScriptedServer(t, func(_ int, _ *http.Request, conn net.Conn) {
 		_, err := conn.Read(make([]byte, 1))
-		ended <- err
+		readErr <- err
 	})
 	pool, closePool := New()
 	defer closePool()
@@ -244,18 +246,18 @@
 	time.AfterFunc(50*time.Millisecond, cancel)
 	_, err := pool.Do(ctx, Server{ID: "server", Boot: 1, Address: s.address()}, &Request{Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{}}, nil)
 	c.Assert(errors.Is(err, context.Canceled), qt.IsTrue)
-	c.Assert(errors.Is(<-ended, syscall.ECONNRESET), qt.IsTrue)
+	c.Assert(errors.Is(<-readErr, syscall.ECONNRESET), qt.IsTrue)
 }
 
-// How long a connection is kept, by what its server says.
-func TestIdleTime(t *testing.T) {
-	for text, want := range map[string]time.Duration{
-		"":                  idleDefault,
+// The idle timeout must follow the server's Keep-Alive header.
+func TestIdleTimeout(t *testing.T) {
+	for header, want := range map[string]time.Duration{
+		"":                  defaultIdleTimeout,
 		"timeout=5":         5*time.Second - idleMargin,
 		"max=9, timeout=10": 10*time.Second - idleMargin,
 		"timeout=0":         0,
-		"timeout=soon":      idleDefault,
+		"timeout=soon":      defaultIdleTimeout,
 	} {
-		qt.Check(t, idleTime(http.Header{"Keep-Alive": {text}}), qt.Equals, want, qt.Commentf(text))
+		qt.Check(t, idleTimeout(http.Header{"Keep-Alive": {header}}), qt.Equals, want, qt.Commentf(header))
 	}
 }
