--- a/internal/transport/channel/cancelled_test.go
+++ b/internal/transport/channel/cancelled_test.go
@@ -15,7 +15,7 @@
 // was still sent on an idle connection, and the error reported that it may have run.
 func TestCancelledRequestIsNotSent(t *testing.T) {
 	c := qt.New(t)
-	s := newScriptedServer(t, func(_ int, r *http.Request, conn net.Conn) { respond(conn, r.Header.Get("Id"), "ok") })
+	s := newScriptedServer(t, func(_ int, r *http.Request, conn net.Conn) { respond(conn, r.Header.Get("Id"), "fine") })
 	pool, closePool := New()
 	defer closePool()
 	_, err := get(pool, s, "1")
--- a/internal/transport/channel/channel_test.go
+++ b/internal/transport/channel/channel_test.go
@@ -121,7 +121,7 @@
 func TestUnreadBytesCloseIdleConnection(t *testing.T) {
 	c := qt.New(t)
 	s := newScriptedServer(t, func(n int, r *http.Request, conn net.Conn) {
-		respond(conn, r.Header.Get("Id"), "ok")
+		respond(conn, r.Header.Get("Id"), "fine")
 		if n == 1 {
 			time.AfterFunc(20*time.Millisecond, func() { respond(conn, "1", "again") })
 		}
@@ -133,7 +133,7 @@
 	time.Sleep(100 * time.Millisecond)
 	body, err := get(pool, s, "2")
 	c.Assert(err, qt.IsNil)
-	c.Assert(body, qt.Equals, "ok")
+	c.Assert(body, qt.Equals, "fine")
 }
 
 // http.Transport retries a GET whose reused connection broke, so that a lookup runs twice.
@@ -145,7 +145,7 @@
 			_ = conn.Close()
 			return
 		}
-		respond(conn, r.Header.Get("Id"), "ok")
+		respond(conn, r.Header.Get("Id"), "fine")
 	})
 	pool, closePool := New()
 	defer closePool()
@@ -164,7 +164,7 @@
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	c := qt.New(t)
 	s := newScriptedServer(t, func(n int, r *http.Request, conn net.Conn) {
-		respond(conn, r.Header.Get("Id"), "ok")
+		respond(conn, r.Header.Get("Id"), "fine")
 		if n == 1 {
 			time.AfterFunc(20*time.Millisecond, func() { _ = conn.Close() })
 		}
@@ -197,7 +197,7 @@
 func TestEarlyResponseClosesConnection(t *testing.T) {
 	c := qt.New(t)
 	s := newScriptedServer(t, func(n int, r *http.Request, conn net.Conn) {
-		respond(conn, r.Header.Get("Id"), "ok")
+		respond(conn, r.Header.Get("Id"), "fine")
 		if n == 1 {
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -207,10 +207,10 @@
 	long := &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{"Id": {"1"}}, Body: []byte(strings.Repeat("x", 16<<20))}
 	body, err := do(pool, s, "1", long)
 	c.Assert(err, qt.IsNil)
-	c.Assert(body, qt.Equals, "ok")
+	c.Assert(body, qt.Equals, "fine")
 	body, err = get(pool, s, "2")
 	c.Assert(err, qt.IsNil)
-	c.Assert(body, qt.Equals, "ok")
+	c.Assert(body, qt.Equals, "fine")
 	_, conns := s.counts()
 	c.Assert(conns, qt.Equals, 2)
 }
