--- a/internal/transport/node/loops.go
+++ b/internal/transport/node/loops.go
@@ -19,23 +19,24 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// Times of the exchange between processes.
+// Intervals and timeouts of the exchange between processes.
 const (
-	syncEvery    = 3 * time.Second
-	syncUnready  = 100 * time.Millisecond
-	syncTimeout  = time.Second
-	adoptTimeout = 2 * time.Second
-	adoptRetry   = 200 * time.Millisecond
+	syncInterval = 3 * time.Second
+	// unreadySyncInterval applies until the node is ready.
+	unreadySyncInterval = 100 * time.Millisecond
+	syncTimeout         = time.Second
+	adoptTimeout        = 2 * time.Second
+	adoptRetryInterval  = 200 * time.Millisecond
 )
 
-// Run exchanges knowledge until ctx ends.
+// Run synchronizes the node with other processes and with the platform until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	loops := []interface{ run(context.Context) }{
 		&syncer{node: n},
 		&adopter{node: n},
 	}
 	if n.config.Host.Role == filbertlever.RoleEntry {
-		loops = append(loops, &watcher{node: n})
+		loops = append(loops, &platformPoller{node: n})
 	}
 	var group sync.WaitGroup
 	for _, loop := range loops {
@@ -44,38 +45,38 @@
 	group.Wait()
 }
 
-// syncer compares knowledge with one entry after the other, so that whatever
-// a push missed arrives within about the period.
+// syncer synchronizes facts with one entry at a time, so that facts that a push
+// did not deliver arrive within about syncInterval.
 type syncer struct {
 	node *Node
 }
 
 func (s *syncer) run(ctx context.Context) {
 	for {
-		if entry, ok := s.node.someEntry(); ok {
+		if entry, ok := s.node.pickEntry(); ok {
 			_ = s.node.syncWith(entry)
 		}
-		pause := syncEvery/2 + rand.N(syncEvery)
+		interval := syncInterval/2 + rand.N(syncInterval)
 		if _, ready := s.node.Head(); !ready {
-			pause = syncUnready
+			interval = unreadySyncInterval
 		}
-		if !sleep(ctx, pause) {
+		if !sleep(ctx, interval) {
 			return
 		}
 	}
 }
 
-// someEntry returns an entry to talk to, at random among those believed live,
-// and now and then among all that are known.
-func (n *Node) someEntry() (filbertlever.HostID, bool) {
+// pickEntry returns a random other entry. It picks among the usable entries. If there
+// are none, and in one of anyEntryOneIn calls, it picks among all known entries.
+func (n *Node) pickEntry() (filbertlever.HostID, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var entries []filbertlever.HostID
 	for _, host := range n.base.UsableHosts(filbertlever.RoleEntry, time.Now()) {
 		entries = append(entries, host.ID)
 	}
-	const tryAnyShare = 8
-	if len(entries) == 0 || rand.N(tryAnyShare) == 0 {
+	const anyEntryOneIn = 8
+	if len(entries) == 0 || rand.N(anyEntryOneIn) == 0 {
 		for seed := range n.config.Seeds {
 			entries = append(entries, seed)
 		}
@@ -95,8 +96,8 @@
 	return "", false
 }
 
-// syncWith compares knowledge with a host, in one call, or two if the host
-// lacks something.
+// syncWith synchronizes facts with a host. It takes one call, or two if the host lacks
+// facts that this node has.
 func (n *Node) syncWith(host filbertlever.HostID) error {
 	n.mu.Lock()
 	request := control.SyncRequest{From: n.self(), Facts: n.base.Digest()}
@@ -105,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	n.Learn(response.Facts, host)
+	n.MergeFacts(response.Facts, host)
 	n.mu.Lock()
 	behind := n.base.Behind(response.Facts)
 	request.Facts = n.base.Newer(response.Facts)
@@ -116,6 +117,7 @@
 	return err
 }
 
+// sync makes one sync call to a host and records whether the host responded.
 func (n *Node) sync(host filbertlever.HostID, request control.SyncRequest) (*control.SyncResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), syncTimeout)
 	defer cancel()
@@ -128,12 +130,14 @@
 	return &response, nil
 }
 
-// tellChildren pushes what is known down the tree of processes.
-func (n *Node) tellChildren(first bool) {
+// pushToChildren sends the node's facts to its children in the distribution tree of the
+// processes. If fromPlatform is true, the node read the facts from the platform and also
+// sends them to the root of the tree.
+func (n *Node) pushToChildren(fromPlatform bool) {
 	n.mu.Lock()
 	request := control.SyncRequest{From: n.self(), Facts: n.base.Newer(knowledge.Facts{HostsRevision: n.base.Members.Revision()})}
 	salt := fmt.Sprint(request.Facts.Head.Version)
-	children := rollout.Children(n.config.Host.ID, first, salt, n.ids(filbertlever.RoleEntry), n.ids(filbertlever.RoleAgent))
+	children := rollout.Children(n.config.Host.ID, fromPlatform, salt, n.usableIDs(filbertlever.RoleEntry), n.usableIDs(filbertlever.RoleAgent))
 	n.mu.Unlock()
 	var group sync.WaitGroup
 	for _, child := range children {
@@ -142,8 +146,8 @@
 	group.Wait()
 }
 
-// ids returns the hosts of a role believed live; n.mu is held.
-func (n *Node) ids(role filbertlever.Role) []filbertlever.HostID {
+// usableIDs returns the IDs of the usable hosts of a role. The caller holds n.mu.
+func (n *Node) usableIDs(role filbertlever.Role) []filbertlever.HostID {
 	var ids []filbertlever.HostID
 	for _, host := range n.base.Members.UsableHosts(role, time.Now()) {
 		ids = append(ids, host.ID)
@@ -151,42 +155,46 @@
 	return ids
 }
 
-// watcher reads the platform, if this entry is one of the few that do.
-type watcher struct {
+// platformPoller polls the platform while this entry is one of the few selected for it.
+type platformPoller struct {
 	node *Node
-	down bool
+	// unreachable is true if the last read failed.
+	unreachable bool
 }
 
-func (w *watcher) run(ctx context.Context) {
+func (p *platformPoller) run(ctx context.Context) {
 	for {
-		if w.node.watches() {
-			w.report(w.node.readPlatform(ctx))
+		if p.node.pollsPlatform() {
+			p.logChange(p.node.readPlatform(ctx))
 		}
-		if !sleep(ctx, w.node.config.Poll) {
+		if !sleep(ctx, p.node.config.Poll) {
 			return
 		}
 	}
 }
 
-func (w *watcher) report(err error) {
-	down := err != nil
-	if down == w.down {
+// logChange logs when the platform becomes unreachable or reachable.
+func (p *platformPoller) logChange(err error) {
+	unreachable := err != nil
+	if unreachable == p.unreachable {
 		return
 	}
-	w.down = down
-	if down {
-		w.node.log.Warn("platform unreachable", zap.Error(err))
+	p.unreachable = unreachable
+	if unreachable {
+		p.node.log.Warn("platform unreachable", zap.Error(err))
 		return
 	}
-	w.node.log.Info("platform reachable again")
+	p.node.log.Info("platform reachable again")
 }
 
-func (n *Node) watches() bool {
+// pollsPlatform reports whether this entry is one of those selected to poll the platform.
+func (n *Node) pollsPlatform() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return rollout.Watches(n.config.Host.ID, n.ids(filbertlever.RoleEntry))
+	return rollout.Watches(n.config.Host.ID, n.usableIDs(filbertlever.RoleEntry))
 }
 
+// readPlatform reads the accepted head, the planned stops and the host list, and merges them.
 func (n *Node) readPlatform(ctx context.Context) error {
 	rows, err := n.platform.Get(ctx, platform.KeyHead, platform.KeyStops)
 	if err != nil {
@@ -201,50 +209,51 @@
 	facts.StopsRevision = rows[1].Revision
 	facts.Stops = stops.Stops
 	n.mu.Lock()
-	known := n.base.Members.Revision()
+	knownRevision := n.base.Members.Revision()
 	n.mu.Unlock()
-	revision, hosts, err := n.platform.ListHosts(ctx, known)
+	revision, hosts, err := n.platform.ListHosts(ctx, knownRevision)
 	if err == nil && hosts != nil {
 		facts.HostsRevision = revision
 		facts.Hosts = hosts
 	}
-	n.Learn(facts, "")
+	n.MergeFacts(facts, "")
 	return err
 }
 
-// adopter puts the bundle of a learned head in force.
+// adopter fetches the bundle of a new accepted head and makes it the active one.
 type adopter struct {
 	node *Node
 }
 
 func (a *adopter) run(ctx context.Context) {
 	for {
-		pause := time.Hour
+		wait := time.Hour
 		if err := a.node.adopt(ctx); err != nil {
 			a.node.log.Warn("adopt bundle", zap.Error(err))
-			pause = adoptRetry
+			wait = adoptRetryInterval
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.node.wakeAdopt:
-		case <-time.After(pause):
+		case <-a.node.adoptSignal:
+		case <-time.After(wait):
 		}
 	}
 }
 
+// adopt makes the bundle of the accepted head active if it is not active yet.
 func (n *Node) adopt(ctx context.Context) error {
 	n.mu.Lock()
 	head, missing := n.base.Tracker.Missing()
-	teller := n.teller
-	current := n.announced
+	source := n.headSource
+	current := n.announcedBundle
 	n.mu.Unlock()
 	if !missing {
 		return nil
 	}
 	if current == nil || current.Head.Digest != head.Digest {
 		var err error
-		current, err = n.fetchBundle(ctx, head, teller)
+		current, err = n.fetchBundle(ctx, head, source)
 		if err != nil {
 			return err
 		}
@@ -258,26 +267,26 @@
 	n.mu.Unlock()
 	if adopted {
 		n.log.Info("bundle in force", zap.Uint64("Version", head.Version), zap.String("Digest", string(head.Digest)))
-		n.adopted(current)
-		go n.tellChildren(teller == "")
+		n.onAdopted(current)
+		go n.pushToChildren(source == "")
 	}
 	if more {
-		n.wake()
+		n.signalAdopt()
 	}
 	return nil
 }
 
-// fetchBundle gets the bundle of an accepted head: from who told of it, else
-// from another entry, else from the platform.
-func (n *Node) fetchBundle(ctx context.Context, head state.Head, teller filbertlever.HostID) (*state.Current, error) {
+// fetchBundle fetches the bundle of an accepted head. It tries the host that sent the
+// head, then another entry, then the platform.
+func (n *Node) fetchBundle(ctx context.Context, head state.Head, source filbertlever.HostID) (*state.Current, error) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
 	var failures []error
-	tellers := []filbertlever.HostID{teller}
-	if entry, ok := n.someEntry(); ok {
-		tellers = append(tellers, entry)
+	candidates := []filbertlever.HostID{source}
+	if entry, ok := n.pickEntry(); ok {
+		candidates = append(candidates, entry)
 	}
-	for _, host := range tellers {
+	for _, host := range candidates {
 		if host == "" {
 			continue
 		}
@@ -288,7 +297,7 @@
 			if err == nil {
 				return current, nil
 			}
-			failures = append(failures, fmt.Errorf("bundle of %s: %w", host, err))
+			failures = append(failures, fmt.Errorf("bundle from %s: %w", host, err))
 			continue
 		}
 		failures = append(failures, err)
@@ -300,7 +309,8 @@
 	return n.verify(head, signed)
 }
 
-// verify checks a signed bundle against the accepted head.
+// verify decodes a signed bundle and checks its digest against the accepted head and its
+// signatures.
 func (n *Node) verify(head state.Head, data []byte) (*state.Current, error) {
 	signed, err := bundle.DecodeSigned(data)
 	if err != nil {
@@ -316,11 +326,12 @@
 	return &state.Current{Head: head, Bundle: b, Signed: data}, nil
 }
 
-func sleep(ctx context.Context, pause time.Duration) bool {
+// sleep waits for d and returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(pause):
+	case <-time.After(d):
 		return true
 	}
 }
--- a/internal/transport/node/node.go
+++ b/internal/transport/node/node.go
@@ -1,5 +1,5 @@
-// Package node is what entries and agents have in common: who they are, what
-// they know, and the exchange of both with the other processes.
+// Package node is the common part of entries and agents. It holds the identity of the
+// process and the facts about the system, and exchanges both with other processes.
 package node
 
 import (
@@ -32,23 +32,23 @@
 	ErrMethod   = errors.New("no such method")
 )
 
-// Platform is what every process reads of the platform.
+// Platform reads from the platform.
 type Platform interface {
 	Get(ctx context.Context, keys ...string) ([]platform.Row, error)
 	ListHosts(ctx context.Context, known uint64) (uint64, []filbertlever.Host, error)
 	GetObject(ctx context.Context, key string) ([]byte, error)
 }
 
-// Config says who a process is and whom it believes.
+// Config holds the identity of a process, the keys that it trusts and its initial peers.
 type Config struct {
 	Host        filbertlever.Host
 	Incarnation filbertlever.Incarnation
 	Operators   bundle.Operators
-	// SignOffs is the least number of sign-offs of a bundle.
+	// SignOffs is the minimum number of sign-offs of a bundle.
 	SignOffs int
-	// Poll is how often a watcher reads the platform.
+	// PollInterval is how often an entry that polls the platform reads it.
 	Poll time.Duration
-	// Seeds are the peer addresses of entries known from the start.
+	// Seeds are the configured peer addresses of entries.
 	Seeds map[filbertlever.HostID]string
 	Stop  drain.Config
 }
@@ -61,30 +61,33 @@
 	clients  *peer.Clients
 	log      *zap.Logger
 	holder   state.Holder
-	// methods are the calls that the process adds; set before run.
+	// methods are the methods that the process adds. They are set before Run.
 	methods map[string]Method
-	// adopted is called after a bundle came in force; set before run.
-	adopted func(*state.Current)
+	// onAdopted is called after a bundle became active. It is set before Run.
+	onAdopted func(*state.Current)
 
 	mu   sync.Mutex
 	base *knowledge.Base
 	stop *drain.Stop
-	// teller is who told of the newest head, to ask for its bundle.
-	teller filbertlever.HostID
-	// announced is the bundle of the newest head that an operator told of.
-	announced *state.Current
-	// heard is the last time that the platform or an entry answered.
-	heard time.Time
-
-	wakeAdopt chan struct{}
-	stopped   chan struct{}
-	stopOnce  sync.Once
+	// headSource is the host that sent the newest head. It is empty if the head came from
+	// the platform or an operator. The bundle is fetched from this host first.
+	headSource filbertlever.HostID
+	// announcedBundle is the bundle of the newest head that an operator announced.
+	announcedBundle *state.Current
+	// lastReceived is the last time that facts arrived from the platform, an operator or a peer.
+	lastReceived time.Time
+
+	// adoptSignal wakes the adopter.
+	adoptSignal chan struct{}
+	// stopRequested is closed by RequestStop.
+	stopRequested chan struct{}
+	stopOnce      sync.Once
 }
 
-// Method answers a call of a peer.
+// Method handles a call from a peer.
 type Method func(ctx context.Context, caller peer.Caller, params []byte) (any, error)
 
-// NewIncarnation returns a name for the life of a process that starts now.
+// NewIncarnation returns a random identifier for one process lifetime on a host.
 func NewIncarnation(host filbertlever.HostID) filbertlever.Incarnation {
 	var random [8]byte
 	_, _ = rand.Read(random[:])
@@ -94,15 +97,15 @@
 // New returns a node and the function that closes its connections.
 func New(config Config, client Platform, keys *peer.Keys, links network.Network, log *zap.Logger) (*Node, func()) {
 	n := &Node{
-		config:    config,
-		platform:  client,
-		log:       log,
-		methods:   map[string]Method{},
-		adopted:   func(*state.Current) {},
-		base:      knowledge.New(membership.New(membership.DefaultConfig())),
-		stop:      drain.New(config.Stop),
-		wakeAdopt: make(chan struct{}, 1),
-		stopped:   make(chan struct{}),
+		config:        config,
+		platform:      client,
+		log:           log,
+		methods:       map[string]Method{},
+		onAdopted:     func(*state.Current) {},
+		base:          knowledge.New(membership.New(membership.DefaultConfig())),
+		stop:          drain.New(config.Stop),
+		adoptSignal:   make(chan struct{}, 1),
+		stopRequested: make(chan struct{}),
 	}
 	clients, closeClients := peer.NewClients(keys, links)
 	n.clients = clients
@@ -114,24 +117,25 @@
 	}
 }
 
-// AddMethod adds a call that peers may make.
+// AddMethod adds a method that peers may call.
 func (n *Node) AddMethod(name string, method Method) { n.methods[name] = method }
 
-// OnAdopted sets what is called after a bundle came in force.
-func (n *Node) OnAdopted(adopted func(*state.Current)) { n.adopted = adopted }
+// OnAdopted sets the function that is called after a bundle became active.
+func (n *Node) OnAdopted(f func(*state.Current)) { n.onAdopted = f }
 
-// Self returns who this process is.
+// Self returns the identity of this process.
 func (n *Node) Self() control.Identity {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.self()
 }
 
+// self returns the identity of this process. The caller holds n.mu.
 func (n *Node) self() control.Identity {
 	return control.Identity{Host: n.config.Host, Incarnation: n.config.Incarnation, Leaving: n.stop.Leaving()}
 }
 
-// Incarnation returns the life of this process.
+// Incarnation returns the identifier of this process lifetime.
 func (n *Node) Incarnation() filbertlever.Incarnation { return n.config.Incarnation }
 
 // Control returns the connections to other processes.
@@ -140,7 +144,7 @@
 // Clients returns the HTTP clients for other processes.
 func (n *Node) Clients() *peer.Clients { return n.clients }
 
-// Current returns the bundle in force here, or nil.
+// Current returns the active bundle of this process, or nil.
 func (n *Node) Current() *state.Current { return n.holder.Load() }
 
 // PeerAddress returns the address of a host, from the host list or the seeds.
@@ -154,28 +158,29 @@
 	return address, ok
 }
 
-// Read calls read with what the node knows; read must not keep it.
+// Read calls read with the node's facts while it holds the lock. The function must not
+// retain the base.
 func (n *Node) Read(read func(*knowledge.Base)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	read(n.base)
 }
 
-// Failed notes that a host did not answer.
+// RecordFailure records that a host did not respond.
 func (n *Node) Failed(id filbertlever.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.base.Members.Failed(id, time.Now())
 }
 
-// Answered notes that a host answered.
+// RecordResponse records that a host responded.
 func (n *Node) Answered(id filbertlever.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.base.Members.Answered(id, time.Now())
 }
 
-// Contact notes who made contact and whether it is leaving.
+// RecordContact records a message from a process and whether the process is leaving.
 func (n *Node) Contact(from control.Identity) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -185,22 +190,22 @@
 	}
 }
 
-// Head returns the highest accepted head known and whether its bundle is in
-// force here.
+// Head returns the highest known accepted head and whether its bundle is active in this
+// process.
 func (n *Node) Head() (state.Head, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.base.Tracker.Known(), n.base.Tracker.Ready()
 }
 
-// ErrNotReady says why a process cannot serve.
+// ErrNotReady means that a process cannot serve requests.
 var ErrNotReady = errors.New("not ready")
 
-// Ready returns nil if the accepted bundle is known and in force here.
+// Ready returns nil if the accepted head is known and its bundle is active.
 //
-// Guard: a process that has just started may hold no bundle, or learn an old
-// one; it is ready only after the platform or a peer told it the head and the
-// bundle of that head is in force.
+// A process that has just started may have no bundle, or may receive an old one. It
+// becomes ready only once it has received the head from the platform or a peer and the
+// bundle of that head is active.
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -214,7 +219,7 @@
 	return nil
 }
 
-// Handle answers a call of a peer.
+// Handle handles a call from a peer.
 func (n *Node) Handle(ctx context.Context, caller peer.Caller, method string, params []byte) (any, error) {
 	switch method {
 	case control.MethodSync:
@@ -230,7 +235,8 @@
 	return nil, fmt.Errorf("%s: %w", method, ErrMethod)
 }
 
-// CheckIdentity makes sure that a message is from the host it names.
+// CheckIdentity returns an error unless the sender that a message names matches the caller's
+// certificate.
 func CheckIdentity(caller peer.Caller, from control.Identity) error {
 	if caller.Host != from.Host.ID || (caller.Role != "" && caller.Role != string(from.Host.Role)) {
 		return fmt.Errorf("certificate of %s, message of %s: %w", caller.Host, from.Host.ID, ErrIdentity)
@@ -247,7 +253,7 @@
 		return nil, err
 	}
 	n.Contact(request.From)
-	n.Learn(request.Facts, caller.Host)
+	n.MergeFacts(request.Facts, caller.Host)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return control.SyncResponse{From: n.self(), Facts: n.base.Newer(request.Facts)}, nil
@@ -265,12 +271,12 @@
 	return control.BundleResponse{Signed: current.Signed}, nil
 }
 
-// handleAccepted takes the word of the operator's command that a roll was
-// accepted, so that the bundle comes in force even if the platform goes down
-// before any entry has read the head.
+// handleAccepted handles the announcement of an accepted roll by the operator's command,
+// so that the bundle becomes active even if the platform becomes unavailable before any
+// entry has read the head.
 func (n *Node) handleAccepted(caller peer.Caller, params []byte) (any, error) {
 	if caller.Role != peer.RoleOperator {
-		return nil, fmt.Errorf("accepted head from %s: %w", caller.Host, peer.ErrRole)
+		return nil, fmt.Errorf("accepted head of %s: %w", caller.Host, peer.ErrRole)
 	}
 	var message control.Accepted
 	if err := json.Unmarshal(params, &message); err != nil {
@@ -281,58 +287,60 @@
 		return nil, fmt.Errorf("accepted head of %s: %w", caller.Host, err)
 	}
 	n.mu.Lock()
-	if n.announced == nil || n.announced.Head.Version < message.Head.Version {
-		n.announced = current
+	if n.announcedBundle == nil || n.announcedBundle.Head.Version < message.Head.Version {
+		n.announcedBundle = current
 	}
 	n.mu.Unlock()
-	n.Learn(knowledge.Facts{Head: message.Head}, "")
+	n.MergeFacts(knowledge.Facts{Head: message.Head}, "")
 	return nil, nil
 }
 
-// Learn takes facts from the platform (teller is empty) or a peer.
-func (n *Node) Learn(facts knowledge.Facts, teller filbertlever.HostID) {
+// MergeFacts merges facts from a peer. The source is empty if the facts come from the
+// platform or an operator.
+func (n *Node) MergeFacts(facts knowledge.Facts, source filbertlever.HostID) {
 	n.mu.Lock()
-	news, err := n.base.Learn(facts, time.Now())
-	n.heard = time.Now()
-	if news.Head {
-		n.teller = teller
+	changes, err := n.base.Learn(facts, time.Now())
+	n.lastReceived = time.Now()
+	if changes.Head {
+		n.headSource = source
 	}
 	stopping := n.base.Stopping(n.config.Host.ID)
 	n.mu.Unlock()
 	if err != nil {
-		n.log.Error("accepted head refused", zap.String("Teller", string(teller)), zap.Error(err))
+		n.log.Error("accepted head rejected", zap.String("Teller", string(source)), zap.Error(err))
 	}
-	if news.Head {
-		n.log.Info("accepted head learned", zap.Uint64("Version", facts.Head.Version), zap.String("Teller", string(teller)))
-		n.wake()
+	if changes.Head {
+		n.log.Info("accepted head received", zap.Uint64("Version", facts.Head.Version), zap.String("Teller", string(source)))
+		n.signalAdopt()
 	}
 	if stopping {
 		n.RequestStop("planned stop")
 	}
-	if news.Stops {
-		go n.tellChildren(teller == "")
+	if changes.Stops {
+		go n.pushToChildren(source == "")
 	}
 }
 
-func (n *Node) wake() {
+// signalAdopt wakes the adopter without blocking.
+func (n *Node) signalAdopt() {
 	select {
-	case n.wakeAdopt <- struct{}{}:
+	case n.adoptSignal <- struct{}{}:
 	default:
 	}
 }
 
-// RequestStop asks the process to leave gracefully.
+// RequestStop requests a graceful shutdown of the process. Only the first call has an effect.
 func (n *Node) RequestStop(reason string) {
 	n.stopOnce.Do(func() {
 		n.log.Info("stop requested", zap.String("Reason", reason))
-		close(n.stopped)
+		close(n.stopRequested)
 	})
 }
 
-// StopRequested is closed once the process is to leave.
-func (n *Node) StopRequested() <-chan struct{} { return n.stopped }
+// StopRequested returns a channel that is closed once a shutdown was requested.
+func (n *Node) StopRequested() <-chan struct{} { return n.stopRequested }
 
-// AnnounceStop begins the stop and tells entries of it.
+// AnnounceStop begins the shutdown and announces it to all entries.
 func (n *Node) AnnounceStop() {
 	n.mu.Lock()
 	n.stop.Announce(time.Now())
@@ -348,21 +356,22 @@
 	group.Wait()
 }
 
-// AdvanceStop returns how far the stop has come with work requests running.
-func (n *Node) AdvanceStop(work int) drain.Phase {
+// AdvanceStop advances the shutdown, given the number of requests in flight, and returns
+// its phase.
+func (n *Node) AdvanceStop(inFlight int) drain.Phase {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.stop.Advance(time.Now(), work)
+	return n.stop.Advance(time.Now(), inFlight)
 }
 
-// Accepts reports whether new work is taken.
+// Accepts reports whether the process accepts new requests.
 func (n *Node) Accepts() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stop.Accepts()
 }
 
-// Leaving reports whether the stop has been announced.
+// Leaving reports whether the shutdown has been announced.
 func (n *Node) Leaving() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
