--- a/internal/transport/peer/clients.go
+++ b/internal/transport/peer/clients.go
@@ -9,39 +9,40 @@
 	"github.com/filbertlever/filbertlever/internal/transport/network"
 )
 
-// Times and sizes of connections between processes.
+// Timeouts and limits of connections between processes.
 const (
 	DialTimeout      = time.Second
 	handshakeTimeout = 2 * time.Second
 	idleTimeout      = 90 * time.Second
-	idlePerHost      = 32
-	writeBuffer      = 32 << 10
-	pingAfter        = time.Second
-	pingTimeout      = time.Second
+	maxIdlePerHost   = 32
+	bufferSize       = 32 << 10
+	// pingIdleTime is how long no frame may arrive before a ping is sent.
+	pingIdleTime = time.Second
+	pingTimeout  = time.Second
 )
 
-// Clients keeps an HTTP client for each host, which checks that the host
-// shows a certificate in its name. It is safe for concurrent use.
+// Clients holds the HTTP clients for each host. They verify that the host presents a
+// certificate for its host ID. Clients is safe for concurrent use.
 type Clients struct {
 	keys    *Keys
 	network network.Network
 
 	mu sync.Mutex
-	// clients are for chunks and control connections, requests for calls of
-	// which many run at once.
-	clients  map[filbertlever.HostID]*http.Client
-	requests map[filbertlever.HostID]*http.Client
+	// clients are used for chunks and control connections.
+	clients map[filbertlever.HostID]*http.Client
+	// requestClients are used for calls of which many run concurrently.
+	requestClients map[filbertlever.HostID]*http.Client
 }
 
-// NewClients returns clients that show keys, and the function that closes
+// NewClients returns clients that authenticate with keys, and the function that closes
 // their idle connections.
 func NewClients(keys *Keys, links network.Network) (*Clients, func()) {
-	c := &Clients{keys: keys, network: links, clients: map[filbertlever.HostID]*http.Client{}, requests: map[filbertlever.HostID]*http.Client{}}
+	c := &Clients{keys: keys, network: links, clients: map[filbertlever.HostID]*http.Client{}, requestClients: map[filbertlever.HostID]*http.Client{}}
 	return c, c.close
 }
 
-// For returns the client for a host. It has no timeout of its own; each
-// request's context bounds it.
+// For returns the client for a host. The client has no timeout, so each request must
+// be bounded by its context.
 func (c *Clients) For(host filbertlever.HostID) *http.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,20 +55,20 @@
 	return client
 }
 
-// ForRequests returns the client for a host that carries many calls at once
-// over one HTTP/2 connection. A connection that stalls is noticed by pings.
+// ForRequests returns the client for a host that multiplexes concurrent calls over one
+// HTTP/2 connection. Pings detect a stalled connection.
 func (c *Clients) ForRequests(host filbertlever.HostID) *http.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	client, ok := c.requests[host]
+	client, ok := c.requestClients[host]
 	if ok {
 		return client
 	}
 	transport := c.transport(host)
 	transport.ForceAttemptHTTP2 = true
-	transport.HTTP2 = &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout}
+	transport.HTTP2 = &http.HTTP2Config{SendPingTimeout: pingIdleTime, PingTimeout: pingTimeout}
 	client = &http.Client{Transport: transport}
-	c.requests[host] = client
+	c.requestClients[host] = client
 	return client
 }
 
@@ -76,10 +77,10 @@
 		DialContext:         c.network.DialContext,
 		TLSClientConfig:     c.keys.ClientConfig(host),
 		TLSHandshakeTimeout: handshakeTimeout,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
-		WriteBufferSize:     writeBuffer,
-		ReadBufferSize:      writeBuffer,
+		WriteBufferSize:     bufferSize,
+		ReadBufferSize:      bufferSize,
 		DisableCompression:  true,
 	}
 }
@@ -87,7 +88,7 @@
 func (c *Clients) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, clients := range []map[filbertlever.HostID]*http.Client{c.clients, c.requests} {
+	for _, clients := range []map[filbertlever.HostID]*http.Client{c.clients, c.requestClients} {
 		for _, client := range clients {
 			client.CloseIdleConnections()
 		}
--- a/internal/transport/peer/control.go
+++ b/internal/transport/peer/control.go
@@ -16,7 +16,7 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// ControlPath is where a peer upgrades a connection to JSON-RPC 2.0.
+// ControlPath is the path on which a peer upgrades a connection to JSON-RPC 2.0.
 const ControlPath = "/control"
 
 const controlProtocol = "jsonrpc2"
@@ -27,7 +27,7 @@
 	ErrUpgrade   = errors.New("peer does not speak the control protocol")
 )
 
-// Handler answers one call of a peer; params is JSON.
+// Handler handles a call from a peer. The params are JSON.
 type Handler interface {
 	Handle(ctx context.Context, caller Caller, method string, params []byte) (any, error)
 }
@@ -38,36 +38,36 @@
 	Role string
 }
 
-// AddressBook finds the peer address of a host.
+// AddressBook looks up the peer address of a host.
 type AddressBook interface {
 	PeerAddress(filbertlever.HostID) (string, bool)
 }
 
-// Control keeps one JSON-RPC connection to each host it talks to, whoever
-// dialled it.
+// Control holds one JSON-RPC connection to each host that it communicates with. Either side
+// may have dialled the connection.
 type Control struct {
-	clients *Clients
-	book    AddressBook
-	handler Handler
-	log     *zap.Logger
+	clients   *Clients
+	addresses AddressBook
+	handler   Handler
+	log       *zap.Logger
 
 	mu sync.Mutex
 	// conns holds the connection to use for each host.
 	conns map[filbertlever.HostID]*jsonrpc2.Conn
-	// open holds all connections, also those that a newer one has displaced.
+	// open holds all connections, including those that a newer one has replaced in conns.
 	open   map[*jsonrpc2.Conn]struct{}
 	closed bool
 }
 
 // NewControl returns a Control and the function that closes all connections.
-func NewControl(clients *Clients, book AddressBook, handler Handler, log *zap.Logger) (*Control, func()) {
-	c := &Control{clients: clients, book: book, handler: handler, log: log, conns: map[filbertlever.HostID]*jsonrpc2.Conn{}, open: map[*jsonrpc2.Conn]struct{}{}}
+func NewControl(clients *Clients, addresses AddressBook, handler Handler, log *zap.Logger) (*Control, func()) {
+	c := &Control{clients: clients, addresses: addresses, handler: handler, log: log, conns: map[filbertlever.HostID]*jsonrpc2.Conn{}, open: map[*jsonrpc2.Conn]struct{}{}}
 	return c, c.close
 }
 
-// ServeHTTP upgrades a connection that a peer dialled.
+// ServeHTTP upgrades a connection that a peer has dialled to JSON-RPC.
 func (c *Control) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	host, role, err := Name(request)
+	host, role, err := Identify(request)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
@@ -90,7 +90,8 @@
 	c.start(Caller{Host: host, Role: role}, &bufferedConn{ReadWriteCloser: conn, reader: buffered.Reader})
 }
 
-// bufferedConn reads what the HTTP server had read ahead first.
+// bufferedConn is a hijacked connection. It first returns the data that the HTTP server has
+// already buffered.
 type bufferedConn struct {
 	io.ReadWriteCloser
 	reader *bufio.Reader
@@ -102,17 +103,17 @@
 // writeTimeout bounds a write on a control connection.
 const writeTimeout = 3 * time.Second
 
-// boundedWriter closes the connection when a write takes too long.
+// timeoutWriter closes the connection if a write takes longer than writeTimeout.
 //
-// A link that stalls silently fills its buffers, and every sender to
-// that peer would block for good behind the library's lock; closing the
-// connection frees them all with an error.
-type boundedWriter struct {
+// If a link stalls without an error, its buffers fill up, and every sender to that peer
+// blocks forever on the lock of the JSON-RPC library. Closing the connection makes all of
+// these calls return an error.
+type timeoutWriter struct {
 	io.ReadWriteCloser
 }
 
-// Write writes p or closes the connection.
-func (b *boundedWriter) Write(p []byte) (int, error) {
+// Write writes p, and closes the connection after writeTimeout.
+func (b *timeoutWriter) Write(p []byte) (int, error) {
 	timer := time.AfterFunc(writeTimeout, func() { _ = b.Close() })
 	defer timer.Stop()
 	return b.ReadWriteCloser.Write(p)
@@ -127,7 +128,7 @@
 	if err := conn.Call(ctx, method, params, result); err != nil {
 		var rpcErr *jsonrpc2.Error
 		if !errors.As(err, &rpcErr) {
-			// No answer at all: the connection may be dead without showing it.
+			// Without any response the connection may be broken without an error.
 			c.drop(host, conn)
 		}
 		return fmt.Errorf("%s at %s: %w", method, host, err)
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// Notify sends a message to a host without waiting for an answer.
+// Notify sends a message to a host and does not wait for a response.
 func (c *Control) Notify(ctx context.Context, host filbertlever.HostID, method string, params any) error {
 	conn, err := c.conn(ctx, host)
 	if err != nil {
@@ -148,6 +149,7 @@
 	return nil
 }
 
+// conn returns the connection to a host and dials it if there is none.
 func (c *Control) conn(ctx context.Context, host filbertlever.HostID) (*jsonrpc2.Conn, error) {
 	c.mu.Lock()
 	conn, ok := c.conns[host]
@@ -155,7 +157,7 @@
 	if ok {
 		return conn, nil
 	}
-	address, ok := c.book.PeerAddress(host)
+	address, ok := c.addresses.PeerAddress(host)
 	if !ok {
 		return nil, ErrNoAddress
 	}
@@ -166,8 +168,9 @@
 	return c.start(Caller{Host: host}, stream), nil
 }
 
+// dial connects to a host and upgrades the connection to JSON-RPC.
 func (c *Control) dial(ctx context.Context, host filbertlever.HostID, address string) (io.ReadWriteCloser, error) {
-	// The request's context would end the connection with the first call.
+	// The connection outlives this call, so it must not be closed when ctx ends.
 	request, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, "https://"+address+ControlPath, nil)
 	if err != nil {
 		return nil, err
@@ -186,6 +189,7 @@
 	return stream, nil
 }
 
+// start serves JSON-RPC on a connection and uses it for further calls to the host.
 func (c *Control) start(caller Caller, stream io.ReadWriteCloser) *jsonrpc2.Conn {
 	handler := jsonrpc2.HandlerWithError(func(ctx context.Context, _ *jsonrpc2.Conn, request *jsonrpc2.Request) (any, error) {
 		var params []byte
@@ -194,36 +198,37 @@
 		}
 		return c.handler.Handle(ctx, caller, request.Method, params)
 	})
-	codec := jsonrpc2.NewBufferedStream(&boundedWriter{ReadWriteCloser: stream}, jsonrpc2.VarintObjectCodec{})
-	conn := jsonrpc2.NewConn(context.Background(), codec, jsonrpc2.AsyncHandler(handler), jsonrpc2.SetLogger(discard{}))
+	codec := jsonrpc2.NewBufferedStream(&timeoutWriter{ReadWriteCloser: stream}, jsonrpc2.VarintObjectCodec{})
+	conn := jsonrpc2.NewConn(context.Background(), codec, jsonrpc2.AsyncHandler(handler), jsonrpc2.SetLogger(discardLogger{}))
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		_ = conn.Close()
 		return conn
 	}
-	// The newest connection is the one used: after a cut the older may be dead
-	// without showing it.
+	// The newest connection is used, because after a network partition an older one may be
+	// broken without an error.
 	c.conns[caller.Host] = conn
 	c.open[conn] = struct{}{}
 	c.mu.Unlock()
-	w := watch{control: c, host: caller.Host, conn: conn}
-	go w.run()
+	m := connMonitor{control: c, host: caller.Host, conn: conn}
+	go m.run()
 	return conn
 }
 
-// watch forgets a connection once it is closed.
-type watch struct {
+// connMonitor removes a connection from its Control once the connection is closed.
+type connMonitor struct {
 	control *Control
 	host    filbertlever.HostID
 	conn    *jsonrpc2.Conn
 }
 
-func (w *watch) run() {
-	<-w.conn.DisconnectNotify()
-	w.control.drop(w.host, w.conn)
+func (m *connMonitor) run() {
+	<-m.conn.DisconnectNotify()
+	m.control.drop(m.host, m.conn)
 }
 
+// drop closes a connection and stops using it.
 func (c *Control) drop(host filbertlever.HostID, conn *jsonrpc2.Conn) {
 	c.mu.Lock()
 	if c.conns[host] == conn {
@@ -247,8 +252,9 @@
 	}
 }
 
-// discard drops the library's own log lines; failures reach the callers.
-type discard struct{}
+// discardLogger discards the log output of the JSON-RPC library. Its errors are returned to
+// the callers.
+type discardLogger struct{}
 
-// Printf drops a line.
-func (discard) Printf(string, ...any) {}
+// Printf discards a line.
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/transport/peer/tls.go
+++ b/internal/transport/peer/tls.go
@@ -1,5 +1,4 @@
-// Package peer carries messages between the system's own processes, over
-// mutual TLS.
+// Package peer connects the processes of the system with each other over mutual TLS.
 package peer
 
 import (
@@ -15,30 +14,30 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// Roles that a certificate may bear as its organisational unit.
+// Roles that a certificate may have as its organisational unit.
 const (
 	RoleEntry    = string(filbertlever.RoleEntry)
 	RoleAgent    = string(filbertlever.RoleAgent)
 	RoleOperator = "Operator"
 )
 
-// ErrRole means that a peer's certificate does not allow what it asked for.
+// ErrRole means that the role in a peer's certificate does not permit the request.
 var ErrRole = errors.New("certificate does not allow this call")
 
-// Files names the files of one process's keys.
+// Files holds the paths of a process's key and certificates.
 type Files struct {
 	Authority   string
 	Certificate string
 	Key         string
 }
 
-// Keys are one process's keys.
+// Keys holds a process's TLS key and certificates.
 type Keys struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// LoadKeys reads keys from files.
+// LoadKeys reads a process's keys from files.
 func LoadKeys(files Files) (*Keys, error) {
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
@@ -51,7 +50,7 @@
 	return &Keys{certificate: certificate, authority: authority}, nil
 }
 
-// LoadAuthority reads the certificate that signed all others.
+// LoadAuthority reads the certificate of the authority that signs all other certificates.
 func LoadAuthority(file string) (*x509.CertPool, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -59,12 +58,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, fmt.Errorf("load authority %s: no certificate in it", file)
+		return nil, fmt.Errorf("load authority %s: file contains no certificate", file)
 	}
 	return pool, nil
 }
 
-// ServerConfig returns the TLS settings for peers, who must show a certificate.
+// ServerConfig returns the TLS settings for serving peers, which must present a client
+// certificate.
 func (k *Keys) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -74,13 +74,14 @@
 	}
 }
 
-// CallerConfig returns the TLS settings for callers, who show a token instead.
+// CallerConfig returns the TLS settings for serving callers, which authenticate with a token
+// and not with a certificate.
 func (k *Keys) CallerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{k.certificate}}
 }
 
-// ClientConfig returns the TLS settings for calling a host, which must show a
-// certificate in its name.
+// ClientConfig returns the TLS settings for connecting to a host, which must present a
+// certificate for its host ID.
 func (k *Keys) ClientConfig(host filbertlever.HostID) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -90,8 +91,8 @@
 	}
 }
 
-// Name returns the host that a request came from and its role.
-func Name(request *http.Request) (filbertlever.HostID, string, error) {
+// Identify returns the host that sent a request and its role, from the client certificate.
+func Identify(request *http.Request) (filbertlever.HostID, string, error) {
 	if request.TLS == nil || len(request.TLS.VerifiedChains) == 0 {
 		return "", "", ErrRole
 	}
@@ -102,11 +103,11 @@
 	return filbertlever.HostID(subject.CommonName), subject.OrganizationalUnit[0], nil
 }
 
-// Allow lets only peers of some roles through, and puts who they are into the
-// request's context.
+// RequireRole rejects requests from peers that have none of the roles, and adds the host
+// that sent a request to the request's context.
 func Allow(next http.Handler, roles ...string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		host, role, err := Name(request)
+		host, role, err := Identify(request)
 		if err != nil || !slices.Contains(roles, role) {
 			http.Error(w, ErrRole.Error(), http.StatusForbidden)
 			return
@@ -117,12 +118,13 @@
 
 type callerKey struct{}
 
-// WithCaller returns a context that bears the host that a request came from.
+// WithCaller returns a context that carries the host that sent a request.
 func WithCaller(ctx context.Context, host filbertlever.HostID) context.Context {
 	return context.WithValue(ctx, callerKey{}, host)
 }
 
-// CallerOf returns the host that a request came from.
+// CallerFromContext returns the host that sent a request, or an empty ID if the context
+// carries none.
 func CallerOf(ctx context.Context) filbertlever.HostID {
 	host, _ := ctx.Value(callerKey{}).(filbertlever.HostID)
 	return host
--- a/internal/transport/platform/platform.go
+++ b/internal/transport/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the client of the platform's table service, object
-// store and host list. Every call has a deadline; the callers decide what a
-// lost answer means.
+// Package platform is a client for the platform's table service, object store and host
+// list. Every call has a timeout. If no response arrives, the caller decides how to handle
+// the unknown outcome.
 package platform
 
 import (
@@ -25,10 +25,10 @@
 // ErrNotFound means that an object does not exist.
 var ErrNotFound = errors.New("not found")
 
-// maxObject bounds an object that is read.
-const maxObject = 32 << 20
+// maxObjectBytes is the size limit for objects that are read.
+const maxObjectBytes = 32 << 20
 
-// Client calls the platform. It is safe for concurrent use.
+// Client sends requests to the platform. It is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -36,7 +36,7 @@
 	timeout time.Duration
 }
 
-// New returns a client of the platform at a base URL; timeout bounds each call.
+// New returns a client for the platform at a base URL. The timeout applies to each call.
 func New(base string, timeout time.Duration, links network.Network) *Client {
 	client := &http.Client{Transport: &http.Transport{DialContext: links.DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}}
 	return &Client{
@@ -50,14 +50,15 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Row is a row of the table; Revision 0 means that it does not exist.
+// Row is a row of the table. A revision of 0 means that the row does not exist.
 type Row struct {
 	Key      string
 	Value    []byte
 	Revision uint64
 }
 
-// Decode reads the row's JSON value into out; an absent row leaves it as it is.
+// Decode decodes the row's JSON value into out. It does not change out if the row does not
+// exist.
 func (r Row) Decode(out any) error {
 	if r.Revision == 0 {
 		return nil
@@ -68,14 +69,15 @@
 	return nil
 }
 
-// Write is a write of one row on the condition that it is at a revision.
+// Write is a compare-and-swap of one row. It applies only if the row is at the expected
+// revision.
 type Write struct {
 	Key      string
 	Value    any
 	Expected uint64
 }
 
-// Get reads rows, in the order of the keys.
+// Get returns the rows with the given keys, in the order of the keys.
 func (c *Client) Get(ctx context.Context, keys ...string) ([]Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -84,12 +86,12 @@
 		return nil, fmt.Errorf("read %v from platform: %w", keys, err)
 	}
 	if len(response.Msg.Rows) != len(keys) {
-		return nil, fmt.Errorf("read %v from platform: %d rows", keys, len(response.Msg.Rows))
+		return nil, fmt.Errorf("read %v from platform: got %d rows, want %d", keys, len(response.Msg.Rows), len(keys))
 	}
-	return rows(response.Msg.Rows), nil
+	return toRows(response.Msg.Rows), nil
 }
 
-// List reads all rows whose keys begin with prefix.
+// List returns all rows whose keys begin with prefix.
 func (c *Client) List(ctx context.Context, prefix string) ([]Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -97,11 +99,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("list %s* from platform: %w", prefix, err)
 	}
-	return rows(response.Msg.Rows), nil
+	return toRows(response.Msg.Rows), nil
 }
 
-// Commit applies all writes or none. After an error the writes may have taken
-// effect, or may yet. Conflicts are the rows in the way if applied is false.
+// Commit applies either all writes or none. After an error the writes may have been
+// applied, or may still be applied later. If applied is false, conflicts holds the rows
+// that were not at the expected revision.
 func (c *Client) Commit(ctx context.Context, writes ...Write) (applied bool, revisions []uint64, conflicts []Row, err error) {
 	request := &platformv1.CommitRequest{}
 	for _, write := range writes {
@@ -117,20 +120,20 @@
 	if err != nil {
 		return false, nil, nil, fmt.Errorf("write %s to platform: %w", writes[0].Key, err)
 	}
-	return response.Msg.Applied, response.Msg.Revisions, rows(response.Msg.Conflicts), nil
+	return response.Msg.Applied, response.Msg.Revisions, toRows(response.Msg.Conflicts), nil
 }
 
-// ListHosts returns the host list and its revision; hosts is nil if it is
-// still at the revision known.
-func (c *Client) ListHosts(ctx context.Context, known uint64) (revision uint64, hosts []filbertlever.Host, err error) {
+// ListHosts returns the host list and its revision. The list is nil if it is still at
+// knownRevision.
+func (c *Client) ListHosts(ctx context.Context, knownRevision uint64) (revision uint64, hosts []filbertlever.Host, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	response, err := c.table.ListHosts(ctx, connect.NewRequest(&platformv1.ListHostsRequest{KnownRevision: known}))
+	response, err := c.table.ListHosts(ctx, connect.NewRequest(&platformv1.ListHostsRequest{KnownRevision: knownRevision}))
 	if err != nil {
 		return 0, nil, fmt.Errorf("list hosts from platform: %w", err)
 	}
-	if response.Msg.Revision == known {
-		return known, nil, nil
+	if response.Msg.Revision == knownRevision {
+		return knownRevision, nil, nil
 	}
 	hosts = make([]filbertlever.Host, len(response.Msg.Hosts))
 	for i, host := range response.Msg.Hosts {
@@ -139,7 +142,8 @@
 	return response.Msg.Revision, hosts, nil
 }
 
-// PutObject creates an object; one that exists already is left and is no error.
+// PutObject creates an object. If the object exists already, it is not changed and no error
+// is returned.
 func (c *Client) PutObject(ctx context.Context, key string, data []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -160,7 +164,7 @@
 	return fmt.Errorf("put object %s: status %s", key, response.Status)
 }
 
-// GetObject reads an object.
+// GetObject returns the content of an object.
 func (c *Client) GetObject(ctx context.Context, key string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -179,12 +183,12 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("get object %s: status %s", key, response.Status)
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxObject+1))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxObjectBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("get object %s: %w", key, err)
 	}
-	if len(data) > maxObject {
-		return nil, fmt.Errorf("get object %s: more than %d bytes", key, maxObject)
+	if len(data) > maxObjectBytes {
+		return nil, fmt.Errorf("get object %s: more than %d bytes", key, maxObjectBytes)
 	}
 	return data, nil
 }
@@ -193,7 +197,7 @@
 	return c.base + "/objects/" + url.PathEscape(key)
 }
 
-func rows(messages []*platformv1.Row) []Row {
+func toRows(messages []*platformv1.Row) []Row {
 	out := make([]Row, len(messages))
 	for i, row := range messages {
 		out[i] = Row{Key: row.Key, Value: row.Value, Revision: row.Revision}
