--- a/internal/transport/weights/fetcher.go
+++ b/internal/transport/weights/fetcher.go
@@ -18,34 +18,35 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// FetchConfig holds the times of a Fetcher.
+// FetchConfig holds the limits and timeouts of a Fetcher.
 type FetchConfig struct {
 	Planner distribution.Config
-	// Stall is how long a fetch may go without a byte.
+	// StallTimeout is how long a fetch may receive no data before it is cancelled.
 	Stall time.Duration
-	// Wait is how long a peer that lacks a chunk may wait for it.
+	// PeerWait is how long a peer that does not have a chunk yet may wait for it before it
+	// responds.
 	Wait time.Duration
 }
 
-// DefaultFetchConfig returns the times used in production.
+// DefaultFetchConfig returns the configuration used in production.
 func DefaultFetchConfig() FetchConfig {
 	return FetchConfig{Planner: distribution.DefaultConfig(), Stall: time.Second, Wait: time.Second}
 }
 
-// Drawn counts the bytes taken, by source.
-type Drawn struct {
+// FetchedBytes counts the bytes fetched, by kind of source.
+type FetchedBytes struct {
 	Origin, Store, Peer atomic.Int64
 }
 
 // Add counts n bytes from a kind of source.
-func (d *Drawn) Add(kind distribution.SourceKind, n int) {
+func (b *FetchedBytes) Add(kind distribution.SourceKind, n int) {
 	switch kind {
 	case distribution.SourceOrigin:
-		d.Origin.Add(int64(n))
+		b.Origin.Add(int64(n))
 	case distribution.SourceStore:
-		d.Store.Add(int64(n))
+		b.Store.Add(int64(n))
 	default:
-		d.Peer.Add(int64(n))
+		b.Peer.Add(int64(n))
 	}
 }
 
@@ -53,22 +54,22 @@
 type Fetcher struct {
 	config  FetchConfig
 	self    distribution.Peer
-	sets    *Library
+	library *Library
 	sources Sources
 	log     *zap.Logger
-	// Drawn counts what was taken.
-	Drawn Drawn
+	// Fetched counts the bytes fetched.
+	Drawn FetchedBytes
 }
 
 // NewFetcher returns a fetcher for a host.
 func NewFetcher(config FetchConfig, self distribution.Peer, library *Library, sources Sources, log *zap.Logger) *Fetcher {
-	return &Fetcher{config: config, self: self, sets: library, sources: sources, log: log}
+	return &Fetcher{config: config, self: self, library: library, sources: sources, log: log}
 }
 
-// Fetch gets every chunk of a set that the library knows, verified, and
-// returns nil once all are held. Hosts are those that want the same set.
+// Fetch fetches and verifies every missing chunk of a set whose manifest is in the library,
+// and returns nil once all chunks are stored. The hosts are those that fetch the same set.
 func (f *Fetcher) Fetch(ctx context.Context, digest filbertlever.Digest, hosts []distribution.Peer, favour bundle.Favour) error {
-	manifest := f.sets.Manifest(digest)
+	manifest := f.library.Manifest(digest)
 	if manifest == nil {
 		return fmt.Errorf("fetch weights %s: manifest unknown", digest.Short())
 	}
@@ -79,18 +80,18 @@
 		fetcher:  f,
 		digest:   digest,
 		manifest: manifest,
-		planner:  distribution.New(config, f.self, len(manifest.Chunks), hosts, f.sets.highest(digest), now),
+		planner:  distribution.New(config, f.self, len(manifest.Chunks), hosts, f.library.highest(digest), now),
 		events:   make(chan event, config.Window),
 	}
 	for i, chunk := range manifest.Chunks {
-		if f.sets.chunks.Get(chunk) != nil {
+		if f.library.chunks.Get(chunk) != nil {
 			t.planner.Have(i)
 		}
 	}
 	return t.loop(ctx)
 }
 
-// transfer is one set under way.
+// transfer is the fetch of one set in progress.
 type transfer struct {
 	fetcher  *Fetcher
 	digest   filbertlever.Digest
@@ -108,7 +109,7 @@
 	eventEnd
 )
 
-// event is what a worker tells the loop.
+// event is sent by a worker to the loop.
 type event struct {
 	kind  eventKind
 	chunk int
@@ -117,7 +118,7 @@
 	err     error
 }
 
-// loop owns the planner: it starts fetches and takes their events.
+// loop owns the planner. It starts fetches and handles their events.
 func (t *transfer) loop(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer t.workers.Wait()
@@ -131,14 +132,15 @@
 		case <-ctx.Done():
 			return fmt.Errorf("fetch weights %s: %w", t.digest.Short(), ctx.Err())
 		case e := <-t.events:
-			t.take(e)
+			t.handle(e)
 		case <-timer.C:
 		}
 	}
 	return nil
 }
 
-// start begins every fetch that is due and returns when to look again.
+// start starts every fetch that the planner returns, and returns the time until the planner
+// may return another.
 func (t *transfer) start(ctx context.Context) time.Duration {
 	for {
 		fetch, ok, wait := t.planner.Next(time.Now())
@@ -147,7 +149,7 @@
 		}
 		w := worker{transfer: t, fetch: fetch}
 		t.workers.Go(func() { w.run(ctx) })
-		if ce := t.fetcher.log.Check(zap.DebugLevel, "chunk placed"); ce != nil {
+		if ce := t.fetcher.log.Check(zap.DebugLevel, "chunk fetch started"); ce != nil {
 			ce.Write(zap.String("Weights", t.digest.Short()), zap.Int("Chunk", fetch.Chunk),
 				zap.Stringer("Source", fetch.Source.Kind), zap.String("Peer", string(fetch.Source.Host)),
 				zap.String("Reason", string(fetch.Reason)))
@@ -155,7 +157,8 @@
 	}
 }
 
-func (t *transfer) take(e event) {
+// handle updates the planner with an event.
+func (t *transfer) handle(e event) {
 	now := time.Now()
 	switch e.kind {
 	case eventProgress:
@@ -165,9 +168,10 @@
 	case eventEnd:
 		t.end(e, now)
 	}
-	t.fetcher.sets.setHighest(t.digest, t.planner.Highest())
+	t.fetcher.library.setHighest(t.digest, t.planner.Highest())
 }
 
+// end reports the end of a fetch to the planner.
 func (t *transfer) end(e event, now time.Time) {
 	if e.err == nil {
 		t.planner.Done(e.chunk, now)
@@ -183,6 +187,7 @@
 
 var errCorrupt = errors.New("chunk does not match its digest")
 
+// failureOf returns the kind of failure of an error.
 func failureOf(err error) distribution.Failure {
 	switch {
 	case errors.Is(err, ErrNotYet):
@@ -205,7 +210,7 @@
 func (w *worker) run(ctx context.Context) {
 	data, err := w.get(ctx)
 	if err == nil {
-		err = w.keep(data)
+		err = w.store(data)
 	}
 	if err != nil {
 		err = fmt.Errorf("fetch from %s %s: %w", w.fetch.Source.Kind, w.fetch.Source.Host, err)
@@ -213,17 +218,18 @@
 	w.send(ctx, event{kind: eventEnd, chunk: w.fetch.Chunk, err: err})
 }
 
-// get fetches the chunk and gives up once no byte has come for too long.
+// get fetches the chunk, and fails with ErrStalled if no data arrives within the stall
+// timeout.
 //
-// Guard: a link that stalls without warning keeps its connection open for
-// good; only the progress of bytes shows it.
+// A link that stalls without an error leaves its connection open indefinitely. A stall can
+// be detected only because no data arrives.
 func (w *worker) get(ctx context.Context) ([]byte, error) {
 	config := w.transfer.fetcher.config
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watchdog := time.AfterFunc(config.Wait+config.Stall, func() { cancel(ErrStalled) })
 	defer watchdog.Stop()
-	last := time.Now()
+	lastProgress := time.Now()
 	wait := config.Wait
 	if w.fetch.Probe {
 		wait = 0
@@ -237,8 +243,8 @@
 		Wait:     wait,
 		Progress: func() {
 			watchdog.Reset(config.Stall)
-			if now := time.Now(); now.Sub(last) > config.Stall/4 {
-				last = now
+			if now := time.Now(); now.Sub(lastProgress) > config.Stall/4 {
+				lastProgress = now
 				w.send(ctx, event{kind: eventProgress, chunk: w.fetch.Chunk})
 			}
 		},
@@ -252,20 +258,21 @@
 	return data, err
 }
 
-// keep verifies the chunk and makes it available.
+// store verifies the chunk and stores it.
 //
-// Guard: chunks arrive corrupted, from peers, the origin and the store alike;
-// nothing that does not match the manifest's digest is kept, passed on or loaded.
-func (w *worker) keep(data []byte) error {
+// Peers, the origin and the weight store may all send corrupted chunks. Data that does not
+// match the digest in the manifest must not be stored, served to peers or loaded.
+func (w *worker) store(data []byte) error {
 	want := w.transfer.manifest.Chunks[w.fetch.Chunk]
 	w.transfer.fetcher.Drawn.Add(w.fetch.Source.Kind, len(data))
 	if filbertlever.DigestOf(data) != want {
 		return errCorrupt
 	}
-	w.transfer.fetcher.sets.chunks.Put(want, data)
+	w.transfer.fetcher.library.chunks.Put(want, data)
 	return nil
 }
 
+// send sends an event to the loop unless ctx ends first.
 func (w *worker) send(ctx context.Context, e event) {
 	select {
 	case w.transfer.events <- e:
@@ -273,15 +280,15 @@
 	}
 }
 
-// maxErrorText bounds what is read of an error answer.
-const maxErrorText = 4 << 10
+// maxErrorBody limits how much of the body of an error response is read.
+const maxErrorBody = 4 << 10
 
-// FetchManifest gets a manifest from a peer that has it and notes how far the
-// set has spread.
+// FetchManifest fetches a manifest from a peer and adds it to the library. It also records
+// the highest chunk of the set that the peer knows to exist outside the origin.
 func (l *Library) FetchManifest(ctx context.Context, peers PeerClients, host filbertlever.HostID, digest filbertlever.Digest) error {
 	client, base, ok := peers.Peer(host)
 	if !ok {
-		return fmt.Errorf("manifest %s of %s: address unknown", digest.Short(), host)
+		return fmt.Errorf("manifest %s from %s: address unknown", digest.Short(), host)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, base+PathManifest+string(digest), nil)
 	if err != nil {
@@ -289,17 +296,17 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return fmt.Errorf("manifest %s of %s: %w", digest.Short(), host, err)
+		return fmt.Errorf("manifest %s from %s: %w", digest.Short(), host, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		// Read to the end, so that the connection can be used again.
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxErrorText))
-		return fmt.Errorf("manifest %s of %s: status %s: %w", digest.Short(), host, response.Status, ErrStatus)
+		// The body is read to the end, so that the connection can be reused.
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxErrorBody))
+		return fmt.Errorf("manifest %s from %s: status %s: %w", digest.Short(), host, response.Status, ErrStatus)
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, bundle.MaxManifestBytes+1))
 	if err != nil {
-		return fmt.Errorf("manifest %s of %s: %w", digest.Short(), host, err)
+		return fmt.Errorf("manifest %s from %s: %w", digest.Short(), host, err)
 	}
 	manifest, err := bundle.DecodeManifest(data, digest)
 	if err != nil {
--- a/internal/transport/weights/limiter.go
+++ b/internal/transport/weights/limiter.go
@@ -9,23 +9,23 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/distribution"
 )
 
-// Limiter holds weights on one direction of a link back under live requests.
-// It is a Pacer, safe for concurrent use.
+// Limiter limits the rate of weight traffic in one direction of a link while live requests
+// are in flight. It implements Pacer and is safe for concurrent use.
 type Limiter struct {
 	pace    distribution.Pace
 	limiter *rate.Limiter
 }
 
-// limiterBurst is how many bytes may pass at once: the queue that a live
-// request may find before it.
+// limiterBurst is how many bytes may be transferred at once. It is also the longest queue
+// of weight data that a live request may have to wait behind.
 const limiterBurst = 16 << 10
 
-// NewLimiter returns a limiter that holds nothing back until SetLive.
+// NewLimiter returns a limiter that imposes no limit until SetLiveRequests is called.
 func NewLimiter(pace distribution.Pace) *Limiter {
 	return &Limiter{pace: pace, limiter: rate.NewLimiter(rate.Inf, limiterBurst)}
 }
 
-// SetLive says how many live requests run.
+// SetLiveRequests sets the number of live requests in flight.
 func (l *Limiter) SetLive(live int) {
 	limit := rate.Inf
 	if r := l.pace.Rate(live); !math.IsInf(r, 1) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// Wait blocks until n more bytes may pass.
+// Wait blocks until n more bytes may be transferred.
 func (l *Limiter) Wait(ctx context.Context, n int) error {
 	for n > 0 {
 		step := min(n, limiterBurst)
--- a/internal/transport/weights/server.go
+++ b/internal/transport/weights/server.go
@@ -1,5 +1,5 @@
-// Package weights moves chunks of weights between hosts, as the decisions of
-// package distribution say.
+// Package weights transfers chunks of weights between hosts, following the decisions of
+// package distribution.
 package weights
 
 import (
@@ -21,9 +21,10 @@
 const (
 	PathChunk    = "/weights/chunk/"
 	PathManifest = "/weights/manifest/"
-	// PathWhole is where the engine on the same host reads a verified set.
+	// PathSet is where the engine on the same host reads a verified set.
 	PathWhole = "/weights/whole/"
-	// headerHighest bears the highest chunk that the sender has heard of.
+	// headerHighest is the header with the highest chunk that the sender knows to exist
+	// outside the origin.
 	headerHighest = "Filbertlever-Highest"
 	paramWait     = "wait"
 	paramSet      = "set"
@@ -31,11 +32,11 @@
 	paramBelow    = "below"
 )
 
-// maxWait bounds how long a peer is kept waiting for a chunk.
+// maxWait limits how long a request from a peer waits for a chunk.
 const maxWait = 2 * time.Second
 
-// Library holds the sets of weights that a host has or fetches. It is safe
-// for concurrent use.
+// Library holds the sets of weights that a host has or is fetching. It is safe for
+// concurrent use.
 type Library struct {
 	chunks *state.Chunks
 
@@ -47,16 +48,16 @@
 type set struct {
 	manifest *bundle.Manifest
 	encoded  []byte
-	// highest is the highest chunk heard of.
+	// highest is the highest chunk known to exist outside the origin, or -1.
 	highest int
 }
 
-// NewLibrary returns an empty library over a chunk store.
+// NewLibrary returns an empty library that stores its chunks in a chunk store.
 func NewLibrary(chunks *state.Chunks) *Library {
 	return &Library{chunks: chunks, sets: map[filbertlever.Digest]*set{}}
 }
 
-// Add makes a set known under the digest of its encoded manifest.
+// Add adds a set under the digest of its encoded manifest.
 func (l *Library) Add(digest filbertlever.Digest, manifest *bundle.Manifest, encoded []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// Retain drops the sets that keep does not name, and their chunks but for
-// those that a kept set shares.
+// Retain removes the sets that are not in keep, and all chunks that no retained set
+// contains.
 func (l *Library) Retain(keep map[filbertlever.Digest]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +92,7 @@
 	l.chunks.Retain(chunks)
 }
 
-// Held returns how many chunks of a set are held.
+// Held returns how many chunks of a set are stored, and how many the set has.
 func (l *Library) Held(digest filbertlever.Digest) (held, chunks int) {
 	manifest := l.Manifest(digest)
 	if manifest == nil {
@@ -105,16 +106,16 @@
 	return held, len(manifest.Chunks)
 }
 
-// WriteWhole writes a set to w, and fails if a chunk of it is not held.
-func (l *Library) WriteWhole(w io.Writer, digest filbertlever.Digest) error {
+// WriteSet writes a complete set to w. It fails if a chunk is not stored.
+func (l *Library) WriteSet(w io.Writer, digest filbertlever.Digest) error {
 	manifest := l.Manifest(digest)
 	if manifest == nil {
-		return fmt.Errorf("weights %s: unknown", digest.Short())
+		return fmt.Errorf("weights %s: manifest not in the library", digest.Short())
 	}
 	for i, chunk := range manifest.Chunks {
 		data := l.chunks.Get(chunk)
 		if data == nil {
-			return fmt.Errorf("weights %s: chunk %d not held", digest.Short(), i)
+			return fmt.Errorf("weights %s: chunk %d is not stored", digest.Short(), i)
 		}
 		if _, err := w.Write(data); err != nil {
 			return fmt.Errorf("weights %s: %w", digest.Short(), err)
@@ -146,183 +147,188 @@
 	return -1
 }
 
-// Pacer holds weight traffic back under live requests.
+// Pacer limits the rate of weight traffic while live requests are in flight.
 type Pacer interface {
-	// Wait blocks until n more bytes may be sent or taken.
+	// Wait blocks until n more bytes may be sent or received.
 	Wait(ctx context.Context, n int) error
 }
 
 // Server serves chunks and manifests to other hosts.
 type Server struct {
-	sets  *Library
-	pacer Pacer
+	library *Library
+	pacer   Pacer
 
 	mu      sync.Mutex
 	uploads distribution.Uploads
-	next    uint64
-	// turns holds a channel for each upload that waits for its turn.
-	turns map[uint64]chan struct{}
+	// lastID is the ID of the last upload.
+	lastID uint64
+	// waiting holds a channel for each upload that waits for a slot. The channel is closed
+	// when the upload gets a slot.
+	waiting map[uint64]chan struct{}
 }
 
-// uploadSlots is how many chunks a host sends at once: enough to keep its link
-// busy, few enough that the first ones arrive soon.
+// uploadSlots is how many chunks a host sends concurrently. It is enough to saturate its
+// link, and low enough that the first chunks arrive soon.
 const uploadSlots = 2
 
-// NewServer returns a server of what a library holds.
+// NewServer returns a server for the sets of a library.
 func NewServer(library *Library, pacer Pacer) *Server {
 	return &Server{
-		sets:    library,
+		library: library,
 		pacer:   pacer,
 		uploads: distribution.Uploads{Slots: uploadSlots},
-		turns:   map[uint64]chan struct{}{},
+		waiting: map[uint64]chan struct{}{},
 	}
 }
 
-// turn waits until an upload may start and returns what ends it.
-func (s *Server) turn(ctx context.Context, upload distribution.Upload) (done func(), err error) {
+// acquireSlot waits for an upload slot and returns the function that releases it.
+func (s *Server) acquireSlot(ctx context.Context, upload distribution.Upload) (release func(), err error) {
 	s.mu.Lock()
-	s.next++
-	upload.ID = s.next
+	s.lastID++
+	upload.ID = s.lastID
 	if s.uploads.Offer(upload) {
 		s.mu.Unlock()
-		return s.uploaded, nil
+		return s.releaseSlot, nil
 	}
-	turn := make(chan struct{})
-	s.turns[upload.ID] = turn
+	acquired := make(chan struct{})
+	s.waiting[upload.ID] = acquired
 	s.mu.Unlock()
 	select {
-	case <-turn:
-		return s.uploaded, nil
+	case <-acquired:
+		return s.releaseSlot, nil
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
-	waiting := s.uploads.Withdraw(upload.ID)
-	delete(s.turns, upload.ID)
+	stillWaiting := s.uploads.Withdraw(upload.ID)
+	delete(s.waiting, upload.ID)
 	s.mu.Unlock()
-	if !waiting {
-		// Its turn came just now.
-		s.uploaded()
+	if !stillWaiting {
+		// The upload got a slot at the same time as ctx ended.
+		s.releaseSlot()
 	}
 	return nil, ctx.Err()
 }
 
-func (s *Server) uploaded() {
+// releaseSlot gives an upload slot to the next waiting upload.
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next, ok := s.uploads.Done()
 	if !ok {
 		return
 	}
-	if turn, ok := s.turns[next.ID]; ok {
-		close(turn)
-		delete(s.turns, next.ID)
+	if acquired, ok := s.waiting[next.ID]; ok {
+		close(acquired)
+		delete(s.waiting, next.ID)
 	}
 }
 
-// Routes adds the server's paths to a mux.
-func (s *Server) Routes(mux *http.ServeMux, allow func(http.Handler) http.Handler) {
-	mux.Handle("GET "+PathChunk+"{digest}", allow(http.HandlerFunc(s.chunk)))
-	mux.Handle("GET "+PathManifest+"{digest}", allow(http.HandlerFunc(s.manifest)))
+// Routes registers the server's handlers on a mux. Each is wrapped by requireRole.
+func (s *Server) Routes(mux *http.ServeMux, requireRole func(http.Handler) http.Handler) {
+	mux.Handle("GET "+PathChunk+"{digest}", requireRole(http.HandlerFunc(s.chunk)))
+	mux.Handle("GET "+PathManifest+"{digest}", requireRole(http.HandlerFunc(s.manifest)))
 }
 
-// Whole serves whole sets, for the engine on this host.
+// ServeSet serves complete sets to the engine on the same host.
 func (s *Server) Whole(w http.ResponseWriter, request *http.Request) {
 	digest := filbertlever.Digest(request.PathValue("digest"))
-	manifest := s.sets.Manifest(digest)
+	manifest := s.library.Manifest(digest)
 	if manifest == nil {
 		http.NotFound(w, request)
 		return
 	}
-	if held, chunks := s.sets.Held(digest); held < chunks {
+	if held, chunks := s.library.Held(digest); held < chunks {
 		http.Error(w, "set is not complete", http.StatusConflict)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.FormatInt(manifest.Size, 10))
-	// An error breaks the connection, and the length tells the engine.
-	_ = s.sets.WriteWhole(w, digest)
+	// An error ends the response early, which the engine detects by the Content-Length.
+	_ = s.library.WriteSet(w, digest)
 }
 
+// manifest serves the encoded manifest of a set.
 func (s *Server) manifest(w http.ResponseWriter, request *http.Request) {
 	digest := filbertlever.Digest(request.PathValue("digest"))
-	known := s.sets.set(digest)
-	if known == nil {
+	set := s.library.set(digest)
+	if set == nil {
 		http.NotFound(w, request)
 		return
 	}
-	w.Header().Set(headerHighest, strconv.Itoa(s.sets.highest(digest)))
-	_, _ = w.Write(known.encoded)
+	w.Header().Set(headerHighest, strconv.Itoa(s.library.highest(digest)))
+	_, _ = w.Write(set.encoded)
 }
 
-// chunk serves a chunk, waiting for it as long as the peer allows.
+// chunk serves a chunk. If the chunk is not stored yet, it waits for as long as the peer
+// allows, up to maxWait.
 func (s *Server) chunk(w http.ResponseWriter, request *http.Request) {
 	digest := filbertlever.Digest(request.PathValue("digest"))
 	query := request.URL.Query()
 	wait, _ := time.ParseDuration(query.Get(paramWait))
 	wait = min(wait, maxWait)
-	asked := time.Now()
-	data, ok := s.await(request.Context(), digest, wait)
+	received := time.Now()
+	data, ok := s.waitForChunk(request.Context(), digest, wait)
 	set := filbertlever.Digest(query.Get(paramSet))
-	w.Header().Set(headerHighest, strconv.Itoa(s.sets.highest(set)))
+	w.Header().Set(headerHighest, strconv.Itoa(s.library.highest(set)))
 	if !ok {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
 	chunk, _ := strconv.Atoi(query.Get(paramChunk))
 	below, _ := strconv.Atoi(query.Get(paramBelow))
-	// A peer that hears nothing for too long takes this host for stalled
-	// and turns away from it, just when it is busiest; a wish whose turn does
-	// not come in time is answered "not yet", and made again.
-	turnCtx, cancel := context.WithTimeout(request.Context(), max(wait-time.Since(asked), leastTurn))
+	// A peer that receives nothing within its stall timeout treats this host as stalled and
+	// avoids it, which would happen just when the host is busiest. A request that gets no slot
+	// in time is therefore answered with "not yet", and the peer sends it again.
+	slotCtx, cancel := context.WithTimeout(request.Context(), max(wait-time.Since(received), minSlotWait))
 	defer cancel()
-	done, err := s.turn(turnCtx, distribution.Upload{Chunk: chunk, Below: below})
+	release, err := s.acquireSlot(slotCtx, distribution.Upload{Chunk: chunk, Below: below})
 	if err != nil {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	defer done()
+	defer release()
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	s.send(request.Context(), w, data)
 }
 
-// send writes a chunk piece by piece.
+// send writes a chunk in blocks of writeSize bytes.
 //
-// A peer whose link stalled takes no more bytes and would keep its turn
-// from all others; each piece has a time of its own, after which the turn ends.
+// A peer whose link has stalled reads no more data and would hold its slot indefinitely.
+// Each block has its own write deadline, after which the slot is released.
 func (s *Server) send(ctx context.Context, w http.ResponseWriter, data []byte) {
 	controller := http.NewResponseController(w)
-	for at := 0; at < len(data); at += sendStep {
-		piece := data[at:min(at+sendStep, len(data))]
-		if err := s.pacer.Wait(ctx, len(piece)); err != nil {
+	for at := 0; at < len(data); at += writeSize {
+		block := data[at:min(at+writeSize, len(data))]
+		if err := s.pacer.Wait(ctx, len(block)); err != nil {
 			return
 		}
-		_ = controller.SetWriteDeadline(time.Now().Add(sendTimeout))
-		if _, err := w.Write(piece); err != nil {
+		_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := w.Write(block); err != nil {
 			return
 		}
 	}
 }
 
-// leastTurn is how long a wish may at least wait for its turn.
-const leastTurn = 10 * time.Millisecond
+// minSlotWait is the minimum time that a request may wait for an upload slot.
+const minSlotWait = 10 * time.Millisecond
 
-// sendStep is how many bytes are sent at a time, and sendTimeout how long they
-// may take.
+// A chunk is written in blocks of writeSize bytes, each within writeTimeout.
 const (
-	sendStep    = 256 << 10
-	sendTimeout = time.Second
+	writeSize    = 256 << 10
+	writeTimeout = time.Second
 )
 
-func (s *Server) await(ctx context.Context, digest filbertlever.Digest, wait time.Duration) ([]byte, bool) {
-	data, come := s.sets.chunks.Wait(digest)
+// waitForChunk returns a chunk and waits for it if it is not stored yet.
+func (s *Server) waitForChunk(ctx context.Context, digest filbertlever.Digest, wait time.Duration) ([]byte, bool) {
+	data, stored := s.library.chunks.Wait(digest)
 	if data != nil || wait <= 0 {
 		return data, data != nil
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-come:
-		data = s.sets.chunks.Get(digest)
+	case <-stored:
+		data = s.library.chunks.Get(digest)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/transport/weights/sources.go
+++ b/internal/transport/weights/sources.go
@@ -16,26 +16,28 @@
 
 // Errors of sources.
 var (
-	// ErrNotYet means that a peer is alive but lacks the chunk still.
-	ErrNotYet  = errors.New("chunk not there yet")
-	ErrStalled = errors.New("no bytes for too long")
+	// ErrNotYet means that a peer responded but does not have the chunk yet.
+	ErrNotYet = errors.New("peer does not have the chunk yet")
+	// ErrStalled means that no data arrived within the stall timeout.
+	ErrStalled = errors.New("no data received within the stall timeout")
 	ErrStatus  = errors.New("unexpected status")
 )
 
-// Request asks a source for one chunk.
+// Request is a request for one chunk from a source.
 type Request struct {
 	// Set is the digest of the manifest.
 	Set      filbertlever.Digest
 	Manifest *bundle.Manifest
 	Chunk    int
-	// Below is that of the fetch.
+	// Below is the estimated number of hosts below this one in the chunk's tree.
 	Below  int
 	Source distribution.Source
-	// Wait is how long a peer that lacks the chunk may wait for it.
+	// Wait is how long a peer that does not have the chunk yet may wait for it before it
+	// responds.
 	Wait time.Duration
-	// Progress is called as bytes arrive.
+	// Progress is called when data arrives.
 	Progress func()
-	// Highest is called with the highest chunk that a peer has heard of.
+	// Highest is called with the highest chunk that a peer knows to exist outside the origin.
 	Highest func(int)
 }
 
@@ -44,24 +46,24 @@
 	Chunk(ctx context.Context, request Request) ([]byte, error)
 }
 
-// PeerClients finds the client and the address for a host.
+// PeerClients looks up the HTTP client and the base URL of a host.
 type PeerClients interface {
 	Peer(filbertlever.HostID) (client *http.Client, baseURL string, ok bool)
 }
 
-// HTTPSources fetches chunks over HTTP: from peers by digest, from the origin
-// by path and range, from the weight store by digest.
+// HTTPSources fetches chunks over HTTP. It requests them by digest from peers and the weight
+// store, and by path and byte range from the origin.
 type HTTPSources struct {
 	Peers  PeerClients
 	Origin string
-	// Store is empty if there is no weight store.
+	// Store is the URL of the weight store. It is empty if there is none.
 	Store string
-	// Client is used for origin and store.
+	// Client is used for the origin and the weight store.
 	Client *http.Client
 	Pacer  Pacer
 }
 
-// Chunk fetches one chunk; it is not verified.
+// Chunk fetches one chunk. The caller must verify its digest.
 func (s *HTTPSources) Chunk(ctx context.Context, request Request) ([]byte, error) {
 	client, httpRequest, err := s.build(ctx, request)
 	if err != nil {
@@ -85,6 +87,7 @@
 	return s.read(ctx, response.Body, request)
 }
 
+// build returns the client and the HTTP request for a chunk.
 func (s *HTTPSources) build(ctx context.Context, request Request) (*http.Client, *http.Request, error) {
 	manifest := request.Manifest
 	switch request.Source.Kind {
@@ -99,7 +102,7 @@
 		return client, httpRequest, err
 	case distribution.SourceStore:
 		if s.Store == "" {
-			return nil, nil, fmt.Errorf("weight store: none in the settings")
+			return nil, nil, fmt.Errorf("no weight store is configured")
 		}
 		httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, s.Store+"/"+string(manifest.Chunks[request.Chunk]), nil)
 		return s.Client, httpRequest, err
@@ -114,14 +117,14 @@
 	}
 }
 
-// readStep is how many bytes are read between two notes of progress.
-const readStep = 64 << 10
+// readSize is how many bytes are read between two calls of Request.Progress.
+const readSize = 64 << 10
 
-// read reads exactly the chunk's length and no byte more.
+// read reads exactly the chunk's length, and ignores any further data.
 func (s *HTTPSources) read(ctx context.Context, body io.Reader, request Request) ([]byte, error) {
 	data := make([]byte, request.Manifest.ChunkLen(request.Chunk))
 	for at := 0; at < len(data); {
-		step := min(readStep, len(data)-at)
+		step := min(readSize, len(data)-at)
 		if err := s.Pacer.Wait(ctx, step); err != nil {
 			return nil, err
 		}
@@ -131,7 +134,7 @@
 			request.Progress()
 		}
 		if err != nil {
-			return nil, fmt.Errorf("after %d of %d bytes: %w", at, len(data), err)
+			return nil, fmt.Errorf("read %d of %d bytes: %w", at, len(data), err)
 		}
 	}
 	return data, nil
