--- a/internal/transport/node/loops.go
+++ b/internal/transport/node/loops.go
@@ -131,13 +131,13 @@
 }
 
 // pushToChildren sends the node's facts to its children in the distribution tree of the
-// processes. If fromPlatform is true, the node read the facts from the platform and also
-// sends them to the root of the tree.
-func (n *Node) pushToChildren(fromPlatform bool) {
+// processes, and if toRoot is true also to the root of the tree. Callers set toRoot if
+// the facts came from the platform or an operator.
+func (n *Node) pushToChildren(toRoot bool) {
 	n.mu.Lock()
 	request := control.SyncRequest{From: n.self(), Facts: n.base.Newer(knowledge.Facts{HostsRevision: n.base.Members.Revision()})}
 	salt := fmt.Sprint(request.Facts.Head.Version)
-	children := rollout.Children(n.config.Host.ID, fromPlatform, salt, n.usableIDs(filbertlever.RoleEntry), n.usableIDs(filbertlever.RoleAgent))
+	children := rollout.Children(n.config.Host.ID, toRoot, salt, n.usableIDs(filbertlever.RoleEntry), n.usableIDs(filbertlever.RoleAgent))
 	n.mu.Unlock()
 	var group sync.WaitGroup
 	for _, child := range children {
--- a/internal/transport/node/node.go
+++ b/internal/transport/node/node.go
@@ -276,7 +276,7 @@
 // entry has read the head.
 func (n *Node) handleAccepted(caller peer.Caller, params []byte) (any, error) {
 	if caller.Role != peer.RoleOperator {
-		return nil, fmt.Errorf("accepted head of %s: %w", caller.Host, peer.ErrRole)
+		return nil, fmt.Errorf("accepted head from %s: %w", caller.Host, peer.ErrRole)
 	}
 	var message control.Accepted
 	if err := json.Unmarshal(params, &message); err != nil {
@@ -295,8 +295,8 @@
 	return nil, nil
 }
 
-// MergeFacts merges facts from a peer. The source is empty if the facts come from the
-// platform or an operator.
+// MergeFacts merges received facts. The source is the peer that sent them. It is empty if
+// the facts came from the platform or an operator.
 func (n *Node) MergeFacts(facts knowledge.Facts, source filbertlever.HostID) {
 	n.mu.Lock()
 	changes, err := n.base.Learn(facts, time.Now())
