--- a/internal/transport/platform/platform.go
+++ b/internal/transport/platform/platform.go
@@ -86,7 +86,7 @@
 		return nil, fmt.Errorf("read %v from platform: %w", keys, err)
 	}
 	if len(response.Msg.Rows) != len(keys) {
-		return nil, fmt.Errorf("read %v from platform: got %d rows, want %d", keys, len(response.Msg.Rows), len(keys))
+		return nil, fmt.Errorf("read %v from platform: %d rows", keys, len(response.Msg.Rows))
 	}
 	return toRows(response.Msg.Rows), nil
 }
