--- a/internal/transport/process/answers_test.go
+++ b/internal/transport/process/answers_test.go
@@ -17,25 +17,25 @@
 
 const prompt = "draft a clause on late pickups"
 
-// busiest returns the model host that runs the most requests.
-func (r *rig) busiest() filbertlever.HostID {
+// busiestAgent returns the model host whose engine runs the most requests.
+func (cl *cluster) busiestAgent() filbertlever.HostID {
 	var best filbertlever.HostID
-	most := -1
-	for id, engine := range r.engines {
-		if running, _, _ := engine.Counts(); running > most {
-			best, most = id, running
+	mostRunning := -1
+	for id, engine := range cl.engines {
+		if running, _, _ := engine.Counts(); running > mostRunning {
+			best, mostRunning = id, running
 		}
 	}
 	return best
 }
 
-// begun asks several questions and waits until each has some tokens.
-func (r *rig) begun(c *client.Client, n, tokens int) []*asking {
-	var all []*asking
+// startAnswers sends n model requests and waits until each has five tokens.
+func (cl *cluster) startAnswers(c *client.Client, n, tokens int) []*pendingAnswer {
+	var all []*pendingAnswer
 	for range n {
-		all = append(all, r.ask(c, prompt, tokens))
+		all = append(all, cl.ask(c, prompt, tokens))
 	}
-	r.await("answers to begin", func() bool {
+	cl.waitFor("the first tokens of all answers", func() bool {
 		for _, a := range all {
 			if a.count() < 5 {
 				return false
@@ -46,161 +46,167 @@
 	return all
 }
 
-func (r *rig) allWhole(all []*asking, version string, tokens int) {
-	r.t.Helper()
+// assertAnswers asserts that each answer is complete and from one version.
+func (cl *cluster) assertAnswers(all []*pendingAnswer, version string, tokens int) {
+	cl.t.Helper()
 	for _, a := range all {
-		r.whole(a, version, prompt, tokens)
+		cl.assertAnswer(a, version, prompt, tokens)
 	}
 }
 
-// The client hears half a clause: the host that wrote it died.
+// The client gets part of an answer because the agent that streamed it was
+// killed.
 func TestAgentKilledMidAnswer(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		all := r.begun(r.client(token), 6, 60)
-		r.kill(r.busiest())
-		r.allWhole(all, "1", 60)
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		all := cl.startAnswers(cl.client(token), 6, 60)
+		cl.kill(cl.busiestAgent())
+		cl.assertAnswers(all, "1", 60)
 	})
 }
 
-// The client hears half a clause and then nothing: the link to the host
-// stalled without a sign, and the entry waits for ever.
-func TestLinkToAgentStallsMidAnswer(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		all := r.begun(r.client(token), 6, 60)
-		r.running[r.busiest()].port.stall(true)
-		r.allWhole(all, "1", 60)
+// The link to an agent stalls without a connection error, the entry waits
+// indefinitely, and the client gets part of an answer.
+func TestAgentLinkStallsMidAnswer(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		all := cl.startAnswers(cl.client(token), 6, 60)
+		cl.running[cl.busiestAgent()].iface.setStalled(true)
+		cl.assertAnswers(all, "1", 60)
 	})
 }
 
-// The client hears half a clause: the engine hangs, and its agent lives on.
+// An engine hangs while its agent keeps running, and the client gets part of an
+// answer.
 func TestEngineHangsMidAnswer(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		for id, engine := range r.engines {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		for id, engine := range cl.engines {
 			if id != "model-3" {
 				engine.SetFaults(standin.EngineFaults{StallAfter: 7})
 			}
 		}
-		r.whole(r.ask(r.client(token), prompt, 30), "1", prompt, 30)
+		cl.assertAnswer(cl.ask(cl.client(token), prompt, 30), "1", prompt, 30)
 	})
 }
 
-// The client hears half a clause: the entry that it was connected to died.
+// The client gets part of an answer because the entry that it was connected to
+// was killed.
 func TestEntryKilledMidAnswer(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		all := r.begun(r.client(token), 6, 60)
-		r.kill("entry-1")
-		r.allWhole(all, "1", 60)
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		all := cl.startAnswers(cl.client(token), 6, 60)
+		cl.kill("entry-1")
+		cl.assertAnswers(all, "1", 60)
 	})
 }
 
-// A host and an entry die together, and half the answers break off.
+// An agent and an entry are killed at the same time, and half of the answers
+// break off.
 func TestAgentAndEntryKilledTogether(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		all := r.begun(r.client(token), 6, 60)
-		r.kill("entry-2")
-		r.kill(r.busiest())
-		r.allWhole(all, "1", 60)
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		all := cl.startAnswers(cl.client(token), 6, 60)
+		cl.kill("entry-2")
+		cl.kill(cl.busiestAgent())
+		cl.assertAnswers(all, "1", 60)
 	})
 }
 
-// A planned stop cuts answers off, or the host goes on taking work: streams
-// that outlast the stop must go on elsewhere, and the host must exit.
+// A planned stop cuts off running answers, or the agent keeps accepting
+// requests. Answers that outlast the stop must resume on another agent, and the
+// stopping agent must exit.
 func TestPlannedStopOfAnAgent(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		all := r.begun(r.client(token), 6, 400)
-		leaving := r.busiest()
-		desk := r.desk()
-		defer desk.Close()
-		r.Assert(operator.PlanStop(r.t.Context(), desk, leaving, false), qt.IsNil)
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		all := cl.startAnswers(cl.client(token), 6, 400)
+		stopping := cl.busiestAgent()
+		platformClient := cl.platformClient()
+		defer platformClient.Close()
+		cl.Assert(operator.PlanStop(cl.t.Context(), platformClient, stopping, false), qt.IsNil)
 		time.Sleep(4 * time.Second)
-		before, _, _ := r.engines[leaving].Counts()
-		late := r.begun(r.client(token), 6, 20)
-		after, _, _ := r.engines[leaving].Counts()
-		r.Assert(after <= before, qt.IsTrue)
-		r.allWhole(late, "1", 20)
-		r.Assert(r.exited(leaving) < 10*time.Second, qt.IsTrue)
-		r.allWhole(all, "1", 400)
+		before, _, _ := cl.engines[stopping].Counts()
+		newAnswers := cl.startAnswers(cl.client(token), 6, 20)
+		after, _, _ := cl.engines[stopping].Counts()
+		cl.Assert(after <= before, qt.IsTrue)
+		cl.assertAnswers(newAnswers, "1", 20)
+		cl.Assert(cl.waitExit(stopping) < 10*time.Second, qt.IsTrue)
+		cl.assertAnswers(all, "1", 400)
 	})
 }
 
-// SIGTERM on an entry cuts off the answers that run through it; callers that
-// come later with an old address wait for a host that is gone.
+// SIGTERM on an entry cuts off the answers that it relays, or callers that still
+// use its address wait for an entry that has exited.
 func TestPlannedStopOfAnEntry(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		c := r.client(token)
-		all := r.begun(c, 6, 100)
-		r.term("entry-1")
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		c := cl.client(token)
+		all := cl.startAnswers(c, 6, 100)
+		cl.terminate("entry-1")
 		time.Sleep(3 * time.Second)
-		r.whole(r.ask(c, prompt, 10), "1", prompt, 10)
-		located, err := r.client(token).Locate(r.t.Context())
-		r.Assert(err, qt.IsNil)
-		r.Assert(located.Entries, qt.HasLen, 1)
-		r.allWhole(all, "1", 100)
-		r.exited("entry-1")
-		r.whole(r.ask(c, prompt, 10), "1", prompt, 10)
+		cl.assertAnswer(cl.ask(c, prompt, 10), "1", prompt, 10)
+		located, err := cl.client(token).Locate(cl.t.Context())
+		cl.Assert(err, qt.IsNil)
+		cl.Assert(located.Entries, qt.HasLen, 1)
+		cl.assertAnswers(all, "1", 100)
+		cl.waitExit("entry-1")
+		cl.assertAnswer(cl.ask(c, prompt, 10), "1", prompt, 10)
 	})
 }
 
-// An agent and an entry leave at once, and each waits for the other.
-func TestPlannedStopOfTwoAtOnce(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		all := r.begun(r.client(token), 6, 100)
-		r.term("entry-1")
-		r.term("model-1")
-		r.allWhole(all, "1", 100)
-		r.Assert(r.exited("model-1") < 10*time.Second, qt.IsTrue)
-		r.Assert(r.exited("entry-1") < 10*time.Second, qt.IsTrue)
+// An agent and an entry drain at the same time, and each waits for the other.
+func TestPlannedStopOfAgentAndEntryTogether(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		all := cl.startAnswers(cl.client(token), 6, 100)
+		cl.terminate("entry-1")
+		cl.terminate("model-1")
+		cl.assertAnswers(all, "1", 100)
+		cl.Assert(cl.waitExit("model-1") < 10*time.Second, qt.IsTrue)
+		cl.Assert(cl.waitExit("entry-1") < 10*time.Second, qt.IsTrue)
 	})
 }
 
-// A host dies while it is leaving.
-func TestAgentKilledDuringItsStop(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		all := r.begun(r.client(token), 6, 100)
-		leaving := r.busiest()
-		r.term(leaving)
+// An agent is killed while it drains, and its answers break off.
+func TestAgentKilledDuringPlannedStop(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		all := cl.startAnswers(cl.client(token), 6, 100)
+		stopping := cl.busiestAgent()
+		cl.terminate(stopping)
 		time.Sleep(time.Second)
-		r.kill(leaving)
-		r.allWhole(all, "1", 100)
+		cl.kill(stopping)
+		cl.assertAnswers(all, "1", 100)
 	})
 }
 
-// A whole site is cut off: half of the hosts and of the entries are gone
-// without a word, and come back later.
-func TestSiteCutOffAndBack(t *testing.T) {
-	inRig(t, rigConfig{entries: 4, models: 6, services: 2, token: 50 * time.Millisecond}, func(r *rig) {
-		c := r.client(token)
-		all := r.begun(c, 8, 60)
-		var lost []filbertlever.HostID
-		for _, h := range r.hosts {
+// A site is partitioned without connection errors, so that half of the hosts and
+// half of the entries are unreachable, and becomes reachable again later.
+func TestSitePartitionAndRecovery(t *testing.T) {
+	runInCluster(t, clusterConfig{entries: 4, models: 6, services: 2, tokenTime: 50 * time.Millisecond}, func(cl *cluster) {
+		c := cl.client(token)
+		all := cl.startAnswers(c, 8, 60)
+		var partitioned []filbertlever.HostID
+		for _, h := range cl.hosts {
 			if h.Site == "site-1" {
-				lost = append(lost, h.ID)
-				r.running[h.ID].port.stall(true)
+				partitioned = append(partitioned, h.ID)
+				cl.running[h.ID].iface.setStalled(true)
 			}
 		}
-		r.allWhole(all, "1", 60)
-		r.whole(r.ask(c, prompt, 10), "1", prompt, 10)
-		for _, id := range lost {
-			r.running[id].port.stall(false)
+		cl.assertAnswers(all, "1", 60)
+		cl.assertAnswer(cl.ask(c, prompt, 10), "1", prompt, 10)
+		for _, id := range partitioned {
+			cl.running[id].iface.setStalled(false)
 		}
-		r.roll(r.bundle("2"))
-		r.await("all live on 2", func() bool { return r.live("2") == 6 })
-		r.whole(r.ask(c, prompt, 10), "2", prompt, 10)
+		cl.rollOut(cl.bundle("2"))
+		cl.waitFor("all engines to serve version 2", func() bool { return cl.enginesServing("2") == 6 })
+		cl.assertAnswer(cl.ask(c, prompt, 10), "2", prompt, 10)
 	})
 }
 
-// The caller hangs up, and the engine goes on writing for nobody.
-func TestCallerLeavesAndTheEngineStops(t *testing.T) {
-	inRig(t, small, func(r *rig) {
+// The caller disconnects, and the engine keeps generating the answer.
+func TestEngineStopsWhenCallerDisconnects(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
 		ctx, cancel := context.WithCancel(context.Background())
-		_, err := r.client(token).Ask(ctx, client.Question{Model: drafter, Prompt: prompt, MaxTokens: 1000}, func([]string) error {
+		_, err := cl.client(token).Ask(ctx, client.Question{Model: drafter, Prompt: prompt, MaxTokens: 1000}, func([]string) error {
 			cancel()
 			return nil
 		})
-		r.Assert(errors.Is(err, client.ErrIncomplete), qt.IsTrue)
-		r.await("engines to stop", func() bool {
+		cl.Assert(errors.Is(err, client.ErrIncomplete), qt.IsTrue)
+		cl.waitFor("engines to have no running requests", func() bool {
 			total := 0
-			for _, engine := range r.engines {
+			for _, engine := range cl.engines {
 				running, _, _ := engine.Counts()
 				total += running
 			}
@@ -209,96 +215,98 @@
 	})
 }
 
-// A hauler reads with another's key or token, or with none.
-func TestOrganisationsAreApart(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		one, two := r.client(token), r.client(otherToken)
-		ctx := r.t.Context()
+// An organisation reads the order of another one by its key, or a caller without
+// a valid token is served.
+func TestOrganisationsAreIsolated(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		first, second := cl.client(token), cl.client(otherToken)
+		ctx := cl.t.Context()
 		order := client.Order{Key: "pickup-1", Service: "billing", Call: "OrderPickup", Body: []byte("skip 7")}
-		_, err := one.Order(ctx, order)
-		r.Assert(err, qt.IsNil)
-		_, err = two.Lookup(ctx, "pickup-1")
-		r.Assert(err, qt.ErrorMatches, ".*no order with this key")
-		answer, err := two.Order(ctx, order)
-		r.Assert(err, qt.IsNil)
-		r.Assert(string(answer), qt.Contains, "hauler-2")
-		_, err = r.client("guess").Ask(ctx, client.Question{Model: drafter, Prompt: prompt, MaxTokens: 3}, nil)
-		r.Assert(err, qt.ErrorMatches, ".*token is not that of an organisation")
+		_, err := first.Order(ctx, order)
+		cl.Assert(err, qt.IsNil)
+		_, err = second.Lookup(ctx, "pickup-1")
+		cl.Assert(err, qt.ErrorMatches, ".*no order with this key")
+		answer, err := second.Order(ctx, order)
+		cl.Assert(err, qt.IsNil)
+		cl.Assert(string(answer), qt.Contains, "hauler-2")
+		_, err = cl.client("guess").Ask(ctx, client.Question{Model: drafter, Prompt: prompt, MaxTokens: 3}, nil)
+		cl.Assert(err, qt.ErrorMatches, ".*token is not that of an organisation")
 	})
 }
 
-// During an outage of the platform nothing is answered, or an order is said
-// to be unknown although it was never claimed.
-func TestPlatformDown(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		c := r.client(token)
-		r.platform.SetFaults(standin.Faults{Down: true})
+// During an outage of the platform, model requests fail, or an order is reported
+// as of unknown outcome although it was never claimed.
+func TestPlatformOutage(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		c := cl.client(token)
+		cl.platform.SetFaults(standin.Faults{Down: true})
 		time.Sleep(time.Minute)
-		r.whole(r.ask(c, prompt, 10), "1", prompt, 10)
-		ctx, cancel := context.WithTimeout(r.t.Context(), 800*time.Millisecond)
+		cl.assertAnswer(cl.ask(c, prompt, 10), "1", prompt, 10)
+		ctx, cancel := context.WithTimeout(cl.t.Context(), 800*time.Millisecond)
 		defer cancel()
 		start := time.Now()
 		_, err := c.Order(ctx, client.Order{Key: "pickup-1", Service: "billing", Call: "OrderPickup"})
-		r.Assert(errors.Is(err, client.ErrNotRun), qt.IsTrue, qt.Commentf("%v", err))
-		r.Assert(time.Since(start) < time.Second, qt.IsTrue)
-		r.Assert(r.orders("pickup-1"), qt.Equals, 0)
-		r.platform.SetFaults(standin.Faults{})
-		_, err = c.Order(r.t.Context(), client.Order{Key: "pickup-1", Service: "billing", Call: "OrderPickup"})
-		r.Assert(err, qt.IsNil)
-		r.Assert(r.orders("pickup-1"), qt.Equals, 1)
+		cl.Assert(errors.Is(err, client.ErrNotRun), qt.IsTrue, qt.Commentf("%v", err))
+		cl.Assert(time.Since(start) < time.Second, qt.IsTrue)
+		cl.Assert(cl.orderRuns("pickup-1"), qt.Equals, 0)
+		cl.platform.SetFaults(standin.Faults{})
+		_, err = c.Order(cl.t.Context(), client.Order{Key: "pickup-1", Service: "billing", Call: "OrderPickup"})
+		cl.Assert(err, qt.IsNil)
+		cl.Assert(cl.orderRuns("pickup-1"), qt.Equals, 1)
 	})
 }
 
-// The client's answer goes on from other weights: the engine switched below
-// the running request.
+// The engine switches weights during a request, and the rest of the answer comes
+// from the other weights.
 func TestEngineSwitchesWeightsMidAnswer(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		for id, engine := range r.engines {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		for id, engine := range cl.engines {
 			if id != "model-3" {
 				engine.SetFaults(standin.EngineFaults{SwitchAfter: 4})
 			}
 		}
-		r.whole(r.ask(r.client(token), prompt, 12), "1", prompt, 12)
+		cl.assertAnswer(cl.ask(cl.client(token), prompt, 12), "1", prompt, 12)
 	})
 }
 
-// One hauler finds out from the speed of an answer what another has asked.
-func TestPromptCachesAreApart(t *testing.T) {
-	config := small
+// An organisation learns from the latency of an answer which prompts another
+// organisation has sent.
+func TestPromptCachesAreIsolated(t *testing.T) {
+	config := smallCluster
 	config.models, config.cachedPrompts = 1, 8
-	inRig(t, config, func(r *rig) {
-		r.whole(r.ask(r.client(token), prompt, 5), "1", prompt, 5)
-		r.whole(r.ask(r.client(otherToken), prompt, 5), "1", prompt, 5)
-		_, hits := r.engines["model-1"].Generates()
-		r.Assert(hits, qt.Equals, 0)
-		r.whole(r.ask(r.client(token), prompt, 5), "1", prompt, 5)
-		_, hits = r.engines["model-1"].Generates()
-		r.Assert(hits, qt.Equals, 1)
+	runInCluster(t, config, func(cl *cluster) {
+		cl.assertAnswer(cl.ask(cl.client(token), prompt, 5), "1", prompt, 5)
+		cl.assertAnswer(cl.ask(cl.client(otherToken), prompt, 5), "1", prompt, 5)
+		_, hits := cl.engines["model-1"].Generates()
+		cl.Assert(hits, qt.Equals, 0)
+		cl.assertAnswer(cl.ask(cl.client(token), prompt, 5), "1", prompt, 5)
+		_, hits = cl.engines["model-1"].Generates()
+		cl.Assert(hits, qt.Equals, 1)
 	})
 }
 
-// A host that has just started says that it is ready, gets requests and knows
-// no bundle.
-func TestNotReadyBeforeTheBundleIsKnown(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		r.Assert(r.readyz("10.0.2.1"), qt.Equals, http.StatusOK)
-		r.kill("model-1")
-		for id, p := range r.running {
-			p.port.stall(id != "model-1")
+// An agent that has just started reports ready and gets requests before it has
+// a bundle.
+func TestNotReadyBeforeFirstBundle(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		cl.Assert(cl.readyz("10.0.2.1"), qt.Equals, http.StatusOK)
+		cl.kill("model-1")
+		for id, p := range cl.running {
+			p.iface.setStalled(id != "model-1")
 		}
-		r.platform.SetFaults(standin.Faults{Down: true})
-		r.start("model-1")
+		cl.platform.SetFaults(standin.Faults{Down: true})
+		cl.start("model-1")
 		time.Sleep(10 * time.Second)
-		r.Assert(r.readyz("10.0.2.1"), qt.Equals, http.StatusServiceUnavailable)
+		cl.Assert(cl.readyz("10.0.2.1"), qt.Equals, http.StatusServiceUnavailable)
 	})
 }
 
-// readyz returns the status of a process's /readyz.
-func (r *rig) readyz(ip string) int {
-	p := r.wire.port("10.0.9.3")
-	c := &http.Client{Transport: &http.Transport{DialContext: p.DialContext, DisableKeepAlives: true}}
+// readyz returns the status code of /readyz of the process at an IP address.
+func (cl *cluster) readyz(ip string) int {
+	ifc := cl.network.iface("10.0.9.3")
+	c := &http.Client{Transport: &http.Transport{DialContext: ifc.DialContext, DisableKeepAlives: true}}
 	response, err := c.Get("http://" + ip + ":9/readyz")
-	r.Assert(err, qt.IsNil)
+	cl.Assert(err, qt.IsNil)
 	defer response.Body.Close()
 	return response.StatusCode
 }
--- a/internal/transport/process/orders_test.go
+++ b/internal/transport/process/orders_test.go
@@ -16,15 +16,16 @@
 
 var pickup = client.Order{Key: "pickup-1", Service: "billing", Call: "OrderPickup", Body: []byte("skip 7")}
 
-// ordering is an order under way.
-type ordering struct {
+// pendingOrder is an order in flight.
+type pendingOrder struct {
 	err  error
 	done chan struct{}
 }
 
-func (r *rig) order(c *client.Client, order client.Order) *ordering {
-	o := &ordering{done: make(chan struct{})}
-	r.group.Go(func() {
+// placeOrder sends an order in the background.
+func (cl *cluster) placeOrder(c *client.Client, order client.Order) *pendingOrder {
+	o := &pendingOrder{done: make(chan struct{})}
+	cl.group.Go(func() {
 		defer close(o.done)
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
@@ -33,9 +34,9 @@
 	return o
 }
 
-// runsAt returns the billing host at which an order has run.
-func (r *rig) runsAt(key string) filbertlever.HostID {
-	for id, service := range r.services {
+// hostOfOrder returns the billing host that has run an order, or "" if none has.
+func (cl *cluster) hostOfOrder(key string) filbertlever.HostID {
+	for id, service := range cl.services {
 		if service.Runs("hauler-1", key) > 0 {
 			return id
 		}
@@ -43,178 +44,179 @@
 	return ""
 }
 
-// The same order is sent to every entry at once and billed twice.
-func TestSameOrderAtAllEntries(t *testing.T) {
-	inRig(t, rigConfig{entries: 8, models: 1, services: 3}, func(r *rig) {
-		var all []*ordering
+// The same order arrives at every entry at the same time and is billed twice.
+func TestSameOrderAtAllEntriesRunsOnce(t *testing.T) {
+	runInCluster(t, clusterConfig{entries: 8, models: 1, services: 3}, func(cl *cluster) {
+		var all []*pendingOrder
 		for range 16 {
-			all = append(all, r.order(r.client(token), pickup))
+			all = append(all, cl.placeOrder(cl.client(token), pickup))
 		}
 		for _, o := range all {
 			<-o.done
-			r.Assert(o.err, qt.IsNil)
+			cl.Assert(o.err, qt.IsNil)
 		}
-		r.Assert(r.orders(pickup.Key), qt.Equals, 1)
+		cl.Assert(cl.orderRuns(pickup.Key), qt.Equals, 1)
 	})
 }
 
-// The agent dies while the service runs the order; the caller's retry has it
-// run once more at another host.
-func TestAgentKilledWhileTheOrderRuns(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		c := r.client(token)
-		o := r.order(c, pickup)
-		r.await("the order to run", func() bool { return r.orders(pickup.Key) == 1 })
-		r.kill(r.runsAt(pickup.Key))
+// An agent is killed while its service runs an order, and the caller's retry
+// runs the order again on another host.
+func TestAgentKilledDuringOrder(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		c := cl.client(token)
+		o := cl.placeOrder(c, pickup)
+		cl.waitFor("the order to run", func() bool { return cl.orderRuns(pickup.Key) == 1 })
+		cl.kill(cl.hostOfOrder(pickup.Key))
 		<-o.done
-		r.Assert(errors.Is(o.err, client.ErrUnknown), qt.IsTrue, qt.Commentf("%v", o.err))
-		again := r.order(c, pickup)
+		cl.Assert(errors.Is(o.err, client.ErrUnknown), qt.IsTrue, qt.Commentf("%v", o.err))
+		again := cl.placeOrder(c, pickup)
 		<-again.done
-		r.Assert(errors.Is(again.err, client.ErrUnknown), qt.IsTrue, qt.Commentf("%v", again.err))
-		r.Assert(r.orders(pickup.Key), qt.Equals, 1)
+		cl.Assert(errors.Is(again.err, client.ErrUnknown), qt.IsTrue, qt.Commentf("%v", again.err))
+		cl.Assert(cl.orderRuns(pickup.Key), qt.Equals, 1)
 	})
 }
 
-// A restarted agent is asked about an order of its earlier life; the order is
-// run again, or stays open for ever.
-func TestAgentRestartedWhileTheOrderRuns(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		c := r.client(token)
-		o := r.order(c, pickup)
-		r.await("the order to run", func() bool { return r.orders(pickup.Key) == 1 })
-		host := r.runsAt(pickup.Key)
-		r.kill(host)
-		r.start(host)
+// A restarted agent is asked about an order that it received before the restart,
+// and the order runs again or stays open indefinitely.
+func TestAgentRestartedDuringOrder(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		c := cl.client(token)
+		o := cl.placeOrder(c, pickup)
+		cl.waitFor("the order to run", func() bool { return cl.orderRuns(pickup.Key) == 1 })
+		host := cl.hostOfOrder(pickup.Key)
+		cl.kill(host)
+		cl.start(host)
 		<-o.done
-		r.Assert(errors.Is(o.err, client.ErrUnknown), qt.IsTrue, qt.Commentf("%v", o.err))
-		_, err := c.Lookup(r.t.Context(), pickup.Key)
-		r.Assert(errors.Is(err, client.ErrUnknown), qt.IsTrue)
-		r.Assert(r.orders(pickup.Key), qt.Equals, 1)
+		cl.Assert(errors.Is(o.err, client.ErrUnknown), qt.IsTrue, qt.Commentf("%v", o.err))
+		_, err := c.Lookup(cl.t.Context(), pickup.Key)
+		cl.Assert(errors.Is(err, client.ErrUnknown), qt.IsTrue)
+		cl.Assert(cl.orderRuns(pickup.Key), qt.Equals, 1)
 	})
 }
 
-// The entry dies while the order runs; the caller's retry at another entry
-// has it run once more, or is told nothing.
-func TestEntryKilledWhileTheOrderRuns(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		var all []*ordering
+// An entry is killed while an order runs, and the caller's retry at another entry
+// runs the order again or gets no answer.
+func TestEntryKilledDuringOrder(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		var all []*pendingOrder
 		for range 4 {
-			all = append(all, r.order(r.client(token), pickup))
+			all = append(all, cl.placeOrder(cl.client(token), pickup))
 		}
-		r.await("the order to run", func() bool { return r.orders(pickup.Key) == 1 })
-		r.kill("entry-1")
+		cl.waitFor("the order to run", func() bool { return cl.orderRuns(pickup.Key) == 1 })
+		cl.kill("entry-1")
 		for _, o := range all {
 			<-o.done
-			r.Assert(o.err, qt.IsNil)
+			cl.Assert(o.err, qt.IsNil)
 		}
-		r.Assert(r.orders(pickup.Key), qt.Equals, 1)
+		cl.Assert(cl.orderRuns(pickup.Key), qt.Equals, 1)
 	})
 }
 
-// The link to the agent stalls while the order runs, and comes back.
-func TestLinkStallsWhileTheOrderRuns(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		o := r.order(r.client(token), pickup)
-		r.await("the order to run", func() bool { return r.orders(pickup.Key) == 1 })
-		host := r.runsAt(pickup.Key)
-		r.running[host].port.stall(true)
+// The link to the agent stalls while the order runs and recovers later.
+func TestLinkStallsDuringOrder(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		o := cl.placeOrder(cl.client(token), pickup)
+		cl.waitFor("the order to run", func() bool { return cl.orderRuns(pickup.Key) == 1 })
+		host := cl.hostOfOrder(pickup.Key)
+		cl.running[host].iface.setStalled(true)
 		time.Sleep(5 * time.Second)
-		r.running[host].port.stall(false)
+		cl.running[host].iface.setStalled(false)
 		<-o.done
-		r.Assert(o.err, qt.IsNil)
-		r.Assert(r.orders(pickup.Key), qt.Equals, 1)
+		cl.Assert(o.err, qt.IsNil)
+		cl.Assert(cl.orderRuns(pickup.Key), qt.Equals, 1)
 	})
 }
 
-// Each write of an order takes effect and loses its answer.
-func TestLostAcknowledgementsOfOrders(t *testing.T) {
-	for _, lost := range []int{1, 2, 3} {
-		inRig(t, small, func(r *rig) {
-			r.platform.SetFaults(standin.Faults{LoseAcks: lost})
-			o := r.order(r.client(token), pickup)
+// Writes of an order to the platform take effect, but their acknowledgements are
+// lost.
+func TestLostOrderAcknowledgements(t *testing.T) {
+	for _, lostAcks := range []int{1, 2, 3} {
+		runInCluster(t, smallCluster, func(cl *cluster) {
+			cl.platform.SetFaults(standin.Faults{LoseAcks: lostAcks})
+			o := cl.placeOrder(cl.client(token), pickup)
 			<-o.done
-			r.Assert(o.err, qt.IsNil)
-			r.Assert(r.orders(pickup.Key), qt.Equals, 1)
+			cl.Assert(o.err, qt.IsNil)
+			cl.Assert(cl.orderRuns(pickup.Key), qt.Equals, 1)
 		})
 	}
 }
 
-// The platform goes down after the claim: the order ran, its end cannot be
-// recorded, and a look at it later finds nothing.
-func TestPlatformDownWhileTheOrderRuns(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		c := r.client(token)
-		o := r.order(c, pickup)
-		r.await("the order to run", func() bool { return r.orders(pickup.Key) == 1 })
-		r.platform.SetFaults(standin.Faults{Down: true})
+// The platform fails after an order was claimed, the result cannot be recorded,
+// and a later lookup of the order finds nothing.
+func TestPlatformOutageDuringOrder(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		c := cl.client(token)
+		o := cl.placeOrder(c, pickup)
+		cl.waitFor("the order to run", func() bool { return cl.orderRuns(pickup.Key) == 1 })
+		cl.platform.SetFaults(standin.Faults{Down: true})
 		<-o.done
-		r.Assert(o.err, qt.IsNil)
-		r.platform.SetFaults(standin.Faults{})
+		cl.Assert(o.err, qt.IsNil)
+		cl.platform.SetFaults(standin.Faults{})
 		time.Sleep(2 * time.Second)
-		_, err := c.Lookup(r.t.Context(), pickup.Key)
-		r.Assert(err, qt.IsNil)
-		r.Assert(r.orders(pickup.Key), qt.Equals, 1)
+		_, err := c.Lookup(cl.t.Context(), pickup.Key)
+		cl.Assert(err, qt.IsNil)
+		cl.Assert(cl.orderRuns(pickup.Key), qt.Equals, 1)
 	})
 }
 
-// A planned stop of the host cuts off the order that runs there.
-func TestPlannedStopWhileTheOrderRuns(t *testing.T) {
-	inRig(t, small, func(r *rig) {
-		for _, service := range r.services {
+// A planned stop of an agent cuts off the order that runs there.
+func TestPlannedStopDuringOrder(t *testing.T) {
+	runInCluster(t, smallCluster, func(cl *cluster) {
+		for _, service := range cl.services {
 			service.Pause = 8 * time.Second
 		}
-		o := r.order(r.client(token), pickup)
-		r.await("the order to run", func() bool { return r.orders(pickup.Key) == 1 })
-		host := r.runsAt(pickup.Key)
-		r.term(host)
+		o := cl.placeOrder(cl.client(token), pickup)
+		cl.waitFor("the order to run", func() bool { return cl.orderRuns(pickup.Key) == 1 })
+		host := cl.hostOfOrder(pickup.Key)
+		cl.terminate(host)
 		<-o.done
-		r.Assert(o.err, qt.IsNil)
-		r.Assert(r.exited(host) < 10*time.Second, qt.IsTrue)
-		r.Assert(r.orders(pickup.Key), qt.Equals, 1)
+		cl.Assert(o.err, qt.IsNil)
+		cl.Assert(cl.waitExit(host) < 10*time.Second, qt.IsTrue)
+		cl.Assert(cl.orderRuns(pickup.Key), qt.Equals, 1)
 	})
 }
 
-// Many orders while hosts and the platform come and go: none runs twice, and
-// none that was said not to have run has run.
-func TestOrdersInTrouble(t *testing.T) {
-	inRig(t, rigConfig{entries: 3, models: 1, services: 3}, func(r *rig) {
-		type placed struct {
-			*ordering
+// Orders are placedOrder while hosts and the platform fail and recover. No order may
+// run twice, and no order that was reported as not run may have run.
+func TestOrdersUnderFaults(t *testing.T) {
+	runInCluster(t, clusterConfig{entries: 3, models: 1, services: 3}, func(cl *cluster) {
+		type placedOrder struct {
+			*pendingOrder
 			key string
 		}
-		var all []placed
+		var all []placedOrder
 		var mu sync.Mutex
 		for i := range 40 {
 			order := pickup
 			order.Key = client.NewKey()
 			mu.Lock()
-			all = append(all, placed{r.order(r.client(token), order), order.Key})
+			all = append(all, placedOrder{cl.placeOrder(cl.client(token), order), order.Key})
 			mu.Unlock()
 			switch i {
 			case 8:
-				r.platform.SetFaults(standin.Faults{LoseAcks: 5})
+				cl.platform.SetFaults(standin.Faults{LoseAcks: 5})
 			case 15:
-				r.kill("billing-1")
+				cl.kill("billing-1")
 			case 20:
-				r.platform.SetFaults(standin.Faults{Down: true})
+				cl.platform.SetFaults(standin.Faults{Down: true})
 			case 25:
-				r.platform.SetFaults(standin.Faults{Slow: 700 * time.Millisecond})
-				r.kill("entry-2")
+				cl.platform.SetFaults(standin.Faults{Slow: 700 * time.Millisecond})
+				cl.kill("entry-2")
 			case 30:
-				r.platform.SetFaults(standin.Faults{})
-				r.start("billing-1")
+				cl.platform.SetFaults(standin.Faults{})
+				cl.start("billing-1")
 			}
 			time.Sleep(30 * time.Millisecond)
 		}
 		for _, o := range all {
 			<-o.done
-			runs := r.orders(o.key)
-			r.Assert(runs <= 1, qt.IsTrue, qt.Commentf("order ran %d times", runs))
+			runs := cl.orderRuns(o.key)
+			cl.Assert(runs <= 1, qt.IsTrue, qt.Commentf("order ran %d times", runs))
 			switch {
 			case o.err == nil:
-				r.Assert(runs, qt.Equals, 1)
+				cl.Assert(runs, qt.Equals, 1)
 			case errors.Is(o.err, client.ErrNotRun):
-				r.Assert(runs, qt.Equals, 0, qt.Commentf("%v", o.err))
+				cl.Assert(runs, qt.Equals, 0, qt.Commentf("%v", o.err))
 			}
 		}
 	})
--- a/internal/transport/process/process.go
+++ b/internal/transport/process/process.go
@@ -1,5 +1,5 @@
-// Package process starts entries and agents: listeners, admin address, logs
-// and graceful stop.
+// Package process runs entries and agents. It opens their listeners, serves
+// the admin address, sets up logging and stops them gracefully.
 package process
 
 import (
@@ -33,16 +33,18 @@
 	"github.com/filbertlever/filbertlever/internal/transport/weights"
 )
 
-// Times of listeners.
+// Limits of the HTTP servers and of the planned stop.
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 64 << 10
-	// leaveMost bounds a planned stop; the platform kills later anyway.
-	leaveMost = 10 * time.Minute
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
+	// drainTimeout bounds a planned stop. The platform kills the process later
+	// in any case.
+	drainTimeout = 10 * time.Minute
 )
 
-// NewLogger returns the log that settings ask for, on standard error.
+// NewLogger returns a logger that writes to standard error with the level and
+// format of the settings.
 func NewLogger(s settings.Log) (*zap.Logger, error) {
 	level, err := zapcore.ParseLevel(s.Level)
 	if err != nil {
@@ -64,7 +66,7 @@
 	return config.Build()
 }
 
-// role is what entries and agents have in common here.
+// role is the interface that a process needs from an entry or an agent.
 type role interface {
 	Serve(ctx context.Context)
 	Leave(ctx context.Context)
@@ -72,7 +74,8 @@
 	Register(registry prometheus.Registerer)
 }
 
-// process is one running process.
+// process holds the node, the registry and the HTTP servers of a running entry
+// or agent.
 type process struct {
 	settings *settings.Settings
 	network  network.Network
@@ -80,51 +83,55 @@
 	log      *zap.Logger
 	registry *prometheus.Registry
 	servers  []*http.Server
-	failed   chan error
+	// serveErrs receives the error of each listener that fails.
+	serveErrs chan error
 }
 
-// RunEntry runs an entry until ctx ends or a stop is planned, then leaves.
-func RunEntry(ctx context.Context, s *settings.Settings, links network.Network, log *zap.Logger) error {
-	return RunEntryWith(ctx, s, routing.DefaultConfig(), links, log)
+// RunEntry runs an entry until ctx is done or a planned stop is requested, then
+// drains it.
+func RunEntry(ctx context.Context, s *settings.Settings, hostNetwork network.Network, log *zap.Logger) error {
+	return RunEntryWith(ctx, s, routing.DefaultConfig(), hostNetwork, log)
 }
 
-// RunEntryWith is RunEntry with another way of routing, to be measured.
-func RunEntryWith(ctx context.Context, s *settings.Settings, routes routing.Config, links network.Network, log *zap.Logger) error {
-	self := host(s, filbertlever.RoleEntry)
+// RunEntryWithRouting is RunEntry with a given routing configuration, so that
+// benchmarks can compare configurations.
+func RunEntryWith(ctx context.Context, s *settings.Settings, routingConfig routing.Config, hostNetwork network.Network, log *zap.Logger) error {
+	self := hostFromSettings(s, filbertlever.RoleEntry)
 	self.CallerAddress = s.Callers.Address
-	p, keys, client, clean, err := start(s, self, links, log)
+	p, keys, client, cleanup, err := newProcess(s, self, hostNetwork, log)
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer cleanup()
 	config := entry.DefaultConfig()
 	config.Host = self
 	config.Keep = time.Duration(s.Entry.Keep)
 	config.Timeout = time.Duration(s.Entry.Timeout)
 	config.OrderWrites = s.Entry.OrderWrites
-	config.Routing = routes
+	config.Routing = routingConfig
 	e := entry.New(config, p.node, client, p.log, entry.NewMetrics(p.registry))
-	callers, peers := http.NewServeMux(), http.NewServeMux()
-	e.CallerRoutes(callers)
-	e.PeerRoutes(peers)
-	if err := p.listenTLS(s.Callers.Address, callers, keys, false); err != nil {
+	callerMux, peerMux := http.NewServeMux(), http.NewServeMux()
+	e.CallerRoutes(callerMux)
+	e.PeerRoutes(peerMux)
+	if err := p.listenTLS(s.Callers.Address, callerMux, keys, false); err != nil {
 		return err
 	}
-	if err := p.listenTLS(s.Peer.Address, peers, keys, true); err != nil {
+	if err := p.listenTLS(s.Peer.Address, peerMux, keys, true); err != nil {
 		return err
 	}
 	return p.run(ctx, e)
 }
 
-// RunAgent runs an agent until ctx ends or a stop is planned, then leaves.
-func RunAgent(ctx context.Context, s *settings.Settings, links network.Network, log *zap.Logger) error {
-	self := host(s, filbertlever.RoleAgent)
+// RunAgent runs an agent until ctx is done or a planned stop is requested, then
+// drains it.
+func RunAgent(ctx context.Context, s *settings.Settings, hostNetwork network.Network, log *zap.Logger) error {
+	self := hostFromSettings(s, filbertlever.RoleAgent)
 	self.Pool = s.Agent.Pool
-	p, keys, client, clean, err := start(s, self, links, log)
+	p, keys, client, cleanup, err := newProcess(s, self, hostNetwork, log)
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer cleanup()
 	config := agent.Config{
 		Host:       self,
 		EngineURL:  s.Agent.Engine,
@@ -132,36 +139,39 @@
 		WeightsURL: "http://" + s.Agent.Weights.Address,
 		Origin:     s.Agent.Origin,
 		Store:      s.Agent.Store,
-		Network:    links,
+		Network:    hostNetwork,
 		Link:       distribution.Pace{Link: float64(s.Agent.Link), Share: distribution.DefaultShare},
 		Fetch:      weights.DefaultFetchConfig(),
 	}
 	a := agent.New(config, p.node, client, p.log, agent.NewMetrics(p.registry))
-	peers := http.NewServeMux()
-	a.Routes(peers)
-	if err := p.listenTLS(s.Peer.Address, peers, keys, true); err != nil {
+	peerMux := http.NewServeMux()
+	a.Routes(peerMux)
+	if err := p.listenTLS(s.Peer.Address, peerMux, keys, true); err != nil {
 		return err
 	}
 	if s.Agent.Engine != "" {
-		engine := http.NewServeMux()
-		a.EngineRoutes(engine)
-		if err := p.listen(s.Agent.Weights.Address, engine); err != nil {
+		engineMux := http.NewServeMux()
+		a.EngineRoutes(engineMux)
+		if err := p.listen(s.Agent.Weights.Address, engineMux); err != nil {
 			return err
 		}
 	}
 	return p.run(ctx, a)
 }
 
-func host(s *settings.Settings, role filbertlever.Role) filbertlever.Host {
+// hostFromSettings returns the host that the settings describe.
+func hostFromSettings(s *settings.Settings, role filbertlever.Role) filbertlever.Host {
 	return filbertlever.Host{ID: s.Host, Role: role, Site: s.Site, Region: s.Region, PeerAddress: s.Peer.Address}
 }
 
-func start(s *settings.Settings, self filbertlever.Host, links network.Network, log *zap.Logger) (*process, *peer.Keys, *platform.Client, func(), error) {
+// newProcess loads the TLS keys and creates the platform client, the node and
+// the metrics registry. The function that it returns releases them.
+func newProcess(s *settings.Settings, self filbertlever.Host, hostNetwork network.Network, log *zap.Logger) (*process, *peer.Keys, *platform.Client, func(), error) {
 	keys, err := peer.LoadKeys(peer.Files{Authority: s.TLS.Authority, Certificate: s.TLS.Certificate, Key: s.TLS.Key})
 	if err != nil {
 		return nil, nil, nil, nil, err
 	}
-	client := platform.New(s.Platform.URL, time.Duration(s.Platform.Timeout), links)
+	client := platform.New(s.Platform.URL, time.Duration(s.Platform.Timeout), hostNetwork)
 	seeds := map[filbertlever.HostID]string{}
 	for _, seed := range s.Seeds {
 		seeds[seed.Host] = seed.PeerAddress
@@ -175,11 +185,11 @@
 		Poll:        time.Duration(s.Platform.Poll),
 		Seeds:       seeds,
 		Stop:        drain.Config{Grace: time.Duration(s.Stop.Grace), Move: time.Duration(s.Stop.Move)},
-	}, client, keys, links, log)
+	}, client, keys, hostNetwork, log)
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	p := &process{settings: s, network: links, node: n, log: log, registry: registry, failed: make(chan error, 4)}
-	clean := func() {
+	p := &process{settings: s, network: hostNetwork, node: n, log: log, registry: registry, serveErrs: make(chan error, 4)}
+	cleanup := func() {
 		for _, server := range p.servers {
 			_ = server.Close()
 		}
@@ -187,112 +197,120 @@
 		client.Close()
 		_ = log.Sync()
 	}
-	return p, keys, client, clean, nil
+	return p, keys, client, cleanup, nil
 }
 
-// run serves until ctx ends, a stop is planned or a listener fails.
+// run serves the role until ctx is done, a planned stop is requested or a
+// listener fails. It drains the role, except after a listener failure.
 func (p *process) run(ctx context.Context, r role) error {
 	r.Register(p.registry)
-	if err := p.listen(p.settings.Admin.Address, p.admin(r)); err != nil {
+	if err := p.listen(p.settings.Admin.Address, p.adminHandler(r)); err != nil {
 		return err
 	}
-	work, endWork := context.WithCancel(context.Background())
-	defer endWork()
-	ended := make(chan struct{})
-	worker := serving{role: r, ended: ended}
-	go worker.run(work)
+	roleCtx, cancelRole := context.WithCancel(context.Background())
+	defer cancelRole()
+	roleDone := make(chan struct{})
+	runner := roleRunner{role: r, done: roleDone}
+	go runner.run(roleCtx)
 	p.log.Info("started", zap.String("Role", string(p.node.Self().Host.Role)), zap.String("Peer", p.settings.Peer.Address))
 	select {
 	case <-ctx.Done():
 		p.node.RequestStop("signal")
 	case <-p.node.StopRequested():
-	case err := <-p.failed:
+	case err := <-p.serveErrs:
 		return err
 	}
-	leave, cancel := context.WithTimeout(context.Background(), leaveMost)
+	drainCtx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	r.Leave(leave)
-	p.shutdown(leave)
-	endWork()
-	<-ended
+	r.Leave(drainCtx)
+	p.shutdown(drainCtx)
+	cancelRole()
+	<-roleDone
 	return nil
 }
 
-// shutdown lets answers that are still being written go out.
+// shutdown stops the servers and waits briefly for responses that are still
+// being written.
 func (p *process) shutdown(ctx context.Context) {
-	const writing = 2 * time.Second
-	ctx, cancel := context.WithTimeout(ctx, writing)
+	const shutdownTimeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	for _, server := range p.servers {
 		_ = server.Shutdown(ctx)
 	}
 }
 
-// serving runs a role's loops.
-type serving struct {
-	role  role
-	ended chan struct{}
+// roleRunner runs the background loops of a role and closes done when they have
+// returned.
+type roleRunner struct {
+	role role
+	done chan struct{}
 }
 
-func (w *serving) run(ctx context.Context) {
-	defer close(w.ended)
-	w.role.Serve(ctx)
+func (r *roleRunner) run(ctx context.Context) {
+	defer close(r.done)
+	r.role.Serve(ctx)
 }
 
-func (p *process) listenTLS(address string, handler http.Handler, keys *peer.Keys, peers bool) error {
+// listenTLS serves an address over TLS, with the configuration for peers or the
+// one for callers.
+func (p *process) listenTLS(address string, handler http.Handler, keys *peer.Keys, forPeers bool) error {
 	server := newServer(handler)
 	server.TLSConfig = keys.CallerConfig()
-	if peers {
+	if forPeers {
 		server.TLSConfig = keys.ServerConfig()
 	}
-	return p.serve(server, address, func(l net.Listener) error { return server.ServeTLS(l, "", "") })
+	return p.startServer(server, address, func(l net.Listener) error { return server.ServeTLS(l, "", "") })
 }
 
+// listen serves an address without TLS.
 func (p *process) listen(address string, handler http.Handler) error {
 	server := newServer(handler)
-	return p.serve(server, address, server.Serve)
+	return p.startServer(server, address, server.Serve)
 }
 
-// newServer bounds what a slow or hostile client can hold: headers must come
-// in time, and are bounded in size.
+// newServer returns an HTTP server that limits the time and size of request
+// headers, so that a slow or hostile client cannot hold connections and memory.
 func newServer(handler http.Handler) *http.Server {
-	quiet, _ := zap.NewStdLogAt(zap.NewNop(), zap.ErrorLevel)
+	discard, _ := zap.NewStdLogAt(zap.NewNop(), zap.ErrorLevel)
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
-		ErrorLog:          quiet,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          discard,
 	}
 }
 
-// listening serves one listener.
-type listening struct {
+// serverRunner serves one listener and reports the error that ends it.
+type serverRunner struct {
 	serve    func(net.Listener) error
 	listener net.Listener
-	failed   chan error
+	errs     chan error
 }
 
-func (l *listening) run() {
-	err := l.serve(l.listener)
+func (r *serverRunner) run() {
+	err := r.serve(r.listener)
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		l.failed <- fmt.Errorf("serve %s: %w", l.listener.Addr(), err)
+		r.errs <- fmt.Errorf("serve %s: %w", r.listener.Addr(), err)
 	}
 }
 
-func (p *process) serve(server *http.Server, address string, serve func(net.Listener) error) error {
+// startServer opens a listener and serves it in the background.
+func (p *process) startServer(server *http.Server, address string, serve func(net.Listener) error) error {
 	listener, err := p.network.Listen(address)
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", address, err)
 	}
 	p.servers = append(p.servers, server)
-	l := &listening{serve: serve, listener: listener, failed: p.failed}
-	go l.run()
+	runner := &serverRunner{serve: serve, listener: listener, errs: p.serveErrs}
+	go runner.run()
 	return nil
 }
 
-// admin serves metrics, health and, if the settings say so, pprof.
-func (p *process) admin(r role) http.Handler {
+// adminHandler serves metrics, liveness, readiness and, if enabled in the
+// settings, pprof.
+func (p *process) adminHandler(r role) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(p.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
