--- a/cmd/filbertlever/bundle.go
+++ b/cmd/filbertlever/bundle.go
@@ -23,13 +23,13 @@
 )
 
 type bundleCommand struct {
-	New      bundleNewCommand      `cmd:"" help:"Make a bundle file the next version of the accepted bundle."`
-	Manifest bundleManifestCommand `cmd:"" help:"List the chunks of a weights file, store the list and print its digest."`
-	Check    bundleCheckCommand    `cmd:"" help:"Check a bundle file as a whole."`
-	Diff     bundleDiffCommand     `cmd:"" help:"Show what changes from one bundle file, or the accepted bundle, to another."`
-	Sign     bundleSignCommand     `cmd:"" help:"Sign a bundle file off."`
+	New      bundleNewCommand      `cmd:"" help:"Set the version and parent of a bundle file so that it follows the accepted bundle."`
+	Manifest bundleManifestCommand `cmd:"" help:"Create and store the manifest (list of chunks) of a weights file and print its digest."`
+	Check    bundleCheckCommand    `cmd:"" help:"Validate a bundle file and report all errors."`
+	Diff     bundleDiffCommand     `cmd:"" help:"Show the differences between a bundle file, or the accepted bundle, and another bundle file."`
+	Sign     bundleSignCommand     `cmd:"" help:"Add a sign-off to a bundle file."`
 	Roll     bundleRollCommand     `cmd:"" help:"Make a signed bundle the accepted one."`
-	Status   bundleStatusCommand   `cmd:"" help:"Show how far the accepted bundle has come."`
+	Status   bundleStatusCommand   `cmd:"" help:"Show the rollout progress of the accepted bundle."`
 	History  bundleHistoryCommand  `cmd:"" help:"List the accepted bundles."`
 	Schema   bundleSchemaCommand   `cmd:"" help:"Print the JSON schema of bundle files, for editors."`
 }
@@ -46,7 +46,7 @@
 	return b, data, nil
 }
 
-// operatorSettings loads an operator's settings and the platform's client.
+// operator loads an operator's settings and creates a client of the platform.
 func (f *settingsFile) operator() (*settings.Settings, *platform.Client, error) {
 	s, err := f.load(settings.UseOperator)
 	if err != nil {
@@ -57,10 +57,10 @@
 
 type bundleNewCommand struct {
 	settingsFile
-	File string `arg:"" help:"Bundle file; made from an example if it does not exist."`
+	File string `arg:"" help:"Bundle file; created from an example if it does not exist."`
 }
 
-// Run sets Version and Parent in the file and leaves the rest as it is.
+// Run sets Version and Parent in the file and leaves the rest unchanged.
 func (c *bundleNewCommand) Run(ctx context.Context) error {
 	_, client, err := c.operator()
 	if err != nil {
@@ -77,27 +77,28 @@
 	if err != nil {
 		return err
 	}
-	data, err = rebase(data, head)
+	data, err = setParent(data, head)
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", errUsage, c.File, err)
 	}
 	if err := os.WriteFile(c.File, data, 0o644); err != nil {
 		return err
 	}
-	fmt.Printf("%s is bundle %d, to follow %d\n", c.File, head.Version+1, head.Version)
+	fmt.Printf("%s is now bundle %d and follows bundle %d\n", c.File, head.Version+1, head.Version)
 	return nil
 }
 
-// rebase changes Version and Parent and keeps comments and order.
-func rebase(data []byte, head state.Head) ([]byte, error) {
+// setParent sets Version and Parent of an encoded bundle so that it follows
+// head. It preserves comments and the order of fields.
+func setParent(data []byte, head state.Head) ([]byte, error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(data, &root); err != nil || len(root.Content) == 0 {
 		return nil, errors.Join(errors.New("not a YAML document"), err)
 	}
-	set(root.Content[0], "Version", strconv.FormatUint(head.Version+1, 10))
-	parent := child(root.Content[0], "Parent")
-	set(parent, "Version", strconv.FormatUint(head.Version, 10))
-	set(parent, "Digest", string(head.Digest))
+	setScalar(root.Content[0], "Version", strconv.FormatUint(head.Version+1, 10))
+	parent := childNode(root.Content[0], "Parent")
+	setScalar(parent, "Version", strconv.FormatUint(head.Version, 10))
+	setScalar(parent, "Digest", string(head.Digest))
 	var out bytes.Buffer
 	encoder := yaml.NewEncoder(&out)
 	encoder.SetIndent(2)
@@ -105,8 +106,9 @@
 	return out.Bytes(), err
 }
 
-// child returns the mapping under a key, made if it is missing.
-func child(mapping *yaml.Node, key string) *yaml.Node {
+// childNode returns the value of a key. It adds an empty mapping if the key is
+// missing.
+func childNode(mapping *yaml.Node, key string) *yaml.Node {
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		if mapping.Content[i].Value == key {
 			return mapping.Content[i+1]
@@ -117,8 +119,9 @@
 	return value
 }
 
-func set(mapping *yaml.Node, key, value string) {
-	node := child(mapping, key)
+// setScalar sets a scalar value and keeps its line comment.
+func setScalar(mapping *yaml.Node, key, value string) {
+	node := childNode(mapping, key)
 	*node = yaml.Node{Kind: yaml.ScalarNode, Value: value, LineComment: node.LineComment}
 	if value == "" {
 		node.Style = yaml.DoubleQuotedStyle
@@ -163,7 +166,7 @@
 	File string `arg:"" help:"Bundle file."`
 }
 
-// Run reports every fault of the file.
+// Run validates the file and reports every fault.
 func (c *bundleCheckCommand) Run() error {
 	b, data, err := readBundle(c.File)
 	if err != nil {
@@ -181,17 +184,17 @@
 	Settings string `type:"existingfile" env:"FILBERTLEVER_SETTINGS" help:"Settings file, to read the accepted bundle."`
 }
 
-// Run lists the changes by place.
+// Run lists the changes by field path.
 func (c *bundleDiffCommand) Run(ctx context.Context) error {
-	old, err := c.old(ctx)
+	old, err := c.readOld(ctx)
 	if err != nil {
 		return err
 	}
-	changed, _, err := readBundle(c.New)
+	updated, _, err := readBundle(c.New)
 	if err != nil {
 		return err
 	}
-	changes := bundle.Diff(old, changed)
+	changes := bundle.Diff(old, updated)
 	var rows [][]string
 	for _, change := range changes {
 		rows = append(rows, []string{change.Path, change.Old, change.New})
@@ -199,7 +202,9 @@
 	return c.print([]string{"PLACE", "OLD", "NEW"}, rows, changes)
 }
 
-func (c *bundleDiffCommand) old(ctx context.Context) (*bundle.Bundle, error) {
+// readOld returns the bundle to compare with: a file, or the accepted bundle,
+// which is empty if none was accepted yet.
+func (c *bundleDiffCommand) readOld(ctx context.Context) (*bundle.Bundle, error) {
 	if c.Old != "accepted" {
 		b, _, err := readBundle(c.Old)
 		return b, err
@@ -221,16 +226,17 @@
 	return bundle.Parse(signed.Body)
 }
 
-// signedFile is where the sign-offs of a bundle file are kept.
+// signedFile returns the path of the file that holds the sign-offs of a bundle
+// file.
 func signedFile(file string) string { return file + ".signed" }
 
 type bundleSignCommand struct {
 	File     string `arg:"" help:"Bundle file."`
-	Operator string `required:"" help:"Name of the operator, as settings have it."`
+	Operator string `required:"" help:"Name of the operator, as in the settings file."`
 	Key      string `required:"" type:"existingfile" help:"Signing key of the operator."`
 }
 
-// Run adds a sign-off. Sign-offs of another content are dropped.
+// Run adds a sign-off. It drops sign-offs of earlier contents of the file.
 func (c *bundleSignCommand) Run() error {
 	_, data, err := readBundle(c.File)
 	if err != nil {
@@ -259,17 +265,17 @@
 func readSigned(file string) (*bundle.Signed, error) {
 	data, err := os.ReadFile(signedFile(file))
 	if err != nil {
-		return nil, fmt.Errorf("%w: sign it first: %w", errUsage, err)
+		return nil, fmt.Errorf("%w: %s has no sign-offs, sign it first: %w", errUsage, file, err)
 	}
 	return bundle.DecodeSigned(data)
 }
 
 type bundleRollCommand struct {
 	settingsFile
-	File string `arg:"" help:"Bundle file; its sign-offs are beside it."`
+	File string `arg:"" help:"Bundle file; its sign-offs are in FILE.signed."`
 }
 
-// Run rolls the bundle. Running it again is safe.
+// Run rolls out the bundle. It is idempotent.
 func (c *bundleRollCommand) Run(ctx context.Context) error {
 	s, client, err := c.operator()
 	if err != nil {
@@ -291,13 +297,13 @@
 		return err
 	}
 	fmt.Printf("accepted: bundle %d %s\n", head.Version, head.Digest)
-	told, err := operator.Announce(ctx, s, network.TCP{DialTimeout: peer.DialTimeout}, head, signed)
+	notified, err := operator.Announce(ctx, s, network.TCP{DialTimeout: peer.DialTimeout}, head, signed)
 	if err != nil {
-		// The roll stands; entries read it from the platform.
-		fmt.Fprintln(os.Stderr, "filbertlever: entries were not told:", err)
+		// The bundle is accepted all the same. Entries read it from the platform.
+		fmt.Fprintln(os.Stderr, "filbertlever: entries were not notified:", err)
 		return nil
 	}
-	fmt.Printf("told %d of %d entries\n", told, len(s.Seeds))
+	fmt.Printf("notified %d of %d entries\n", notified, len(s.Seeds))
 	return nil
 }
 
@@ -305,10 +311,11 @@
 	settingsFile
 	output
 	Watch   bool          `help:"Show progress until the bundle is live everywhere."`
-	Timeout time.Duration `default:"10m" help:"How long to watch."`
+	Timeout time.Duration `default:"10m" help:"Maximum time to watch."`
 }
 
-const watchEvery = 200 * time.Millisecond
+// watchInterval is the interval between two status queries.
+const watchInterval = 200 * time.Millisecond
 
 // Run shows the progress of the accepted bundle.
 func (c *bundleStatusCommand) Run(ctx context.Context) error {
@@ -341,8 +348,8 @@
 		status, err := operator.ReadStatus(ctx, s)
 		if err == nil {
 			summary := operator.Summarize(status)
-			bar.show(summary.Live, summary.Wanted, fmt.Sprintf("bundle %d: in force on %d/%d hosts, failed loads %d, origin %s, store %s, peers %s",
-				summary.Version, summary.InForce, summary.Hosts, summary.Failed,
+			bar.show(summary.Live, summary.Required, fmt.Sprintf("bundle %d: active on %d/%d hosts, failed loads %d, origin %s, store %s, peers %s",
+				summary.Version, summary.Active, summary.Hosts, summary.Failed,
 				document.Size(summary.Origin), document.Size(summary.Store), document.Size(summary.Peer)))
 			if summary.Done() {
 				return nil
@@ -351,7 +358,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Join(ctx.Err(), err)
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 		}
 	}
 }
--- a/cmd/filbertlever/callers.go
+++ b/cmd/filbertlever/callers.go
@@ -12,37 +12,38 @@
 	"github.com/filbertlever/filbertlever/pkg/client"
 )
 
-// caller is how callers' commands reach the system.
+// caller holds the connection flags of callers' commands.
 type caller struct {
-	Entries   []string      `name:"entry" required:"" env:"FILBERTLEVER_ENTRIES" help:"Address (IP:port) of an entry; may be given several times."`
+	Entries   []string      `name:"entry" required:"" env:"FILBERTLEVER_ENTRIES" help:"Address (IP:port) of an entry; repeatable."`
 	Authority string        `required:"" type:"existingfile" env:"FILBERTLEVER_AUTHORITY" help:"Certificate that signed the entries' certificates."`
-	Token     string        `env:"FILBERTLEVER_TOKEN" help:"Token of the organisation; better given in the environment."`
+	Token     string        `env:"FILBERTLEVER_TOKEN" help:"Token of the organisation; prefer the environment variable."`
 	Site      string        `help:"Site of the caller; nearer entries are used first."`
-	Timeout   time.Duration `default:"1m" help:"How long to wait for the whole answer."`
+	Timeout   time.Duration `default:"1m" help:"Timeout for the complete answer."`
 }
 
+// client creates a client and the function that closes its connections.
 func (c *caller) client() (*client.Client, func(), error) {
 	authority, err := peer.LoadAuthority(c.Authority)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	made, clean := client.New(client.Config{
+	cl, closeClient := client.New(client.Config{
 		Entries: c.Entries,
 		Token:   c.Token,
 		TLS:     &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: authority},
 		Site:    c.Site,
 	})
-	return made, clean, nil
+	return cl, closeClient, nil
 }
 
 type askCommand struct {
 	caller
 	Model     string `required:"" help:"Model to ask."`
 	Adapter   string `help:"Adapter of the model."`
-	MaxTokens int    `default:"64" help:"Most tokens of the answer."`
+	MaxTokens int    `default:"64" help:"Maximum number of tokens in the answer."`
 	Priority  string `default:"normal" enum:"batch,normal,urgent" help:"Priority within the organisation: batch, normal or urgent."`
-	RequestID string `help:"Name of the request in the system's logs."`
-	Prompt    string `arg:"" help:"What to ask."`
+	RequestID string `help:"ID of the request in the system's logs."`
+	Prompt    string `arg:"" help:"Prompt to send to the model."`
 }
 
 var priorities = map[string]filbertlever.Priority{
@@ -51,20 +52,20 @@
 	"urgent": filbertlever.PriorityUrgent,
 }
 
-// Run streams the answer.
+// Run sends the prompt and prints the answer as it arrives.
 func (c *askCommand) Run(ctx context.Context) error {
-	made, clean, err := c.client()
+	cl, closeClient, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer closeClient()
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	question := client.Question{
 		RequestID: c.RequestID, Model: c.Model, Adapter: c.Adapter, Prompt: c.Prompt,
 		MaxTokens: c.MaxTokens, Priority: priorities[c.Priority],
 	}
-	_, err = made.Ask(ctx, question, func(pieces []string) error {
+	_, err = cl.Ask(ctx, question, func(pieces []string) error {
 		for _, piece := range pieces {
 			fmt.Print(piece)
 		}
@@ -76,25 +77,25 @@
 
 type orderCommand struct {
 	caller
-	Service string `required:"" help:"Plain service."`
-	Call    string `required:"" help:"Call of the service."`
-	Key     string `help:"Idempotency key; a new one is made and printed if there is none."`
+	Service string `required:"" help:"Name of the plain service."`
+	Call    string `required:"" help:"Name of the call."`
+	Key     string `help:"Idempotency key; generated if empty. Errors print it."`
 	Body    string `arg:"" help:"Body of the call."`
 }
 
-// Run runs the order.
+// Run sends the order and prints its answer.
 func (c *orderCommand) Run(ctx context.Context) error {
-	made, clean, err := c.client()
+	cl, closeClient, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer closeClient()
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	if c.Key == "" {
 		c.Key = client.NewKey()
 	}
-	answer, err := made.Order(ctx, client.Order{Key: c.Key, Service: c.Service, Call: c.Call, Body: []byte(c.Body)})
+	answer, err := cl.Order(ctx, client.Order{Key: c.Key, Service: c.Service, Call: c.Call, Body: []byte(c.Body)})
 	if err != nil {
 		return fmt.Errorf("order %s: %w", c.Key, err)
 	}
@@ -107,14 +108,14 @@
 	Key string `arg:"" help:"Idempotency key of the order."`
 }
 
-// Run looks the order up.
+// Run looks up the order and prints its answer.
 func (c *lookupCommand) Run(ctx context.Context) error {
-	made, clean, err := c.client()
+	cl, closeClient, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer clean()
-	answer, err := made.Lookup(ctx, c.Key)
+	defer closeClient()
+	answer, err := cl.Lookup(ctx, c.Key)
 	if err != nil {
 		return fmt.Errorf("order %s: %w", c.Key, err)
 	}
@@ -127,16 +128,16 @@
 	output
 }
 
-// Run lists the entries.
+// Run lists the entries to use, best first.
 func (c *locateCommand) Run(ctx context.Context) error {
-	made, clean, err := c.client()
+	cl, closeClient, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer clean()
+	defer closeClient()
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	located, err := made.Locate(ctx)
+	located, err := cl.Locate(ctx)
 	if err != nil {
 		return errors.Join(client.ErrNotRun, err)
 	}
--- a/cmd/filbertlever/config.go
+++ b/cmd/filbertlever/config.go
@@ -7,7 +7,7 @@
 )
 
 type configCommand struct {
-	Check   configCheckCommand   `cmd:"" help:"Check a settings file as a whole."`
+	Check   configCheckCommand   `cmd:"" help:"Validate a settings file and report all errors."`
 	Example configExampleCommand `cmd:"" help:"Print an example of a settings file."`
 }
 
@@ -16,12 +16,12 @@
 	Use  string `default:"Entry" enum:"Entry,Agent,Operator" help:"What the file is for: Entry, Agent or Operator."`
 }
 
-// Run reports every fault of the file.
+// Run validates the file and reports every fault.
 func (c *configCheckCommand) Run() error {
 	if _, err := settings.Load(c.File, settings.Use(c.Use)); err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	fmt.Printf("%s: good settings for use as %s\n", c.File, c.Use)
+	fmt.Printf("%s: valid settings for use as %s\n", c.File, c.Use)
 	return nil
 }
 
@@ -29,7 +29,7 @@
 	Use string `default:"Entry" enum:"Entry,Agent,Operator" help:"What the file is for: Entry, Agent or Operator."`
 }
 
-// Run prints the example.
+// Run prints an example settings file.
 func (c *configExampleCommand) Run() error {
 	fmt.Print(settings.Example(settings.Use(c.Use)))
 	return nil
--- a/cmd/filbertlever/exit.go
+++ b/cmd/filbertlever/exit.go
@@ -7,7 +7,7 @@
 	"github.com/filbertlever/filbertlever/pkg/client"
 )
 
-// Exit codes.
+// Exit codes. The help text and the reference page list them.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -16,7 +16,7 @@
 	exitNotRun   = 4
 )
 
-// exitCode tells scripts what an error means.
+// exitCode returns the exit code of an error. Scripts rely on the codes.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, errUsage):
@@ -29,5 +29,5 @@
 	return exitFailed
 }
 
-// errUsage means that the command line or a file named there is at fault.
+// errUsage means that the command line, or a file that it names, is invalid.
 var errUsage = errors.New("usage")
--- a/cmd/filbertlever/desk.go
+++ b/cmd/filbertlever/hosts.go
@@ -13,10 +13,10 @@
 type stopCommand struct {
 	settingsFile
 	Host filbertlever.HostID `arg:"" help:"Host to stop."`
-	Undo bool                `help:"Take the planned stop back."`
+	Undo bool                `help:"Cancel the planned stop."`
 }
 
-// Run plans the stop.
+// Run plans the stop of the host, or cancels it.
 func (c *stopCommand) Run(ctx context.Context) error {
 	_, client, err := c.operator()
 	if err != nil {
@@ -38,7 +38,7 @@
 	output
 }
 
-// Run lists the hosts.
+// Run lists the hosts with their state and load.
 func (c *hostsCommand) Run(ctx context.Context) error {
 	s, err := c.load(settings.UseOperator)
 	if err != nil {
@@ -50,15 +50,15 @@
 	}
 	var rows [][]string
 	for _, host := range status.Hosts {
-		condition := "unfit"
+		hostState := "unfit"
 		switch {
 		case host.Host.Leaving:
-			condition = "leaving"
+			hostState = "leaving"
 		case host.Usable:
-			condition = "live"
+			hostState = "live"
 		}
 		rows = append(rows, []string{
-			string(host.Host.ID), string(host.Host.Role), host.Host.Site, host.Host.Pool, condition,
+			string(host.Host.ID), string(host.Host.Role), host.Host.Site, host.Host.Pool, hostState,
 			strconv.FormatUint(host.InForce, 10), strconv.Itoa(host.Load.Running), strconv.Itoa(host.Load.Queued),
 		})
 	}
--- a/cmd/filbertlever/installation.go
+++ b/cmd/filbertlever/installation.go
@@ -14,14 +14,16 @@
 type installationCommand struct {
 	Entry installationEntryCommand `cmd:"" help:"Run an entry on the users' platform."`
 	Agent installationAgentCommand `cmd:"" help:"Run an agent beside a model server on the users' platform."`
-	Check installationCheckCommand `cmd:"" help:"Check a settings file for the users' platform as a whole."`
+	Check installationCheckCommand `cmd:"" help:"Validate a settings file for the users' platform and report all errors."`
 }
 
-// installationFile is the settings file of a process on a users' platform.
+// installationFile is the flag for the settings file of a process on a users'
+// platform.
 type installationFile struct {
 	Settings string `required:"" type:"existingfile" env:"FILBERTLEVER_SETTINGS" help:"Settings file."`
 }
 
+// load reads the settings and returns the file that is reloaded on SIGHUP.
 func (f *installationFile) load(use settings.Use) (*settings.Installation, installation.File, error) {
 	s, err := settings.LoadInstallation(f.Settings, use)
 	if err != nil {
@@ -73,11 +75,11 @@
 	Use  string `default:"Entry" enum:"Entry,Agent" help:"What the file is for: Entry or Agent."`
 }
 
-// Run reports every fault of the file.
+// Run validates the file and reports every fault.
 func (c *installationCheckCommand) Run() error {
 	if _, err := settings.LoadInstallation(c.File, settings.Use(c.Use)); err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
-	fmt.Printf("%s: good settings for use as %s\n", c.File, c.Use)
+	fmt.Printf("%s: valid settings for use as %s\n", c.File, c.Use)
 	return nil
 }
--- a/cmd/filbertlever/keys.go
+++ b/cmd/filbertlever/keys.go
@@ -12,18 +12,18 @@
 )
 
 type keysCommand struct {
-	New   keysNewCommand   `cmd:"" help:"Make a certificate for a host or operator, and the authority if there is none."`
-	Token keysTokenCommand `cmd:"" help:"Make a token for an organisation and print it with its digest for the bundle."`
+	New   keysNewCommand   `cmd:"" help:"Create a certificate for a host or operator, and the authority if none exists."`
+	Token keysTokenCommand `cmd:"" help:"Create a token for an organisation and print it with its digest for the bundle."`
 }
 
 type keysNewCommand struct {
-	Dir  string `required:"" type:"path" help:"Folder of the keys."`
+	Dir  string `required:"" type:"path" help:"Directory of the keys."`
 	Name string `arg:"" help:"Name of the host or operator."`
-	Role string `required:"" enum:"Entry,Agent,Operator" help:"Entry, Agent or Operator."`
-	IP   net.IP `help:"IP that callers connect to; entries need it."`
+	Role string `required:"" enum:"Entry,Agent,Operator" help:"Role in the certificate: Entry, Agent or Operator."`
+	IP   net.IP `help:"IP that callers connect to; required for entries."`
 }
 
-// Run makes the keys; it never overwrites any.
+// Run creates the keys. It never overwrites existing ones.
 func (c *keysNewCommand) Run() error {
 	if c.Role == peer.RoleEntry && c.IP == nil {
 		return fmt.Errorf("%w: an entry needs --ip", errUsage)
@@ -47,11 +47,11 @@
 
 type keysTokenCommand struct{}
 
-const tokenBytes = 32
+const tokenLength = 32
 
-// Run prints a new token, which is kept nowhere.
+// Run prints a new token. The token is not stored anywhere.
 func (c *keysTokenCommand) Run() error {
-	var random [tokenBytes]byte
+	var random [tokenLength]byte
 	_, _ = rand.Read(random[:])
 	token := base64.RawURLEncoding.EncodeToString(random[:])
 	fmt.Printf("Token: %s\nDigest: %s\n", token, filbertlever.DigestOf([]byte(token)))
--- a/cmd/filbertlever/main.go
+++ b/cmd/filbertlever/main.go
@@ -1,4 +1,4 @@
-// Command filbertlever is every process of the system, and the desk of its
+// Command filbertlever runs every process of the system and the commands of its
 // operators and callers.
 package main
 
@@ -16,29 +16,30 @@
 	"github.com/filbertlever/filbertlever/internal/transport/hangup"
 )
 
-// arguments is the command line.
+// arguments defines the command line.
 type arguments struct {
-	Entry        entryCommand              `cmd:"" help:"Run an entry: tells callers which entry to use and routes their requests."`
+	Entry        entryCommand              `cmd:"" help:"Run an entry, which directs callers to an entry and routes their requests."`
 	Agent        agentCommand              `cmd:"" help:"Run an agent beside a backend server."`
-	Bundle       bundleCommand             `cmd:"" help:"Create, check, sign and roll bundles."`
+	Bundle       bundleCommand             `cmd:"" help:"Create, check, sign and roll out bundles."`
 	Stop         stopCommand               `cmd:"" help:"Plan the graceful stop of a host."`
 	Hosts        hostsCommand              `cmd:"" help:"List hosts and what they serve."`
 	Ask          askCommand                `cmd:"" help:"Ask a model and stream the answer."`
 	Order        orderCommand              `cmd:"" help:"Run a call of a plain service, at most once."`
-	Lookup       lookupCommand             `cmd:"" help:"Look up an order sent earlier, without running it."`
+	Lookup       lookupCommand             `cmd:"" help:"Look up the outcome of an order sent earlier, without running it."`
 	Locate       locateCommand             `cmd:"" help:"List the entry hosts to use, best first."`
 	Installation installationCommand       `cmd:"" help:"Run processes on the users' platform."`
-	Keys         keysCommand               `cmd:"" help:"Make keys, certificates and tokens."`
-	Config       configCommand             `cmd:"" help:"Check settings files and print examples."`
+	Keys         keysCommand               `cmd:"" help:"Create keys, certificates and tokens."`
+	Config       configCommand             `cmd:"" help:"Validate settings files and print examples."`
 	Reference    referenceCommand          `cmd:"" hidden:"" help:"Print the reference pages of the docs."`
-	Completion   kongcompletion.Completion `cmd:"" help:"Print the code for shell completion."`
+	Completion   kongcompletion.Completion `cmd:"" help:"Print the shell completion script."`
 	Version      kong.VersionFlag          `help:"Print the version."`
 }
 
-// installationName is the command whose processes read their settings anew when told.
+// installationName is the command whose processes reload their settings on
+// SIGHUP.
 const installationName = "installation"
 
-const description = `Weight distribution for bursts: rolls signed bundles of models to hosts and answers callers.
+const description = `Weight distribution for bursts: rolls out signed bundles of models to hosts and serves callers.
 
 Exit codes: 0 ok, 1 failed, 2 usage, 3 conflict, 4 not run (nothing changed).
 
@@ -49,6 +50,8 @@
   filbertlever ask --model drafter "Draft a clause on late pickups"`
 
 func main() {
+	// Only processes of the installation command reload settings on SIGHUP. For
+	// all other commands the signal keeps its default effect.
 	if len(os.Args) < 2 || os.Args[1] != installationName {
 		hangup.Release()
 	}
@@ -58,7 +61,7 @@
 	os.Exit(code)
 }
 
-// run carries out one command line and returns the exit code.
+// run executes one command line and returns the exit code.
 func run(ctx context.Context, args []string) int {
 	parser, err := newParser(ctx)
 	if err != nil {
@@ -88,12 +91,12 @@
 	)
 }
 
-// released is the version of this source tree.
-const released = "0.1.0"
+// releaseVersion is the version of this source tree.
+const releaseVersion = "0.1.0"
 
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
-		return "filbertlever " + released + " " + info.GoVersion
+		return "filbertlever " + releaseVersion + " " + info.GoVersion
 	}
-	return "filbertlever " + released
+	return "filbertlever " + releaseVersion
 }
--- a/cmd/filbertlever/output.go
+++ b/cmd/filbertlever/output.go
@@ -12,12 +12,12 @@
 	"golang.org/x/term"
 )
 
-// output is the form of what a command lists.
+// output is the flag for the format of listings.
 type output struct {
-	Output string `default:"table" enum:"table,json,yaml" short:"o" help:"Form of the list: table, json or yaml."`
+	Output string `default:"table" enum:"table,json,yaml" short:"o" help:"Format of the list: table, json or yaml."`
 }
 
-// print writes rows as a table under header, or data in the other forms.
+// print writes rows as a table under header, or encodes data as JSON or YAML.
 func (o *output) print(header []string, rows [][]string, data any) error {
 	switch o.Output {
 	case "json":
@@ -35,7 +35,8 @@
 	return w.Flush()
 }
 
-// printYAML goes through JSON, so that both forms have the same names.
+// printYAML encodes data through JSON, so that both formats have the same field
+// names.
 func printYAML(w io.Writer, data any) error {
 	encoded, err := json.Marshal(data)
 	if err != nil {
@@ -48,7 +49,8 @@
 	return yaml.NewEncoder(w).Encode(plain)
 }
 
-// progress shows a bar on a terminal, and a line for each change elsewhere.
+// progress shows a progress bar on a terminal. On other outputs it prints one
+// line for each change.
 type progress struct {
 	last string
 }
--- a/cmd/filbertlever/processes.go
+++ b/cmd/filbertlever/processes.go
@@ -10,7 +10,7 @@
 	"github.com/filbertlever/filbertlever/internal/transport/process"
 )
 
-// settingsFile is the settings file of a command.
+// settingsFile is the flag for the settings file of a command.
 type settingsFile struct {
 	Settings string `required:"" type:"existingfile" env:"FILBERTLEVER_SETTINGS" help:"Settings file."`
 }
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -1,5 +1,5 @@
-// Package operator is what operators do from their desks: keys, rolls, planned
-// stops and questions about progress.
+// Package operator implements the commands of operators: key management,
+// rollouts of bundles, planned stops and status queries.
 package operator
 
 import (
@@ -21,45 +21,47 @@
 	"time"
 )
 
-// Validity of certificates.
+// Validity periods of certificates. maxClockSkew allows for clocks of other hosts
+// that run behind.
 const (
-	authorityYears = 10
-	hostYears      = 2
-	clockSlack     = time.Hour
+	authorityValidityYears = 10
+	hostValidityYears      = 2
+	maxClockSkew           = time.Hour
 )
 
-// KeyDir is a folder of keys: one authority, and what it signed.
+// KeyDir is a directory with the certificate authority and the certificates
+// and keys that it issued.
 type KeyDir struct {
 	Path string
 }
 
-// HostFiles names the files written for a host.
+// HostFiles holds the paths of the certificate and key of a host.
 type HostFiles struct {
 	Certificate string
 	Key         string
 }
 
-// Authority returns the file of the authority's certificate.
+// Authority returns the path of the authority's certificate.
 func (d KeyDir) Authority() string { return filepath.Join(d.Path, "authority.pem") }
 
-// NewHost writes a certificate in a host's name for a role and an IP, which
-// may be nil. The authority is made if the folder has none.
+// NewHost issues a certificate and key for a host with the given role and IP,
+// which may be nil. It creates the authority if the directory has none.
 func (d KeyDir) NewHost(host, role string, ip net.IP) (HostFiles, error) {
-	authority, authorityKey, err := d.authority()
+	authority, authorityKey, err := d.loadAuthority()
 	if err != nil {
 		return HostFiles{}, err
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return HostFiles{}, fmt.Errorf("key of %s: %w", host, err)
+		return HostFiles{}, fmt.Errorf("generate key of %s: %w", host, err)
 	}
 	now := time.Now()
 	template := &x509.Certificate{
-		SerialNumber: serial(),
+		SerialNumber: newSerialNumber(),
 		Subject:      pkix.Name{CommonName: host, OrganizationalUnit: []string{role}},
 		DNSNames:     []string{host},
-		NotBefore:    now.Add(-clockSlack),
-		NotAfter:     now.AddDate(hostYears, 0, 0),
+		NotBefore:    now.Add(-maxClockSkew),
+		NotAfter:     now.AddDate(hostValidityYears, 0, 0),
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -68,22 +70,22 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, authority, &key.PublicKey, authorityKey)
 	if err != nil {
-		return HostFiles{}, fmt.Errorf("certificate of %s: %w", host, err)
+		return HostFiles{}, fmt.Errorf("create certificate of %s: %w", host, err)
 	}
 	files := HostFiles{Certificate: filepath.Join(d.Path, host+".pem"), Key: filepath.Join(d.Path, host+".key")}
-	return files, writePair(files, der, key)
+	return files, writeKeyPair(files, der, key)
 }
 
-// NewOperator writes an operator's signing key and returns the public key in
-// base64, for settings. An existing key is never overwritten.
+// NewOperator writes a new signing key of an operator and returns the public
+// key in base64, as settings files have it. It never overwrites an existing key.
 func (d KeyDir) NewOperator(name string) (string, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return "", fmt.Errorf("signing key of %s: %w", name, err)
+		return "", fmt.Errorf("generate signing key of %s: %w", name, err)
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
-		return "", fmt.Errorf("signing key of %s: %w", name, err)
+		return "", fmt.Errorf("encode signing key of %s: %w", name, err)
 	}
 	if err := writePEM(d.SigningKey(name), "PRIVATE KEY", der, 0o600); err != nil {
 		return "", err
@@ -91,7 +93,7 @@
 	return base64.StdEncoding.EncodeToString(public), nil
 }
 
-// SigningKey returns the file of an operator's signing key.
+// SigningKey returns the path of an operator's signing key.
 func (d KeyDir) SigningKey(name string) string { return filepath.Join(d.Path, name+".signing.key") }
 
 // ReadSigningKey reads an operator's signing key.
@@ -102,7 +104,7 @@
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(block)
 	if err != nil {
-		return nil, fmt.Errorf("signing key %s: %w", file, err)
+		return nil, fmt.Errorf("parse signing key %s: %w", file, err)
 	}
 	key, ok := parsed.(ed25519.PrivateKey)
 	if !ok {
@@ -111,10 +113,12 @@
 	return key, nil
 }
 
-func (d KeyDir) authority() (*x509.Certificate, *ecdsa.PrivateKey, error) {
+// loadAuthority reads the certificate and key of the authority, and creates them
+// if they do not exist.
+func (d KeyDir) loadAuthority() (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	files := HostFiles{Certificate: d.Authority(), Key: filepath.Join(d.Path, "authority.key")}
 	if _, err := os.Stat(files.Certificate); errors.Is(err, fs.ErrNotExist) {
-		if err := d.newAuthority(files); err != nil {
+		if err := d.createAuthority(files); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -124,7 +128,7 @@
 	}
 	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, nil, fmt.Errorf("authority %s: %w", files.Certificate, err)
+		return nil, nil, fmt.Errorf("parse authority certificate %s: %w", files.Certificate, err)
 	}
 	der, err = readPEM(files.Key)
 	if err != nil {
@@ -132,46 +136,46 @@
 	}
 	key, err := x509.ParseECPrivateKey(der)
 	if err != nil {
-		return nil, nil, fmt.Errorf("authority %s: %w", files.Key, err)
+		return nil, nil, fmt.Errorf("parse authority key %s: %w", files.Key, err)
 	}
 	return certificate, key, nil
 }
 
-func (d KeyDir) newAuthority(files HostFiles) error {
+func (d KeyDir) createAuthority(files HostFiles) error {
 	if err := os.MkdirAll(d.Path, 0o700); err != nil {
-		return fmt.Errorf("key folder: %w", err)
+		return fmt.Errorf("create key directory %s: %w", d.Path, err)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return fmt.Errorf("key of authority: %w", err)
+		return fmt.Errorf("generate key of authority: %w", err)
 	}
 	now := time.Now()
 	template := &x509.Certificate{
-		SerialNumber:          serial(),
+		SerialNumber:          newSerialNumber(),
 		Subject:               pkix.Name{CommonName: "filbertlever authority"},
-		NotBefore:             now.Add(-clockSlack),
-		NotAfter:              now.AddDate(authorityYears, 0, 0),
+		NotBefore:             now.Add(-maxClockSkew),
+		NotAfter:              now.AddDate(authorityValidityYears, 0, 0),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return fmt.Errorf("certificate of authority: %w", err)
+		return fmt.Errorf("create certificate of authority: %w", err)
 	}
-	return writePair(files, der, key)
+	return writeKeyPair(files, der, key)
 }
 
-func serial() *big.Int {
+func newSerialNumber() *big.Int {
 	const bits = 127
 	n, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), bits))
 	return n
 }
 
-func writePair(files HostFiles, certificate []byte, key *ecdsa.PrivateKey) error {
+func writeKeyPair(files HostFiles, certificate []byte, key *ecdsa.PrivateKey) error {
 	der, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return fmt.Errorf("key %s: %w", files.Key, err)
+		return fmt.Errorf("encode key %s: %w", files.Key, err)
 	}
 	if err := writePEM(files.Key, "EC PRIVATE KEY", der, 0o600); err != nil {
 		return err
@@ -198,7 +202,7 @@
 	}
 	block, _ := pem.Decode(data)
 	if block == nil {
-		return nil, fmt.Errorf("read key %s: not PEM", file)
+		return nil, fmt.Errorf("read key %s: not a PEM file", file)
 	}
 	return block.Bytes, nil
 }
--- a/internal/operator/roll.go
+++ b/internal/operator/roll.go
@@ -18,17 +18,19 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// Errors that decide the exit code.
+// Errors that determine the exit code of a command.
 var (
-	// ErrConflict means that somebody else's change won.
+	// ErrConflict means that a concurrent change by somebody else took effect
+	// instead.
 	ErrConflict = errors.New("conflict")
 	// ErrNotRun means that nothing was changed.
 	ErrNotRun = errors.New("not run")
-	// ErrUnknown means that a change may have taken effect; run it again.
+	// ErrUnknown means that a change may have taken effect. Running the same
+	// command again settles it.
 	ErrUnknown = errors.New("outcome unknown; run the same command again")
 )
 
-// Platform is what operators read and write of the platform.
+// Platform is the access to the platform that operator commands need.
 type Platform interface {
 	Get(ctx context.Context, keys ...string) ([]platform.Row, error)
 	List(ctx context.Context, prefix string) ([]platform.Row, error)
@@ -37,7 +39,8 @@
 	GetObject(ctx context.Context, key string) ([]byte, error)
 }
 
-// ReadHead returns the accepted head; its version is 0 if there is none.
+// ReadHead returns the accepted head. Its version is 0 if no bundle was
+// accepted yet.
 func ReadHead(ctx context.Context, client Platform) (state.Head, error) {
 	rows, err := client.Get(ctx, platform.KeyHead)
 	if err != nil {
@@ -47,7 +50,8 @@
 	return head, rows[0].Decode(&head)
 }
 
-// ReadBundle returns the accepted bundle, or nil if there is none.
+// ReadBundle returns the accepted bundle and its head. The bundle is nil if
+// none was accepted yet.
 func ReadBundle(ctx context.Context, client Platform) (*bundle.Signed, state.Head, error) {
 	head, err := ReadHead(ctx, client)
 	if err != nil || head.Version == 0 {
@@ -79,8 +83,8 @@
 	return heads, nil
 }
 
-// Roll makes a signed bundle the accepted one. Running it again with the same
-// bundle is safe and settles an unknown outcome.
+// Roll makes a signed bundle the accepted one. It is idempotent: running it
+// again with the same bundle settles an unknown outcome.
 func Roll(ctx context.Context, client Platform, signed *bundle.Signed, operators bundle.Operators, signOffs int) (state.Head, error) {
 	b, err := signed.Verify(operators, signOffs)
 	if err != nil {
@@ -97,11 +101,12 @@
 	_, _ = rand.Read(id[:])
 	head := state.Head{Version: b.Version, Digest: signed.Digest(), Parent: b.Parent.Digest, RollID: hex.EncodeToString(id[:])}
 	head.Object = platform.KeyBundle(head, data)
-	r := roller{client: client, head: head, data: data, roll: rollout.New(head)}
+	r := rollExecutor{client: client, head: head, data: data, roll: rollout.New(head)}
 	return head, r.run(ctx)
 }
 
-// checkManifests makes sure that hosts can find what the bundle names.
+// checkManifests checks that the platform stores every manifest that the bundle
+// refers to.
 func checkManifests(ctx context.Context, client Platform, b *bundle.Bundle) error {
 	var digests []filbertlever.Digest
 	for _, model := range b.Models {
@@ -122,33 +127,33 @@
 	return nil
 }
 
-// roller carries out the actions of a roll.
-type roller struct {
+// rollExecutor executes the actions that a rollout.Roll decides on.
+type rollExecutor struct {
 	client Platform
 	head   state.Head
 	data   []byte
 	roll   *rollout.Roll
 }
 
-func (r *roller) run(ctx context.Context) error {
+func (r *rollExecutor) run(ctx context.Context) error {
 	action := r.roll.Start()
 	for action.Kind != rollout.ActionFinish {
 		time.Sleep(action.Wait)
-		action = r.carryOut(ctx, action)
+		action = r.execute(ctx, action)
 	}
 	result := action.Result
 	switch result.Verdict {
 	case rollout.VerdictAccepted:
 		return nil
 	case rollout.VerdictConflict:
-		return fmt.Errorf("%w: bundle %d %s is accepted in place of yours", ErrConflict, result.Winner.Version, result.Winner.Digest.Short())
+		return fmt.Errorf("%w: bundle %d %s was accepted instead of this one", ErrConflict, result.Winner.Version, result.Winner.Digest.Short())
 	case rollout.VerdictNotAccepted:
 		return fmt.Errorf("%w: %w", ErrNotRun, result.Err)
 	}
 	return fmt.Errorf("%w: %w", ErrUnknown, result.Err)
 }
 
-func (r *roller) carryOut(ctx context.Context, action rollout.Action) rollout.Action {
+func (r *rollExecutor) execute(ctx context.Context, action rollout.Action) rollout.Action {
 	history := platform.KeyHistory(r.head.Version)
 	switch action.Kind {
 	case rollout.ActionRead:
@@ -164,7 +169,7 @@
 	}
 }
 
-func (r *roller) read(ctx context.Context, history string) (rollout.HeadRead, error) {
+func (r *rollExecutor) read(ctx context.Context, history string) (rollout.HeadRead, error) {
 	rows, err := r.client.Get(ctx, platform.KeyHead, history)
 	if err != nil {
 		return rollout.HeadRead{}, err
@@ -173,7 +178,7 @@
 	return read, errors.Join(rows[0].Decode(&read.Head), rows[1].Decode(&read.Recorded))
 }
 
-// StoreManifest stores a manifest where hosts find it, and returns its digest.
+// StoreManifest stores a manifest on the platform and returns its digest.
 func StoreManifest(ctx context.Context, client Platform, manifest *bundle.Manifest) (filbertlever.Digest, error) {
 	data, err := manifest.Encode()
 	if err != nil {
@@ -186,12 +191,14 @@
 	return digest, nil
 }
 
-// stopTries bounds the retries of a planned stop that others race.
-const stopTries = 5
+// maxStopAttempts bounds the attempts of PlanStop while other operators change
+// the planned stops at the same time.
+const maxStopAttempts = 5
 
-// PlanStop plans the stop of a host, or takes it back.
+// PlanStop plans the stop of a host, or cancels the planned stop if undo is
+// true.
 func PlanStop(ctx context.Context, client Platform, host filbertlever.HostID, undo bool) error {
-	for range stopTries {
+	for range maxStopAttempts {
 		rows, err := client.Get(ctx, platform.KeyStops)
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrNotRun, err)
@@ -216,5 +223,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: planned stops changed %d times in a row", ErrConflict, stopTries)
+	return fmt.Errorf("%w: planned stops changed %d times in a row", ErrConflict, maxStopAttempts)
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -20,13 +20,14 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
+// statusTimeout bounds each status query and the notification of all entries.
 const statusTimeout = 2 * time.Second
 
-// seeds finds the entries that the settings name.
-type seeds []settings.Seed
+// seedAddresses looks up the addresses of the entries in Seeds.
+type seedAddresses []settings.Seed
 
 // PeerAddress returns the address of a seed.
-func (s seeds) PeerAddress(host filbertlever.HostID) (string, bool) {
+func (s seedAddresses) PeerAddress(host filbertlever.HostID) (string, bool) {
 	for _, seed := range s {
 		if seed.Host == host {
 			return seed.PeerAddress, true
@@ -35,26 +36,27 @@
 	return "", false
 }
 
-// deaf answers no calls.
-type deaf struct{}
+// rejectCalls refuses incoming calls, as operators serve none.
+type rejectCalls struct{}
 
-// Handle refuses every call.
-func (deaf) Handle(context.Context, peer.Caller, string, []byte) (any, error) {
+// Handle rejects every call.
+func (rejectCalls) Handle(context.Context, peer.Caller, string, []byte) (any, error) {
 	return nil, errors.New("operators answer no calls")
 }
 
-// ReadStatus asks one entry after the other what it knows of the system.
+// ReadStatus queries the entries in Seeds in order and returns the first status
+// that it gets.
 func ReadStatus(ctx context.Context, s *settings.Settings) (*control.Status, error) {
 	return ReadStatusOver(ctx, s, network.TCP{DialTimeout: peer.DialTimeout})
 }
 
-// ReadStatusOver is ReadStatus over a network of the caller's.
-func ReadStatusOver(ctx context.Context, s *settings.Settings, links network.Network) (*control.Status, error) {
-	connections, clean, err := connect(s, links)
+// ReadStatusOver is ReadStatus over the given network.
+func ReadStatusOver(ctx context.Context, s *settings.Settings, net network.Network) (*control.Status, error) {
+	connections, closeAll, err := connect(s, net)
 	if err != nil {
 		return nil, err
 	}
-	defer clean()
+	defer closeAll()
 	failures := []error{fmt.Errorf("%w: no entry in Seeds answered", ErrNotRun)}
 	for _, seed := range s.Seeds {
 		askCtx, cancel := context.WithTimeout(ctx, statusTimeout)
@@ -69,65 +71,68 @@
 	return nil, errors.Join(failures...)
 }
 
-func connect(s *settings.Settings, links network.Network) (*peer.Control, func(), error) {
+func connect(s *settings.Settings, net network.Network) (*peer.Control, func(), error) {
 	keys, err := peer.LoadKeys(peer.Files{Authority: s.TLS.Authority, Certificate: s.TLS.Certificate, Key: s.TLS.Key})
 	if err != nil {
 		return nil, nil, err
 	}
-	clients, closeClients := peer.NewClients(keys, links)
-	connections, closeControl := peer.NewControl(clients, seeds(s.Seeds), deaf{}, zap.NewNop())
-	clean := func() {
+	clients, closeClients := peer.NewClients(keys, net)
+	connections, closeControl := peer.NewControl(clients, seedAddresses(s.Seeds), rejectCalls{}, zap.NewNop())
+	closeAll := func() {
 		closeControl()
 		closeClients()
 	}
-	return connections, clean, nil
+	return connections, closeAll, nil
 }
 
-// Announce tells the entries in Seeds of an accepted roll, and returns how
-// many heard it. Entries that do not hear it read the head from the platform
-// or from each other.
-func Announce(ctx context.Context, s *settings.Settings, links network.Network, head state.Head, signed *bundle.Signed) (int, error) {
+// Announce notifies the entries in Seeds of an accepted bundle and returns how
+// many confirmed it. The others read the head from the platform or from each
+// other.
+func Announce(ctx context.Context, s *settings.Settings, net network.Network, head state.Head, signed *bundle.Signed) (int, error) {
 	data, err := signed.Encode()
 	if err != nil {
 		return 0, err
 	}
-	connections, clean, err := connect(s, links)
+	connections, closeAll, err := connect(s, net)
 	if err != nil {
 		return 0, err
 	}
-	defer clean()
+	defer closeAll()
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	var told atomic.Int64
+	var confirmed atomic.Int64
 	var group sync.WaitGroup
 	for _, seed := range s.Seeds {
 		group.Go(func() {
 			if connections.Call(ctx, seed.Host, control.MethodAccepted, control.Accepted{Head: head, Signed: data}, nil) == nil {
-				told.Add(1)
+				confirmed.Add(1)
 			}
 		})
 	}
 	group.Wait()
-	return int(told.Load()), nil
+	return int(confirmed.Load()), nil
 }
 
-// Summary is how far the accepted bundle has come.
+// Summary is the rollout progress of the accepted bundle.
 type Summary struct {
 	Version uint64
-	// InForce of Hosts usable hosts have the bundle in force.
-	InForce, Hosts int
-	// Live of Wanted sets of weights are live, over all hosts.
-	Live, Wanted int
-	// Failed sets of weights wait for another try.
+	// Active is the number of agents, of Hosts usable ones, that use the bundle.
+	Active, Hosts int
+	// Live is the number of sets of weights that are live, of Required sets over
+	// all usable hosts.
+	Live, Required int
+	// Failed is the number of sets of weights that wait for a retry.
 	Failed int
-	// Bytes taken, over all hosts.
+	// Origin, Store and Peer are the bytes that all hosts fetched from each
+	// source.
 	Origin, Store, Peer int64
 }
 
-// Done reports whether the bundle is in force and live everywhere.
-func (s Summary) Done() bool { return s.InForce == s.Hosts && s.Live == s.Wanted }
+// Done reports whether the bundle is active on every usable agent and all its
+// weights are live.
+func (s Summary) Done() bool { return s.Active == s.Hosts && s.Live == s.Required }
 
-// Summarize counts a status up.
+// Summarize aggregates the status of all hosts.
 func Summarize(status *control.Status) Summary {
 	summary := Summary{Version: status.Head.Version}
 	for _, host := range status.Hosts {
@@ -140,11 +145,11 @@
 		if host.Host.Role == filbertlever.RoleAgent {
 			summary.Hosts++
 			if host.InForce == status.Head.Version {
-				summary.InForce++
+				summary.Active++
 			}
 		}
 		for _, weights := range host.Weights {
-			summary.Wanted++
+			summary.Required++
 			switch weights.Stage {
 			case placement.StageLive:
 				summary.Live++
--- a/internal/settings/example.go
+++ b/internal/settings/example.go
@@ -1,6 +1,6 @@
 package settings
 
-// Examples by use; tests parse each of them.
+// examples holds one settings file per Use. The tests parse each of them.
 var examples = map[Use]string{
 	UseEntry: `Host: entry-1
 Site: bilbao
@@ -85,5 +85,5 @@
 `,
 }
 
-// Example returns an example of a settings file.
+// Example returns an example settings file for a use.
 func Example(use Use) string { return examples[use] }
--- a/internal/settings/installation.go
+++ b/internal/settings/installation.go
@@ -9,22 +9,24 @@
 	"github.com/filbertlever/filbertlever/pkg/document"
 )
 
-// Installation is the settings file of a process on a users' platform, where
-// the store is shared, callers send plain HTTP and nothing has a disk.
+// Installation is the settings file of a process that runs on a users'
+// platform. There, the store is shared, callers send plain HTTP and no process
+// has a disk.
 type Installation struct {
-	// Host names this host.
+	// Host is the name of this host.
 	Host   filbertlever.HostID `yaml:"Host"`
 	Site   string              `yaml:"Site"`
 	Region string              `yaml:"Region"`
-	// Regions gives the region of each site.
+	// Regions maps each site to its region.
 	Regions map[string]string `yaml:"Regions"`
-	// Store is the address of the platform's store.
+	// Store is the address (IP:port) of the platform's store.
 	Store  string             `yaml:"Store"`
 	Listen InstallationListen `yaml:"Listen"`
-	// Seeds are peer addresses of entries to ask first; some may be gone.
+	// Seeds are peer addresses of entries to contact at startup. Some of them
+	// may no longer exist.
 	Seeds []string `yaml:"Seeds"`
 	// FirstStart is true if the whole installation starts for the first time, so
-	// that model servers hold what they were delivered with.
+	// that model servers still have the weights they were delivered with.
 	FirstStart  bool        `yaml:"FirstStart"`
 	ModelServer ModelServer `yaml:"ModelServer"`
 	Bounds      Bounds      `yaml:"Bounds"`
@@ -32,56 +34,56 @@
 	Log         Log         `yaml:"Log"`
 }
 
-// InstallationListen is where a process listens. An agent has only Datagrams
-// and Metrics.
+// InstallationListen holds the addresses that a process listens on. An agent
+// uses only Datagrams and Metrics.
 type InstallationListen struct {
-	// Callers is where callers send requests.
+	// Callers accepts callers' requests.
 	Callers string `yaml:"Callers"`
-	// Ready answers whether new callers should come.
+	// Ready serves the readiness check for new callers.
 	Ready string `yaml:"Ready"`
-	// Locate answers which entries a caller should use.
+	// Locate serves the list of entries that a caller should use.
 	Locate string `yaml:"Locate"`
-	// Peers is where other processes call.
+	// Peers accepts calls of other processes.
 	Peers string `yaml:"Peers"`
-	// Datagrams takes heartbeats and load reports over UDP. An agent also gives out
-	// pieces of weights there, over TCP.
+	// Datagrams receives heartbeats and load reports over UDP. An agent also
+	// serves pieces of weights over TCP at this address.
 	Datagrams string `yaml:"Datagrams"`
 	// Metrics serves counters and histograms.
 	Metrics string `yaml:"Metrics"`
 }
 
-// ModelServer is the model server beside an agent.
+// ModelServer describes the model server beside an agent.
 type ModelServer struct {
 	Address string `yaml:"Address"`
 	Service string `yaml:"Service"`
 }
 
-// Bounds are what the users hold the system to.
+// Bounds holds the limits that the users require of the system.
 type Bounds struct {
-	// Revoke is the time in which a key that is taken away stops working; 0
-	// means no bound.
+	// Revoke is the maximum time until a revoked key stops working. 0 means no
+	// bound.
 	Revoke document.Duration `yaml:"Revoke"`
-	// Version is the time in which a named version is the only one to answer;
-	// 0 means no bound.
+	// Version is the maximum time until only the version that the desired state
+	// names answers requests. 0 means no bound.
 	Version document.Duration `yaml:"Version"`
-	// RetryRatio and RetrySlack bound the retries of all entries together, in
+	// RetryRatio and RetrySlack bound the total retries of all entries within
 	// any RetryWindow.
 	RetryRatio  float64           `yaml:"RetryRatio"`
 	RetrySlack  float64           `yaml:"RetrySlack"`
 	RetryWindow document.Duration `yaml:"RetryWindow"`
-	// Keep is how long callers may keep an answer of Locate.
+	// Keep is how long callers may cache a response of Locate.
 	Keep document.Duration `yaml:"Keep"`
-	// Stop is the time from the signal to stop to the end of the process.
+	// Stop is the time from the termination signal to the end of the process.
 	Stop document.Duration `yaml:"Stop"`
 }
 
-// Machine is what the host gives a process.
+// Machine holds the resources that the host grants a process.
 type Machine struct {
 	Cores  int           `yaml:"Cores"`
 	Memory document.Size `yaml:"Memory"`
 }
 
-// DefaultInstallation returns the settings that a file changes.
+// DefaultInstallation returns the default settings, which a file overrides.
 func DefaultInstallation() Installation {
 	return Installation{
 		Bounds: Bounds{
@@ -95,7 +97,7 @@
 	}
 }
 
-// LoadInstallation reads and checks a file for UseEntry or UseAgent.
+// LoadInstallation reads and validates a settings file for UseEntry or UseAgent.
 func LoadInstallation(path string, use Use) (*Installation, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -108,8 +110,8 @@
 	return s, nil
 }
 
-// ParseInstallation decodes and checks a file as a whole. Its error is a
-// document.Faults with every fault.
+// ParseInstallation decodes and validates a settings file. Its error is a
+// document.Faults that lists every fault.
 func ParseInstallation(data []byte, use Use) (*Installation, error) {
 	s := DefaultInstallation()
 	check := document.Decode(data, &s)
--- a/internal/settings/installation_test.go
+++ b/internal/settings/installation_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const goodEntry = `Host: entry-1
+const validEntry = `Host: entry-1
 Site: a
 Region: ra
 Store: "127.0.0.2:7600"
@@ -15,9 +15,9 @@
 Bounds: {Revoke: 5s, Version: 8s, RetryRatio: 0.2, RetrySlack: 100}
 `
 
-// A file is checked as a whole: each fault names the field, its value and what
-// was expected, and all are told at once.
-func TestInstallationFaults(t *testing.T) {
+// All faults of a file are reported at once, each with the field, its value and
+// what was expected.
+func TestInstallationReportsEveryFault(t *testing.T) {
 	tests := []struct {
 		name, from, to string
 		want           []string
@@ -32,7 +32,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			text := strings.Replace(goodEntry, test.from, test.to, 1)
+			text := strings.Replace(validEntry, test.from, test.to, 1)
 			_, err := ParseInstallation([]byte(text), UseEntry)
 			if test.want == nil {
 				qt.Assert(t, err, qt.IsNil)
@@ -46,8 +46,9 @@
 	}
 }
 
-// An agent needs its model server.
-func TestAnAgentNeedsItsModelServer(t *testing.T) {
-	_, err := ParseInstallation([]byte(goodEntry), UseAgent)
+// Settings of an agent that lack the address and service of its model server
+// are rejected.
+func TestAgentWithoutModelServerIsRejected(t *testing.T) {
+	_, err := ParseInstallation([]byte(validEntry), UseAgent)
 	qt.Assert(t, err, qt.ErrorMatches, `(?s).*ModelServer.Address.*ModelServer.Service.*`)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings holds the settings files of processes and operators.
+// Package settings loads and validates the settings files of processes and
+// operators.
 package settings
 
 import (
@@ -14,28 +15,28 @@
 )
 
 // Settings is the settings file of one process, or of an operator's or
-// caller's desk. Each command uses the sections that it needs.
+// caller's commands. Each command uses the sections that it needs.
 type Settings struct {
-	// Host names this host; its certificate bears the name.
+	// Host is the name of this host. It must match the host's certificate.
 	Host   filbertlever.HostID `yaml:"Host"`
 	Site   string              `yaml:"Site"`
 	Region string              `yaml:"Region"`
-	// Peer is where other processes of the system connect.
+	// Peer is the address for connections from other processes of the system.
 	Peer Listener `yaml:"Peer"`
-	// Callers is where callers connect; entries only.
+	// Callers is the address for connections from callers. Only entries use it.
 	Callers Listener `yaml:"Callers"`
-	// Admin serves metrics and health.
+	// Admin is the address for metrics and health checks.
 	Admin    Admin    `yaml:"Admin"`
 	TLS      TLS      `yaml:"TLS"`
 	Platform Platform `yaml:"Platform"`
-	// SignOffs is the least number of sign-offs of a bundle.
+	// SignOffs is the minimum number of sign-offs of a bundle.
 	SignOffs  int        `yaml:"SignOffs"`
 	Operators []Operator `yaml:"Operators"`
-	// Seeds are entries to ask before the host list is known.
+	// Seeds are entries to contact before the host list is available.
 	Seeds []Seed `yaml:"Seeds"`
-	// Agent is the section of an agent.
+	// Agent holds the settings that only agents use.
 	Agent Agent `yaml:"Agent"`
-	// Entry is the section of an entry.
+	// Entry holds the settings that only entries use.
 	Entry Entry `yaml:"Entry"`
 	Stop  Stop  `yaml:"Stop"`
 	Log   Log   `yaml:"Log"`
@@ -43,41 +44,41 @@
 
 // Listener is an address to listen on.
 type Listener struct {
-	// Address is IP:port.
+	// Address is written as IP:port.
 	Address string `yaml:"Address"`
 }
 
-// Admin is the address for metrics and health.
+// Admin configures the listener for metrics and health checks.
 type Admin struct {
 	Address string `yaml:"Address"`
-	// Profiling serves pprof there too.
+	// Profiling also serves pprof at Address.
 	Profiling bool `yaml:"Profiling"`
 }
 
-// TLS names the files of a process's keys.
+// TLS holds the paths of a process's certificates and key.
 type TLS struct {
 	Authority   string `yaml:"Authority"`
 	Certificate string `yaml:"Certificate"`
 	Key         string `yaml:"Key"`
 }
 
-// Platform says where the platform is.
+// Platform configures the access to the platform.
 type Platform struct {
 	URL string `yaml:"URL"`
-	// Timeout bounds each call.
+	// Timeout bounds each call to the platform.
 	Timeout document.Duration `yaml:"Timeout"`
-	// Poll is how often an entry that watches the platform reads it.
+	// Poll is the interval at which an entry that watches the platform reads it.
 	Poll document.Duration `yaml:"Poll"`
 }
 
-// Operator is somebody who may sign bundles.
+// Operator is a person who may sign bundles.
 type Operator struct {
 	Name string `yaml:"Name"`
 	// PublicKey is the ed25519 key in base64.
 	PublicKey string `yaml:"PublicKey"`
 }
 
-// Seed is an entry known from the start.
+// Seed is an entry whose address is configured, not discovered.
 type Seed struct {
 	Host        filbertlever.HostID `yaml:"Host"`
 	PeerAddress string              `yaml:"PeerAddress"`
@@ -91,54 +92,56 @@
 	Engine string `yaml:"Engine"`
 	// Service is the URL of the plain service, if the pool has one.
 	Service string `yaml:"Service"`
-	// Weights is where the engine reads weights from this agent.
+	// Weights is the address from which the engine reads weights.
 	Weights Listener `yaml:"Weights"`
 	// Origin and Store are the URLs of the sources of weights.
 	Origin string `yaml:"Origin"`
 	Store  string `yaml:"Store"`
-	// Link is what this host's link carries in a second, each way; 0 if that
-	// is not known, and then weights are not paced under live requests.
+	// Link is the bandwidth of this host's network link in bytes per second, in
+	// each direction. If it is 0 (unknown), transfers of weights are not paced
+	// while live requests run.
 	Link document.Size `yaml:"Link"`
 }
 
 // Entry holds the settings of an entry.
 type Entry struct {
-	// OrderWrites is how many platform writes a second the orders of the
-	// whole system may take.
+	// OrderWrites is the maximum number of platform writes per second for the
+	// orders of the whole system.
 	OrderWrites int `yaml:"OrderWrites"`
-	// Keep is how long callers may keep an answer of Locate.
+	// Keep is how long callers may cache a response of Locate.
 	Keep document.Duration `yaml:"Keep"`
-	// Timeout is a request's deadline if the caller names none.
+	// Timeout is the deadline of a request if the caller sets none.
 	Timeout document.Duration `yaml:"Timeout"`
 }
 
-// Stop holds the times of a planned stop.
+// Stop holds the timing of a planned stop.
 type Stop struct {
-	// Grace is how long new work is taken after the announcement.
+	// Grace is how long new requests are still accepted after the stop was
+	// announced.
 	Grace document.Duration `yaml:"Grace"`
-	// Move is when running streams are moved to other hosts.
+	// Move is the time after which running streams are moved to other hosts.
 	Move document.Duration `yaml:"Move"`
 }
 
-// Log says how to log.
+// Log configures logging.
 type Log struct {
 	// Level is Debug, Info, Warn or Error.
 	Level string `yaml:"Level"`
-	// Format is JSON, Console, or Auto: console on a terminal.
+	// Format is JSON, Console or Auto. Auto selects Console on a terminal.
 	Format string `yaml:"Format"`
 }
 
-// Use is what a settings file is used for.
+// Use is the kind of process or user that a settings file is for.
 type Use string
 
-// The uses.
+// The kinds of settings files.
 const (
 	UseEntry    Use = "Entry"
 	UseAgent    Use = "Agent"
 	UseOperator Use = "Operator"
 )
 
-// Defaults returns the settings that a file changes.
+// Defaults returns the default settings, which a file overrides.
 func Defaults() Settings {
 	return Settings{
 		Platform: Platform{Timeout: document.Duration(2 * time.Second), Poll: document.Duration(500 * time.Millisecond)},
@@ -149,7 +152,7 @@
 	}
 }
 
-// Load reads a settings file and checks it as a whole for a use.
+// Load reads a settings file and validates it for a use.
 func Load(file string, use Use) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -162,7 +165,7 @@
 	return s, nil
 }
 
-// Parse checks settings as a whole; the error holds every fault.
+// Parse decodes and validates settings for a use. The error lists every fault.
 func Parse(data []byte, use Use) (*Settings, error) {
 	s := Defaults()
 	check := document.Decode(data, &s)
@@ -187,7 +190,8 @@
 	return &s, nil
 }
 
-// OperatorKeys returns the public keys of the operators, which Parse checked.
+// OperatorKeys returns the public keys of the operators. Parse has validated
+// them.
 func (s *Settings) OperatorKeys() bundle.Operators {
 	keys := bundle.Operators{}
 	for _, operator := range s.Operators {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	c := qt.New(t)
 	for _, use := range []settings.Use{settings.UseEntry, settings.UseAgent, settings.UseOperator} {
 		_, err := settings.Parse([]byte(settings.Example(use)), use)
@@ -36,9 +36,9 @@
 	}
 }
 
-// An operator mends one fault of a settings file after the other, with a
-// restart for each.
-func TestEveryFaultInOneReport(t *testing.T) {
+// If only the first fault were reported, an operator would have to fix the
+// faults of a settings file one by one, with a restart for each.
+func TestAllFaultsAreReportedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	text := settings.Example(settings.UseEntry)
 	text = strings.Replace(text, "Address: 127.0.0.11:7443", "Address: localhost", 1)
@@ -50,7 +50,7 @@
 line 30: Stop.Grace: "20s": expected at most 3s`)
 }
 
-func TestUnknownFieldsAndTypes(t *testing.T) {
+func TestUnknownFieldsAndWrongTypesAreReported(t *testing.T) {
 	c := qt.New(t)
 	_, err := settings.Parse([]byte("Host: entry-1\nHots: entry-2\nSignOffs: many\nPlatform:\n  Timeout: soon\n"), settings.UseEntry)
 	c.Assert(err, qt.ErrorMatches, `(?s).*line 2: Hots: unknown field.*`)
@@ -64,7 +64,7 @@
 	f.Add([]byte(settings.Example(settings.UseAgent)))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if s, err := settings.Parse(data, settings.UseAgent); err == nil && s.Agent.Pool == "" {
-			t.Fatal("settings without a pool passed")
+			t.Fatal("Parse accepted agent settings without a pool")
 		}
 	})
 }
