--- a/cmd/filbertlever-bench/control.go
+++ b/cmd/filbertlever-bench/control.go
@@ -11,7 +11,8 @@
 
 type controlCommand struct{}
 
-// Run measures and prints a table, the fits and a line of JSON for each row.
+// Run runs the measurement and prints a table, the linear fits and one line of
+// JSON per row.
 func (c *controlCommand) Run(ctx context.Context) error {
 	result, err := controlbench.Measure(ctx)
 	if err != nil {
--- a/cmd/filbertlever-bench/experiment.go
+++ b/cmd/filbertlever-bench/experiment.go
@@ -8,10 +8,11 @@
 )
 
 type experimentCommand struct {
-	File string `arg:"" help:"The experiment, as YAML; docs/measurements/experiments has some."`
+	File string `arg:"" help:"Experiment file in YAML; docs/measurements/experiments has examples."`
 }
 
-// Run plays each policy of an experiment with each seed in virtual time and prints a table.
+// Run simulates each policy of an experiment with each seed in virtual time and
+// prints a table.
 func (c *experimentCommand) Run() error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
@@ -19,7 +20,7 @@
 	}
 	e, err := experiment.Parse(data)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.File, err)
+		return fmt.Errorf("parse experiment %s: %w", c.File, err)
 	}
 	rows := e.Run(func(policy string, seed uint64) {
 		fmt.Fprintf(os.Stderr, "%s, seed %d\n", policy, seed)
--- a/cmd/filbertlever-bench/main.go
+++ b/cmd/filbertlever-bench/main.go
@@ -13,10 +13,10 @@
 )
 
 type arguments struct {
-	Weights    weightsCommand    `cmd:"" help:"How weights reach many hosts, and how long a roll takes."`
-	Requests   requestsCommand   `cmd:"" help:"Requests under load and faults, and what the path costs."`
-	Control    controlCommand    `cmd:"" help:"What control costs an idle process, and how that grows."`
-	Experiment experimentCommand `cmd:"" help:"Policies compared in virtual time, on modelled engines and callers."`
+	Weights    weightsCommand    `cmd:"" help:"Measure the distribution of weights to many hosts, and the duration of rollouts."`
+	Requests   requestsCommand   `cmd:"" help:"Measure requests under load and faults, and the overhead of the request path."`
+	Control    controlCommand    `cmd:"" help:"Measure the cost of the control protocol for idle processes, and how it scales."`
+	Experiment experimentCommand `cmd:"" help:"Compare policies in virtual time, with simulated engines and callers."`
 }
 
 func main() {
@@ -30,7 +30,7 @@
 	}
 }
 
-// printRow prints a row as one line of JSON.
+// printRow prints a row and its kind as one line of JSON.
 func printRow(kind string, row any) {
 	line, err := json.Marshal(struct {
 		Kind string
--- a/cmd/filbertlever-bench/requests.go
+++ b/cmd/filbertlever-bench/requests.go
@@ -11,7 +11,8 @@
 
 type requestsCommand struct{}
 
-// Run measures and prints a table, a line of JSON for each row and the summary.
+// Run runs the measurement and prints a table, one line of JSON per row and a
+// summary.
 func (c *requestsCommand) Run(ctx context.Context) error {
 	result, err := requestsbench.Measure(ctx)
 	if err != nil {
--- a/cmd/filbertlever-bench/weights.go
+++ b/cmd/filbertlever-bench/weights.go
@@ -10,18 +10,19 @@
 )
 
 type weightsCommand struct {
-	Rolls int    `default:"50" help:"Rolls of each kind."`
-	Plot  string `help:"File for the plot, as PNG."`
+	Rolls int    `default:"50" help:"Number of rollouts of each kind."`
+	Plot  string `help:"File to write a plot to, as PNG."`
 }
 
-// Run measures and prints a table, a line of JSON for each row and the summary.
+// Run runs the measurement and prints a table, one line of JSON per row and a
+// summary.
 func (c *weightsCommand) Run(ctx context.Context) error {
 	result, err := weightsbench.Measure(ctx, weightsbench.DefaultScale(), c.Rolls)
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "way\thosts\tlast s\tmedian s\tbound s\tover bound\torigin copies\tsite copies\t")
+	fmt.Fprintln(w, "method\thosts\tlast s\tmedian s\tbound s\tover bound\torigin copies\tsite copies\t")
 	for _, row := range result.Rows {
 		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t\n", row.Way, row.Hosts, row.Last, row.Median, row.Bound, row.OverBound, row.OriginCopies, row.SiteCopies)
 	}
--- a/cmd/filbertlever-logs/read.go
+++ b/cmd/filbertlever-logs/read.go
@@ -15,19 +15,20 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/outcome"
 )
 
-// lineMost bounds a line; the longest that entries write have 1 KB.
-const lineMost = 64 << 10
+// maxLineLength bounds a line. The longest lines that entries write have 1 KB.
+const maxLineLength = 64 << 10
 
-// read counts what was read.
-type read struct {
+// readCounts counts the files and lines that were read. Bad is the number of
+// lines that could not be parsed.
+type readCounts struct {
 	Files, Lines, Bad int
 }
 
-// readDirectory reads all files below a directory. A file may hold the lines of several
-// entries; those of one entry are in order.
-func readDirectory(directory string, goal time.Duration) ([]outcome.Row, read, error) {
+// readDirectory reads all files below a directory. A file may hold the lines of
+// several entries. The lines of each entry must be in order.
+func readDirectory(directory string, goal time.Duration) ([]outcome.Row, readCounts, error) {
 	var day outcome.Day
-	var counts read
+	var counts readCounts
 	err := filepath.WalkDir(directory, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || !entry.Type().IsRegular() {
 			return err
@@ -48,40 +49,41 @@
 	return day.Rows(), counts, err
 }
 
-// readLines takes each line. A line may begin with other text, as what gathered the logs
-// puts before it.
-func readLines(from io.Reader, tally *outcome.Tally, counts *read) error {
-	reader := bufio.NewReaderSize(from, lineMost)
+// readLines adds each line to tally. A line may begin with other text, as log
+// collectors add prefixes.
+func readLines(from io.Reader, tally *outcome.Tally, counts *readCounts) error {
+	reader := bufio.NewReaderSize(from, maxLineLength)
 	for {
 		data, err := reader.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
 			counts.Lines++
 			counts.Bad++
 			if err := skipLine(reader); err != nil {
-				return ignoreEnd(err)
+				return ignoreEOF(err)
 			}
 			continue
 		}
 		if len(bytes.TrimSpace(data)) > 0 {
 			counts.Lines++
-			if !takeLine(data, tally) {
+			if !addLine(data, tally) {
 				counts.Bad++
 			}
 		}
 		if err != nil {
-			return ignoreEnd(err)
+			return ignoreEOF(err)
 		}
 	}
 }
 
-func ignoreEnd(err error) error {
+// ignoreEOF returns nil if err is io.EOF, and err otherwise.
+func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-// skipLine reads to the end of a line that is too long.
+// skipLine discards the rest of a line that is longer than maxLineLength.
 func skipLine(reader *bufio.Reader) error {
 	for {
 		_, err := reader.ReadSlice('\n')
@@ -91,8 +93,9 @@
 	}
 }
 
-// takeLine reports whether a line could be read.
-func takeLine(data []byte, tally *outcome.Tally) bool {
+// addLine parses a line and adds it to tally. It reports whether the line could
+// be parsed.
+func addLine(data []byte, tally *outcome.Tally) bool {
 	start := bytes.IndexByte(data, '{')
 	if start < 0 {
 		return false
--- a/cmd/filbertlever-logs/table.go
+++ b/cmd/filbertlever-logs/table.go
@@ -16,23 +16,24 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/outcome"
 )
 
-// shown are the kinds in the order of columns.
-var shown = []outcome.Kind{outcome.KindInTime, outcome.KindLate, outcome.KindRefused, outcome.KindRefusedAgain, outcome.KindBroken, outcome.KindFault, outcome.KindLeft}
+// columns are the kinds of outcomes in the order of the table's columns.
+var columns = []outcome.Kind{outcome.KindInTime, outcome.KindLate, outcome.KindRefused, outcome.KindRefusedAgain, outcome.KindBroken, outcome.KindFault, outcome.KindLeft}
 
-// second is what became of the requests that came in one second.
-type second struct {
+// secondCounts counts the requests that arrived within one second, by outcome
+// and cause.
+type secondCounts struct {
 	kinds  map[outcome.Kind]int
 	causes map[outcome.Cause]int
 }
 
-// bySecond returns the seconds in order, and what came in each.
-func bySecond(rows []outcome.Row) ([]int64, map[int64]*second) {
+// groupBySecond returns the seconds in order, and the counts of each second.
+func groupBySecond(rows []outcome.Row) ([]int64, map[int64]*secondCounts) {
 	var order []int64
-	seconds := map[int64]*second{}
+	seconds := map[int64]*secondCounts{}
 	for _, row := range rows {
 		s, ok := seconds[row.Second]
 		if !ok {
-			s = &second{kinds: map[outcome.Kind]int{}, causes: map[outcome.Cause]int{}}
+			s = &secondCounts{kinds: map[outcome.Kind]int{}, causes: map[outcome.Cause]int{}}
 			seconds[row.Second] = s
 			order = append(order, row.Second)
 		}
@@ -44,16 +45,16 @@
 	return order, seconds
 }
 
-// printTable prints one line a second, and the sums by cause.
-func printTable(to io.Writer, rows []outcome.Row, counts read) error {
+// printTable prints one line per second and a line with the totals.
+func printTable(to io.Writer, rows []outcome.Row, counts readCounts) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "Second\t")
-	for _, kind := range shown {
+	for _, kind := range columns {
 		fmt.Fprintf(w, "%s\t", kind)
 	}
 	fmt.Fprint(w, " Causes\n")
-	order, seconds := bySecond(rows)
-	total := &second{kinds: map[outcome.Kind]int{}, causes: map[outcome.Cause]int{}}
+	order, seconds := groupBySecond(rows)
+	total := &secondCounts{kinds: map[outcome.Kind]int{}, causes: map[outcome.Cause]int{}}
 	for _, at := range order {
 		s := seconds[at]
 		printSecond(w, time.Unix(at, 0).UTC().Format(time.TimeOnly), s)
@@ -69,16 +70,16 @@
 	return w.Flush()
 }
 
-func printSecond(w io.Writer, name string, s *second) {
+func printSecond(w io.Writer, name string, s *secondCounts) {
 	fmt.Fprintf(w, "%s\t", name)
-	for _, kind := range shown {
+	for _, kind := range columns {
 		fmt.Fprintf(w, "%d\t", s.kinds[kind])
 	}
-	fmt.Fprintf(w, " %s\n", strings.Join(byNumber(s.causes), ", "))
+	fmt.Fprintf(w, " %s\n", strings.Join(formatCauses(s.causes), ", "))
 }
 
-// byNumber returns the causes, the most frequent first.
-func byNumber(causes map[outcome.Cause]int) []string {
+// formatCauses formats the causes with their counts, the most frequent first.
+func formatCauses(causes map[outcome.Cause]int) []string {
 	var names []outcome.Cause
 	for cause := range causes {
 		names = append(names, cause)
@@ -96,12 +97,12 @@
 	return texts
 }
 
-// draw draws the requests of each cause by second.
-func draw(file string, rows []outcome.Row) error {
+// writePlot writes a plot of the requests of each cause by second.
+func writePlot(file string, rows []outcome.Row) error {
 	p := plot.New()
-	p.Title.Text = "Requests that were late, refused or broken, by the second in which they came"
+	p.Title.Text = "Late, refused and broken requests by second of arrival"
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "requests"
-	order, seconds := bySecond(rows)
+	order, seconds := groupBySecond(rows)
 	causes := map[outcome.Cause]bool{}
 	for _, s := range seconds {
 		for cause := range s.causes {
@@ -122,11 +123,11 @@
 		lines = append(lines, name, points)
 	}
 	if err := plotutil.AddLines(p, lines...); err != nil {
-		return fmt.Errorf("plot: %w", err)
+		return fmt.Errorf("add lines to plot: %w", err)
 	}
 	p.Legend.Top = true
 	if err := p.Save(25*vg.Centimeter, 12*vg.Centimeter, file); err != nil {
-		return fmt.Errorf("plot: %w", err)
+		return fmt.Errorf("save plot: %w", err)
 	}
 	return nil
 }
--- a/cmd/filbertlever-proof/main.go
+++ b/cmd/filbertlever-proof/main.go
@@ -1,4 +1,5 @@
-// Command filbertlever-proof runs the project's proofs, for developers and CI.
+// Command filbertlever-proof runs the project's mutation tests and fault matrix,
+// for developers and CI.
 package main
 
 import (
@@ -16,17 +17,17 @@
 )
 
 type arguments struct {
-	Guards guardsCommand `cmd:"" help:"Remove each guard in turn and see its test fail."`
-	Soak   soakCommand   `cmd:"" help:"Take parts out in turn and see the soak notice."`
-	Matrix matrixCommand `cmd:"" help:"Run the tests of the fault matrix and print it."`
-	Page   pageCommand   `cmd:"" help:"Print the page of the fault matrix, without running tests."`
+	Guards guardsCommand `cmd:"" help:"Remove each guard in turn and check that its test fails."`
+	Soak   soakCommand   `cmd:"" help:"Remove one part at a time and check that the soak test detects it."`
+	Matrix matrixCommand `cmd:"" help:"Run the tests of the fault matrix and print the result of each cell."`
+	Page   pageCommand   `cmd:"" help:"Print the reference page of the fault matrix, without running tests."`
 }
 
 type guardsCommand struct {
-	List string `default:"proof/guards.yaml" help:"List of the guards."`
+	List string `default:"proof/guards.yaml" help:"File that lists the guards."`
 }
 
-// Run prints a line for each guard.
+// Run removes each guard and prints one line per guard.
 func (c *guardsCommand) Run(ctx context.Context) error {
 	guards, err := proof.LoadGuards(c.List)
 	if err != nil {
@@ -48,21 +49,21 @@
 	}
 	fmt.Printf("guards: caught=%d missed=%d\n", caught, missed)
 	if missed > 0 {
-		return errors.New("guards were missed")
+		return errors.New("the tests of some guards did not fail")
 	}
 	return nil
 }
 
 type soakCommand struct {
-	List     string        `default:"proof/soak.yaml" help:"List of what is taken out."`
-	Program  string        `default:"bin/filbertlever-soak" help:"The soak's program."`
+	List     string        `default:"proof/soak.yaml" help:"File that lists the removals."`
+	Program  string        `default:"bin/filbertlever-soak" help:"Path of the soak test program."`
 	First    uint64        `default:"1" help:"First seed."`
-	Seeds    int           `default:"6" help:"Seeds to run at most for each."`
-	Length   time.Duration `default:"36s" help:"Time of each run."`
-	Parallel int           `default:"3" help:"How many run at once."`
+	Seeds    int           `default:"6" help:"Maximum number of seeds to run for each removal."`
+	Length   time.Duration `default:"36s" help:"Duration of each run."`
+	Parallel int           `default:"3" help:"Number of runs in parallel."`
 }
 
-// Run prints a line for each part.
+// Run prints one line per removal.
 func (c *soakCommand) Run(ctx context.Context) error {
 	removals, err := proof.LoadRemovals(c.List)
 	if err != nil {
@@ -81,16 +82,16 @@
 	})
 	fmt.Printf("soak: caught=%d missed=%d\n", caught, missed)
 	if missed > 0 {
-		return errors.New("losses were missed")
+		return errors.New("the soak test did not detect some removals")
 	}
 	return nil
 }
 
 type matrixCommand struct {
-	Data string `default:"proof/matrix.yaml" help:"The matrix."`
+	Data string `default:"proof/matrix.yaml" help:"File with the fault matrix."`
 }
 
-// Run prints a line for each cell that is not settled, and the counts.
+// Run runs the tests and prints one line per cell, and the counts.
 func (c *matrixCommand) Run(ctx context.Context) error {
 	m, err := proof.LoadMatrix(c.Data)
 	if err != nil {
@@ -107,16 +108,16 @@
 	fmt.Printf("matrix: proved=%d not_applicable=%d not_proved=%d failed=%d\n",
 		counts[proof.Proved], counts[proof.NotApplicable], counts[proof.NotProved], counts[proof.Failed])
 	if counts[proof.Failed] > 0 {
-		return errors.New("cells failed")
+		return errors.New("tests of some cells failed")
 	}
 	return nil
 }
 
 type pageCommand struct {
-	Data string `default:"proof/matrix.yaml" help:"The matrix."`
+	Data string `default:"proof/matrix.yaml" help:"File with the fault matrix."`
 }
 
-// Run prints the page.
+// Run prints the reference page.
 func (c *pageCommand) Run() error {
 	m, err := proof.LoadMatrix(c.Data)
 	if err != nil {
--- a/cmd/filbertlever-soak/main.go
+++ b/cmd/filbertlever-soak/main.go
@@ -1,5 +1,5 @@
 // Command filbertlever-soak runs the real programs under random faults and
-// checks what callers and backend servers see.
+// checks what callers and backend servers observe.
 package main
 
 import (
@@ -18,20 +18,20 @@
 )
 
 type command struct {
-	Binary  string        `required:"" type:"existingfile" help:"The filbertlever program."`
-	Seed    uint64        `help:"First seed; by default one of the clock."`
-	Seeds   int           `default:"1" help:"How many seeds to run, one after the other."`
-	Length  time.Duration `default:"40s" help:"Time of each run."`
-	Entries int           `default:"6" help:"Entries."`
-	Agents  int           `default:"12" help:"Agents, each beside a model server."`
-	Plain   int           `default:"3" help:"Plain servers."`
-	Callers int           `default:"24" help:"Callers."`
-	Gap     time.Duration `help:"Longest pause between two troubles of processes, links and the platform; 0 is the usual one."`
-	Known   string        `type:"existingfile" help:"File of seeds to run instead."`
-	Logs    string        `default:"soak-logs" help:"Where the logs of failed seeds are kept."`
+	Binary  string        `required:"" type:"existingfile" help:"Path of the filbertlever program."`
+	Seed    uint64        `help:"First seed; derived from the clock by default."`
+	Seeds   int           `default:"1" help:"Number of seeds to run, one after the other."`
+	Length  time.Duration `default:"40s" help:"Duration of each run."`
+	Entries int           `default:"6" help:"Number of entries."`
+	Agents  int           `default:"12" help:"Number of agents, each beside a model server."`
+	Plain   int           `default:"3" help:"Number of plain servers."`
+	Callers int           `default:"24" help:"Number of callers."`
+	Gap     time.Duration `help:"Maximum interval between two faults of processes, links and the platform; 0 means the default."`
+	Known   string        `type:"existingfile" help:"File of known seeds to run instead."`
+	Logs    string        `default:"soak-logs" help:"Directory for the logs of failed seeds."`
 }
 
-var errBroken = errors.New("promises were broken")
+var errBrokenPromises = errors.New("promises were broken")
 
 // Run runs the seeds and reports each.
 func (c *command) Run(ctx context.Context) error {
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	seeds, err := c.list()
+	seeds, err := c.listSeeds()
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		ok, err := c.one(ctx, binary, seed)
+		ok, err := c.runSeed(ctx, binary, seed)
 		if err != nil {
 			return err
 		}
@@ -60,13 +60,13 @@
 	}
 	fmt.Printf("%d passed, %d failed\n", passed, failed)
 	if failed > 0 {
-		return errBroken
+		return errBrokenPromises
 	}
 	return nil
 }
 
-// list returns the seeds to run.
-func (c *command) list() ([]uint64, error) {
+// listSeeds returns the seeds to run.
+func (c *command) listSeeds() ([]uint64, error) {
 	if c.Known != "" {
 		return soak.KnownSeeds(c.Known)
 	}
@@ -80,7 +80,9 @@
 	return seeds, nil
 }
 
-func (c *command) one(ctx context.Context, binary string, seed uint64) (bool, error) {
+// runSeed runs one seed and reports whether it passed. It keeps the logs of a
+// failed run.
+func (c *command) runSeed(ctx context.Context, binary string, seed uint64) (bool, error) {
 	logs := filepath.Join(c.Logs, fmt.Sprint(seed))
 	if err := os.MkdirAll(logs, 0o755); err != nil {
 		return false, err
--- a/cmd/filbertlever-standin/installation.go
+++ b/cmd/filbertlever-standin/installation.go
@@ -10,25 +10,25 @@
 	"github.com/filbertlever/filbertlever/platform/standin"
 )
 
-// usersPlatformCommand stands in for the users' platform: its store, model
-// servers that start empty, a plain server and the origin of weights.
+// usersPlatformCommand runs a stand-in of the users' platform: its store, model
+// servers that start without weights, plain servers and the origin of weights.
 type usersPlatformCommand struct {
 	Store  string   `required:"" help:"IP:port of the store."`
 	Origin string   `required:"" help:"IP:port of the origin of weights."`
 	Models []string `required:"" help:"IP:port of each model server."`
 	Plain  []string `required:"" help:"IP:port of each plain server."`
-	// Control sits beside the store, so that a person can play the operator.
+	// Control is separate from the store. It lets a person act as the operator.
 	Control string `required:"" help:"IP:port for POST /version?model=drafter&version=2, /restart?server=model-1 and /row?key=x."`
 }
 
-// What the stand-in's desired state holds.
+// Host name, API key and model in the stand-in's desired state.
 const (
 	standinHost  = "portal.example"
 	standinKey   = "key-of-hauler-1"
 	standinModel = "drafter"
 )
 
-// Run serves all parts until ctx ends.
+// Run runs all servers until ctx is done.
 func (c *usersPlatformCommand) Run(ctx context.Context) error {
 	store := standin.NewStore()
 	origin := standin.NewOrigin(64, 32<<10)
@@ -53,15 +53,15 @@
 		go (&standin.Heartbeat{Store: store, Server: server, Service: "orders", Address: address}).Run(ctx)
 	}
 	servers = append(servers, &http.Server{Addr: c.Control, Handler: standin.OperatorHandler(store, backends...)})
-	failed := make(chan error, len(servers))
+	errs := make(chan error, len(servers))
 	for _, server := range servers {
-		go (&serving{server: server, failed: failed}).run()
+		go (&serverRun{server: server, errs: errs}).run()
 	}
-	defer closeAll(servers)
+	defer closeServers(servers)
 	select {
 	case <-ctx.Done():
 		return nil
-	case err := <-failed:
+	case err := <-errs:
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
@@ -69,7 +69,7 @@
 	}
 }
 
-func closeAll(servers []*http.Server) {
+func closeServers(servers []*http.Server) {
 	for _, server := range servers {
 		_ = server.Close()
 	}
--- a/cmd/filbertlever-standin/main.go
+++ b/cmd/filbertlever-standin/main.go
@@ -1,5 +1,5 @@
 // Command filbertlever-standin runs the stand-ins that tests and the demo use
-// in place of the platform, model engines and plain services.
+// instead of the platform, model engines and plain services.
 package main
 
 import (
@@ -18,15 +18,15 @@
 )
 
 type arguments struct {
-	Platform platformCommand      `cmd:"" help:"Table service, object store, host list, origin and weight store."`
-	Engine   engineCommand        `cmd:"" help:"A model engine."`
-	Service  serviceCommand       `cmd:"" help:"A plain service."`
-	Users    usersPlatformCommand `cmd:"" name:"users-platform" help:"The users' platform: store, model and plain servers, origin."`
+	Platform platformCommand      `cmd:"" help:"Run a platform: table service, object store, host list, origin and weight store."`
+	Engine   engineCommand        `cmd:"" help:"Run a model engine."`
+	Service  serviceCommand       `cmd:"" help:"Run a plain service."`
+	Users    usersPlatformCommand `cmd:"" name:"users-platform" help:"Run a users' platform: store, model servers, plain servers and origin."`
 }
 
 type listen struct {
-	Listen string `required:"" help:"IP:port to serve on."`
-	Admin  string `required:"" help:"IP:port for faults and figures."`
+	Listen string `required:"" help:"IP:port to listen on."`
+	Admin  string `required:"" help:"IP:port for fault injection and statistics."`
 }
 
 type platformCommand struct {
@@ -34,7 +34,7 @@
 	Weights map[string]string `help:"Weights at the origin, as PATH=FILE."`
 }
 
-// Run serves the platform.
+// Run runs the platform until ctx is done.
 func (c *platformCommand) Run(ctx context.Context) error {
 	platform := standin.NewPlatform()
 	if err := platform.LoadFiles(c.Weights); err != nil {
@@ -45,13 +45,13 @@
 
 type engineCommand struct {
 	listen
-	ChecksFencing bool          `help:"Refuse orders with an old fencing number."`
-	Slots         int           `default:"8" help:"Requests that run at once."`
+	ChecksFencing bool          `help:"Reject orders with an outdated fencing number."`
+	Slots         int           `default:"8" help:"Number of requests that run at the same time."`
 	Prefill       time.Duration `default:"20ms" help:"Time to the first token."`
 	Token         time.Duration `default:"10ms" help:"Time between tokens."`
 }
 
-// Run serves an engine.
+// Run runs the engine until ctx is done.
 func (c *engineCommand) Run(ctx context.Context) error {
 	engine := standin.NewEngine(standin.EngineConfig{ChecksFencing: c.ChecksFencing, Slots: c.Slots, Prefill: c.Prefill, Token: c.Token})
 	return c.serve(ctx, engine.Handler(), engine.AdminHandler())
@@ -59,25 +59,26 @@
 
 type serviceCommand struct {
 	listen
-	Pause time.Duration `default:"20ms" help:"Time that a call takes."`
+	Pause time.Duration `default:"20ms" help:"Duration of a call."`
 }
 
-// Run serves a plain service.
+// Run runs the plain service until ctx is done.
 func (c *serviceCommand) Run(ctx context.Context) error {
 	service := standin.NewService(c.Pause)
 	return c.serve(ctx, service.Handler(), service.AdminHandler())
 }
 
+// serve runs the server and its admin server until ctx is done or one fails.
 func (l *listen) serve(ctx context.Context, handler, admin http.Handler) error {
 	servers := []*http.Server{{Addr: l.Listen, Handler: handler}, {Addr: l.Admin, Handler: admin}}
-	failed := make(chan error, len(servers))
+	errs := make(chan error, len(servers))
 	for _, server := range servers {
-		s := serving{server: server, failed: failed}
+		s := serverRun{server: server, errs: errs}
 		go s.run()
 	}
 	select {
 	case <-ctx.Done():
-	case err := <-failed:
+	case err := <-errs:
 		return err
 	}
 	for _, server := range servers {
@@ -86,14 +87,15 @@
 	return nil
 }
 
-type serving struct {
+// serverRun runs an HTTP server and sends its error to errs.
+type serverRun struct {
 	server *http.Server
-	failed chan error
+	errs   chan error
 }
 
-func (s *serving) run() {
+func (s *serverRun) run() {
 	if err := s.server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		s.failed <- fmt.Errorf("serve %s: %w", s.server.Addr, err)
+		s.errs <- fmt.Errorf("serve %s: %w", s.server.Addr, err)
 	}
 }
 
--- a/filbertlever.go
+++ b/filbertlever.go
@@ -1,4 +1,4 @@
-// Package filbertlever holds the core types that callers, operators and the
+// Package filbertlever defines the core types that callers, operators and the
 // processes of the system share.
 package filbertlever
 
@@ -8,17 +8,18 @@
 	"strings"
 )
 
-// HostID names a host. It is also the name in the host's TLS certificate.
+// HostID identifies a host. It is also the name in the host's TLS certificate.
 type HostID string
 
-// Incarnation names one life of a process on a host. A restarted process has
-// another incarnation, so what an earlier one knew is known to be gone.
+// Incarnation identifies one run of a process on a host. A restarted process has
+// a different incarnation, which shows that the state of the earlier one is lost.
 type Incarnation string
 
-// OrganisationID names an organisation, the unit that nothing may cross.
+// OrganisationID identifies an organisation. Organisations are isolated from
+// each other.
 type OrganisationID string
 
-// Digest is the SHA-256 of some bytes, written "sha256:" and 64 hex digits.
+// Digest is a SHA-256 digest, written as "sha256:" and 64 lower-case hex digits.
 type Digest string
 
 const digestPrefix = "sha256:"
@@ -29,7 +30,7 @@
 	return NewDigest(sum[:])
 }
 
-// NewDigest returns the digest whose 32 raw bytes are sum.
+// NewDigest returns the digest for a SHA-256 sum of 32 bytes.
 func NewDigest(sum []byte) Digest {
 	return Digest(digestPrefix + hex.EncodeToString(sum))
 }
@@ -44,26 +45,27 @@
 	return err == nil && strings.ToLower(digits) == digits
 }
 
-// Short returns the first digits of d, for people.
+// Short returns the first 12 hex digits of d, for messages.
 func (d Digest) Short() string {
 	digits := strings.TrimPrefix(string(d), digestPrefix)
 	return digits[:min(12, len(digits))]
 }
 
-// Outcome says what became of a request.
+// Outcome is the result of a request.
 type Outcome int
 
 // The outcomes.
 const (
-	// OutcomePending means that the request is not settled yet.
+	// OutcomePending means that the outcome is not decided yet.
 	OutcomePending Outcome = iota
-	// OutcomeAnswered means that the whole answer was delivered.
+	// OutcomeAnswered means that the complete answer was delivered.
 	OutcomeAnswered
 	// OutcomeNotRun means that the request did not run and never will.
 	OutcomeNotRun
-	// OutcomeUnknown means that an order may have run; it is never run again.
+	// OutcomeUnknown means that an order may have run. It is never retried.
 	OutcomeUnknown
-	// OutcomeIncomplete means that a model's answer broke off for good.
+	// OutcomeIncomplete means that a model's answer was interrupted and is not
+	// resumed.
 	OutcomeIncomplete
 )
 
@@ -77,7 +79,7 @@
 	return outcomeNames[o]
 }
 
-// Priority orders the requests of one organisation.
+// Priority is the priority of a request within its organisation.
 type Priority int
 
 // The priorities, lowest first.
@@ -87,7 +89,7 @@
 	PriorityUrgent
 )
 
-// Role is what a host of the system does.
+// Role is the role of a host in the system.
 type Role string
 
 // The roles.
@@ -96,17 +98,18 @@
 	RoleAgent Role = "Agent"
 )
 
-// Host is one host as the platform's list describes it.
+// Host is a host as described by the platform's host list.
 type Host struct {
 	ID          HostID
 	Role        Role
 	Site        string
 	Region      string
 	PeerAddress string
-	// CallerAddress is empty for agents.
+	// CallerAddress is the address for callers. It is empty for agents.
 	CallerAddress string
-	// Pool is the pool of the backend server behind an agent; empty for entries.
+	// Pool is the pool of the backend server behind an agent. It is empty for
+	// entries.
 	Pool string
-	// Leaving is true once the platform or an operator has planned its stop.
+	// Leaving is true after the platform or an operator has planned its stop.
 	Leaving bool
 }
--- a/internal/protocol/control/control.go
+++ b/internal/protocol/control/control.go
@@ -1,4 +1,4 @@
-// Package control holds the messages that the system's processes exchange
+// Package control defines the messages that the processes of the system exchange
 // over JSON-RPC 2.0 connections.
 package control
 
@@ -11,59 +11,62 @@
 	"github.com/filbertlever/filbertlever/internal/state"
 )
 
-// The methods.
+// The JSON-RPC methods.
 const (
-	// MethodSync compares what two processes know; both learn what is newer.
+	// MethodSync exchanges the facts of two processes. Each adopts the newer ones.
 	MethodSync = "Sync"
 	// MethodBundle returns a signed bundle by digest.
 	MethodBundle = "Bundle"
-	// MethodReport tells an entry an agent's load and live weights.
+	// MethodReport sends an agent's load and live weights to an entry.
 	MethodReport = "Report"
-	// MethodRecorded tells an agent that the platform holds an order's end.
+	// MethodRecorded notifies an agent that the platform has stored the outcome
+	// of an order.
 	MethodRecorded = "Recorded"
-	// MethodAccepted tells an entry of a roll that was accepted just now.
+	// MethodAccepted notifies an entry of a bundle that was just accepted.
 	MethodAccepted = "Accepted"
-	// MethodStatus returns the progress of weights, for operators.
+	// MethodStatus returns the loading progress of weights. Operators use it.
 	MethodStatus = "Status"
 )
 
-// Identity is who sends a message.
+// Identity identifies the sender of a message.
 type Identity struct {
 	Host        filbertlever.Host
 	Incarnation filbertlever.Incarnation
-	// Leaving is true once this incarnation has announced its stop.
+	// Leaving is true after this incarnation has announced its stop.
 	Leaving bool
 }
 
-// Stops is the row of all planned stops.
+// Stops is the value of the row that lists all planned stops.
 type Stops struct {
 	Stops []knowledge.Stop
 }
 
-// SyncRequest tells the receiver what the sender knows.
+// SyncRequest carries the facts of the sender.
 type SyncRequest struct {
 	From  Identity
 	Facts knowledge.Facts
 }
 
-// SyncResponse tells the sender what the receiver knows.
+// SyncResponse carries the facts of the receiver of the request.
 type SyncResponse struct {
 	From  Identity
 	Facts knowledge.Facts
 }
 
-// BundleRequest asks for a signed bundle.
+// BundleRequest requests a signed bundle by digest.
 type BundleRequest struct {
 	Digest filbertlever.Digest
 }
 
-// BundleResponse carries a signed bundle; Signed is empty if it is not at hand.
+// BundleResponse carries a signed bundle. Signed is empty if the receiver does
+// not have it.
 type BundleResponse struct {
 	Signed []byte
 }
 
-// Accepted is a head whose swap took effect, with its signed bundle, as the
-// operator's command that rolled it knows first.
+// Accepted carries an accepted head and its signed bundle. The operator's
+// command sends it after its compare-and-swap of the head succeeded, as no other
+// process has observed the new head yet.
 type Accepted struct {
 	Head   state.Head
 	Signed []byte
@@ -77,78 +80,80 @@
 	Base     filbertlever.Digest `json:",omitempty"`
 }
 
-// Load is a backend server's load as its agent counts it.
+// Load is the load of a backend server as measured by its agent.
 type Load struct {
 	Sequence    uint64
 	Running     int
 	Queued      int
 	Concurrency int
 	Wait        time.Duration
-	// Seen is how many requests of the receiver the agent has received.
-	Seen uint64
+	// ReceivedRequests is the number of requests that the agent has received from
+	// the entry to which this report is sent.
+	Seen uint64 `json:"Seen"`
 }
 
-// Progress is the state of a set of weights at one agent.
+// Progress is the loading progress of a set of weights at one agent. It has
+// HeldChunks of Chunks chunks.
 type Progress struct {
 	Model    string
 	Version  string
 	Manifest filbertlever.Digest
 	Stage    placement.Stage
-	Held     int
+	Held     int `json:"Held"`
 	Chunks   int
 	Failures int
 	Reason   string `json:",omitempty"`
 }
 
-// Drawn counts the bytes of weights that an agent took, by source.
+// FetchedBytes counts the bytes of weights that an agent has fetched, by source.
 type Drawn struct {
 	Origin int64
 	Store  int64
 	Peer   int64
 }
 
-// Report is an agent's state, sent to entries every second or so. What seldom
-// changes is in Full and is left out while the entry has it.
+// Report is an agent's state. Agents send it to entries about once a second. Full
+// holds the parts that rarely change. It is omitted while the entry has them.
 type Report struct {
 	Incarnation filbertlever.Incarnation
 	Load        Load
 	Full        *FullReport `json:",omitempty"`
 }
 
-// FullReport is the part of an agent's state that seldom changes.
+// FullReport is the part of an agent's state that rarely changes.
 type FullReport struct {
 	From Identity
-	// InForce is the version of the bundle in force there.
-	InForce uint64
+	// ActiveVersion is the version of the bundle that is active at the agent.
+	InForce uint64 `json:"InForce"`
 	Live    []LiveWeights
 	Weights []Progress
-	Drawn   Drawn
+	Drawn   Drawn `json:"Drawn"`
 }
 
-// ReportResponse answers a report.
+// ReportResponse is the response to a Report.
 type ReportResponse struct {
 	// WantFull is true if the entry lacks the full report of this incarnation.
 	WantFull bool `json:",omitempty"`
 }
 
-// Recorded names orders whose end the platform holds.
+// Recorded identifies an order whose outcome the platform has stored.
 type Recorded struct {
 	Incarnation  filbertlever.Incarnation
 	Organisation filbertlever.OrganisationID
 	Key          string
 }
 
-// HostStatus is what an entry knows of one host, for operators.
+// HostStatus is the status of one host as observed by an entry.
 type HostStatus struct {
 	Host    filbertlever.Host
 	Usable  bool
-	InForce uint64
+	InForce uint64 `json:"InForce"`
 	Weights []Progress
-	Drawn   Drawn
+	Drawn   Drawn `json:"Drawn"`
 	Load    Load
 }
 
-// Status is what an entry knows of the system.
+// Status is the status of the system as observed by an entry.
 type Status struct {
 	From  Identity
 	Head  state.Head
--- a/pkg/bundle/bundle.go
+++ b/pkg/bundle/bundle.go
@@ -1,5 +1,5 @@
-// Package bundle holds the declaration that operators keep in version
-// control, sign and roll: which models, adapters and settings to serve.
+// Package bundle defines bundles: the declaration of models, adapters and
+// settings that operators keep in version control, sign and roll out.
 package bundle
 
 import (
@@ -15,15 +15,16 @@
 // FormatVersion is the format that this package reads and writes.
 const FormatVersion = 1
 
-// Favour says what the distribution of weights favours.
+// Favour selects what the distribution of weights optimises for.
 type Favour string
 
 // The values of Favour.
 const (
-	// FavourTime favours the time until a model is live on N replicas; the
-	// origin may be drawn from for up to about three copies.
+	// FavourTime minimises the time until a model is live on N replicas. Up to
+	// about three copies may be fetched from the origin.
 	FavourTime Favour = "Time"
-	// FavourOriginBytes favours bytes drawn from the origin: one copy.
+	// FavourOriginBytes minimises the bytes fetched from the origin, to one
+	// copy.
 	FavourOriginBytes Favour = "OriginBytes"
 )
 
@@ -40,12 +41,12 @@
 type Bundle struct {
 	// Format is always FormatVersion.
 	Format int `yaml:"Format"`
-	// Version is the parent's version and one.
+	// Version is the version of the parent plus one.
 	Version uint64 `yaml:"Version"`
-	// Parent is the bundle that this one follows; zero for the first.
+	// Parent is the previous bundle. It is zero for the first bundle.
 	Parent Parent `yaml:"Parent"`
-	// SignOffs is how many different operators must sign this bundle. A
-	// process also demands the number in its own settings.
+	// SignOffs is the number of different operators that must sign this bundle.
+	// Processes require at least the number in their own settings as well.
 	SignOffs      int            `yaml:"SignOffs"`
 	Favour        Favour         `yaml:"Favour"`
 	Pools         []Pool         `yaml:"Pools"`
@@ -54,32 +55,33 @@
 	Organisations []Organisation `yaml:"Organisations"`
 }
 
-// Parent names the bundle that another one follows.
+// Parent identifies the previous version of a bundle.
 type Parent struct {
 	Version uint64              `yaml:"Version"`
 	Digest  filbertlever.Digest `yaml:"Digest"`
 }
 
-// Pool is a set of like backend servers. A host names its pool in the
-// platform's host list.
+// Pool is a set of equivalent backend servers. The platform's host list states
+// the pool of each host.
 type Pool struct {
 	Name string   `yaml:"Name"`
 	Kind PoolKind `yaml:"Kind"`
-	// ChecksFencing is true if the pool's engines refuse an order with an old
+	// ChecksFencing is true if the pool's engines reject orders with an outdated
 	// fencing number.
 	ChecksFencing bool `yaml:"ChecksFencing,omitempty"`
-	// Concurrency is the most requests a backend server runs at once.
+	// Concurrency is the maximum number of requests that a backend server runs
+	// at the same time.
 	Concurrency int `yaml:"Concurrency"`
-	// Queue is the most requests that wait at a backend server.
+	// Queue is the maximum number of requests that wait at a backend server.
 	Queue int `yaml:"Queue"`
 }
 
-// Model is a model to serve on every host of a pool.
+// Model is a model that every host of a pool serves.
 type Model struct {
 	Name    string `yaml:"Name"`
 	Version string `yaml:"Version"`
 	Pool    string `yaml:"Pool"`
-	// Manifest is the digest of the manifest of the weights.
+	// Manifest is the digest of the manifest of the model's weights.
 	Manifest filbertlever.Digest `yaml:"Manifest"`
 	Adapters []Adapter           `yaml:"Adapters,omitempty"`
 	Engine   Engine              `yaml:"Engine"`
@@ -92,7 +94,8 @@
 	Manifest filbertlever.Digest `yaml:"Manifest"`
 }
 
-// Engine holds settings that a model engine takes with an order to load.
+// Engine holds settings that a model engine receives with the request to load a
+// model.
 type Engine struct {
 	MaxBatch int    `yaml:"MaxBatch"`
 	Role     string `yaml:"Role,omitempty"`
@@ -108,22 +111,25 @@
 // Call is one call of a plain service.
 type Call struct {
 	Name string `yaml:"Name"`
-	// Repeatable is true if running the call twice does no harm.
+	// Repeatable is true if the call is idempotent, so that it may be retried.
 	Repeatable bool `yaml:"Repeatable"`
 }
 
-// Organisation may call the system.
+// Organisation is an organisation whose callers may use the system.
 type Organisation struct {
 	Name filbertlever.OrganisationID `yaml:"Name"`
-	// TokenDigests are the SHA-256 of its tokens, never the tokens.
+	// TokenDigests are the SHA-256 digests of its tokens. The tokens themselves
+	// are never stored.
 	TokenDigests []filbertlever.Digest `yaml:"TokenDigests"`
-	// Weight is its share where requests queue.
+	// Weight is its relative share where requests of several organisations
+	// queue.
 	Weight int `yaml:"Weight"`
-	// MaxConcurrent is the most requests it may have at one entry host.
+	// MaxConcurrent is the maximum number of requests that it may have in flight
+	// at one entry.
 	MaxConcurrent int `yaml:"MaxConcurrent"`
 }
 
-// Parse reads a bundle and checks it as a whole. The error holds every fault.
+// Parse decodes and validates a bundle. The error lists every fault.
 func Parse(data []byte) (*Bundle, error) {
 	var b Bundle
 	check := document.Decode(data, &b)
@@ -137,7 +143,7 @@
 	return &b, nil
 }
 
-// Encode writes the bundle as YAML.
+// Encode returns the bundle as YAML.
 func (b *Bundle) Encode() ([]byte, error) {
 	var out bytes.Buffer
 	encoder := yaml.NewEncoder(&out)
@@ -148,7 +154,7 @@
 	return out.Bytes(), nil
 }
 
-// Pool returns the pool of that name.
+// Pool returns the pool with the given name.
 func (b *Bundle) Pool(name string) (Pool, bool) {
 	for _, pool := range b.Pools {
 		if pool.Name == name {
@@ -158,7 +164,7 @@
 	return Pool{}, false
 }
 
-// Model returns the model of that name.
+// Model returns the model with the given name.
 func (b *Bundle) Model(name string) (Model, bool) {
 	for _, model := range b.Models {
 		if model.Name == name {
@@ -168,7 +174,7 @@
 	return Model{}, false
 }
 
-// Adapter returns the model's adapter of that name.
+// Adapter returns the adapter of the model with the given name.
 func (m Model) Adapter(name string) (Adapter, bool) {
 	for _, adapter := range m.Adapters {
 		if adapter.Name == name {
@@ -178,7 +184,7 @@
 	return Adapter{}, false
 }
 
-// Call returns a plain service and its call.
+// Call returns a plain service and its call with the given names.
 func (b *Bundle) Call(service, call string) (Service, Call, bool) {
 	for _, s := range b.Services {
 		if s.Name != service {
--- a/pkg/bundle/bundle_test.go
+++ b/pkg/bundle/bundle_test.go
@@ -12,7 +12,7 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-func encoded(c *qt.C, b *bundle.Bundle) []byte {
+func encode(c *qt.C, b *bundle.Bundle) []byte {
 	data, err := b.Encode()
 	c.Assert(err, qt.IsNil)
 	return data
@@ -20,12 +20,12 @@
 
 func TestExampleRoundTrip(t *testing.T) {
 	c := qt.New(t)
-	b, err := bundle.Parse(encoded(c, bundle.Example()))
+	b, err := bundle.Parse(encode(c, bundle.Example()))
 	c.Assert(err, qt.IsNil)
 	c.Assert(b, qt.DeepEquals, bundle.Example())
 }
 
-func TestEveryFaultOfABundle(t *testing.T) {
+func TestInvalidFieldsAreReported(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*bundle.Bundle)
@@ -46,13 +46,13 @@
 			c := qt.New(t)
 			b := bundle.Example()
 			test.change(b)
-			_, err := bundle.Parse(encoded(c, b))
+			_, err := bundle.Parse(encode(c, b))
 			c.Assert(err, qt.ErrorMatches, test.want)
 		})
 	}
 }
 
-func TestDiffNamesThePlace(t *testing.T) {
+func TestDiffReportsFieldPaths(t *testing.T) {
 	c := qt.New(t)
 	old, changed := bundle.Example(), bundle.Example()
 	changed.Models[0].Version = "2026-12-02"
@@ -64,41 +64,41 @@
 	})
 }
 
-func key(seed byte) ed25519.PrivateKey {
+func privateKey(seed byte) ed25519.PrivateKey {
 	return ed25519.NewKeyFromSeed(bytes.Repeat([]byte{seed}, ed25519.SeedSize))
 }
 
-func public(seed byte) ed25519.PublicKey { return key(seed).Public().(ed25519.PublicKey) }
+func publicKey(seed byte) ed25519.PublicKey { return privateKey(seed).Public().(ed25519.PublicKey) }
 
-// One operator signs under two names, and a bundle that needs two people is
-// rolled by one.
-func TestTwoNamesForOneKeyAreOneSignOff(t *testing.T) {
+// One operator must not satisfy a requirement of two sign-offs by signing under
+// two names with the same key.
+func TestOneKeyUnderTwoNamesCountsOnce(t *testing.T) {
 	c := qt.New(t)
-	operators := bundle.Operators{"ana": public(1), "ana-too": public(1), "kwame": public(2)}
-	s := &bundle.Signed{Body: encoded(c, bundle.Example())}
-	s.Sign("ana", key(1))
-	s.Sign("ana-too", key(1))
+	operators := bundle.Operators{"ana": publicKey(1), "ana-too": publicKey(1), "kwame": publicKey(2)}
+	s := &bundle.Signed{Body: encode(c, bundle.Example())}
+	s.Sign("ana", privateKey(1))
+	s.Sign("ana-too", privateKey(1))
 	_, err := s.Verify(operators, 2)
 	c.Assert(err, qt.ErrorIs, bundle.ErrSignOffs)
-	s.Sign("kwame", key(2))
+	s.Sign("kwame", privateKey(2))
 	_, err = s.Verify(operators, 2)
 	c.Assert(err, qt.IsNil)
 }
 
-func TestWrongSignatures(t *testing.T) {
+func TestInvalidSignaturesAreRejected(t *testing.T) {
 	c := qt.New(t)
-	operators := bundle.Operators{"ana": public(1)}
-	s := &bundle.Signed{Body: encoded(c, bundle.Example())}
-	s.Sign("ana", key(2))
+	operators := bundle.Operators{"ana": publicKey(1)}
+	s := &bundle.Signed{Body: encode(c, bundle.Example())}
+	s.Sign("ana", privateKey(2))
 	_, err := s.Verify(operators, 1)
 	c.Assert(err, qt.ErrorIs, bundle.ErrSignature)
 	s = &bundle.Signed{Body: s.Body}
-	s.Sign("eve", key(3))
+	s.Sign("eve", privateKey(3))
 	_, err = s.Verify(operators, 1)
 	c.Assert(err, qt.ErrorIs, bundle.ErrSignature)
 }
 
-func TestManifest(t *testing.T) {
+func TestManifestRoundTripAndDigestCheck(t *testing.T) {
 	c := qt.New(t)
 	m, err := bundle.NewManifest("drafter", strings.NewReader(strings.Repeat("x", 25)), 10)
 	c.Assert(err, qt.IsNil)
@@ -106,9 +106,9 @@
 	c.Assert(m.ChunkLen(2), qt.Equals, int64(5))
 	data, err := m.Encode()
 	c.Assert(err, qt.IsNil)
-	again, err := bundle.DecodeManifest(data, filbertlever.DigestOf(data))
+	decoded, err := bundle.DecodeManifest(data, filbertlever.DigestOf(data))
 	c.Assert(err, qt.IsNil)
-	c.Assert(again, qt.DeepEquals, m)
+	c.Assert(decoded, qt.DeepEquals, m)
 	_, err = bundle.DecodeManifest(data, filbertlever.DigestOf([]byte("other")))
 	c.Assert(err, qt.ErrorIs, bundle.ErrDigest)
 }
@@ -121,12 +121,12 @@
 		if err != nil {
 			return
 		}
-		again, err := b.Encode()
+		encoded, err := b.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := bundle.Parse(again); err != nil {
-			t.Fatalf("a good bundle is bad when written again: %v", err)
+		if _, err := bundle.Parse(encoded); err != nil {
+			t.Fatalf("a valid bundle is invalid after encoding: %v", err)
 		}
 	})
 }
@@ -136,7 +136,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := bundle.DecodeManifest(data, filbertlever.DigestOf(data))
 		if err == nil && int64(len(m.Chunks))*m.ChunkSize < m.Size {
-			t.Fatalf("manifest with too few chunks passed: %+v", m)
+			t.Fatalf("DecodeManifest accepted a manifest with too few chunks: %+v", m)
 		}
 	})
 }
--- a/pkg/bundle/check.go
+++ b/pkg/bundle/check.go
@@ -25,7 +25,7 @@
 }
 
 func (b *Bundle) checkPools(check *document.Checker) {
-	names := newNames(check)
+	names := newNameChecker(check)
 	for i, pool := range b.Pools {
 		path := fmt.Sprintf("Pools[%d]", i)
 		names.add(path+".Name", pool.Name)
@@ -36,15 +36,15 @@
 }
 
 func (b *Bundle) checkModels(check *document.Checker) {
-	names := newNames(check)
+	names := newNameChecker(check)
 	for i, model := range b.Models {
 		path := fmt.Sprintf("Models[%d]", i)
 		names.add(path+".Name", model.Name)
 		check.Require(model.Version != "", path+".Version", model.Version, "expected a version")
-		b.checkPoolOf(check, path+".Pool", model.Pool, KindModelEngine)
+		b.checkPoolReference(check, path+".Pool", model.Pool, KindModelEngine)
 		check.Require(model.Manifest.Valid(), path+".Manifest", model.Manifest, expectedDigest)
 		check.Require(model.Engine.MaxBatch >= 0, path+".Engine.MaxBatch", model.Engine.MaxBatch, "expected 0 (engine's default) or more")
-		adapters := newNames(check)
+		adapters := newNameChecker(check)
 		for j, adapter := range model.Adapters {
 			path := fmt.Sprintf("%s.Adapters[%d]", path, j)
 			adapters.add(path+".Name", adapter.Name)
@@ -55,12 +55,12 @@
 }
 
 func (b *Bundle) checkServices(check *document.Checker) {
-	names := newNames(check)
+	names := newNameChecker(check)
 	for i, service := range b.Services {
 		path := fmt.Sprintf("Services[%d]", i)
 		names.add(path+".Name", service.Name)
-		b.checkPoolOf(check, path+".Pool", service.Pool, KindPlainService)
-		calls := newNames(check)
+		b.checkPoolReference(check, path+".Pool", service.Pool, KindPlainService)
+		calls := newNameChecker(check)
 		for j, call := range service.Calls {
 			calls.add(fmt.Sprintf("%s.Calls[%d].Name", path, j), call.Name)
 		}
@@ -68,8 +68,8 @@
 }
 
 func (b *Bundle) checkOrganisations(check *document.Checker) {
-	names := newNames(check)
-	tokens := newNames(check)
+	names := newNameChecker(check)
+	tokens := newNameChecker(check)
 	for i, organisation := range b.Organisations {
 		path := fmt.Sprintf("Organisations[%d]", i)
 		names.add(path+".Name", string(organisation.Name))
@@ -79,13 +79,15 @@
 		for j, digest := range organisation.TokenDigests {
 			path := fmt.Sprintf("%s.TokenDigests[%d]", path, j)
 			check.Require(digest.Valid(), path, digest, expectedDigest)
-			// A token shared by two organisations would let one read the other's answers.
+			// If two organisations shared a token, each could read the other's
+			// answers.
 			tokens.add(path, string(digest))
 		}
 	}
 }
 
-func (b *Bundle) checkPoolOf(check *document.Checker, path, name string, kind PoolKind) {
+// checkPoolReference requires that name is a pool of the given kind.
+func (b *Bundle) checkPoolReference(check *document.Checker, path, name string, kind PoolKind) {
 	pool, ok := b.Pool(name)
 	if !ok {
 		check.Fault(path, name, "expected the name of a pool in Pools")
@@ -94,17 +96,17 @@
 	check.Require(pool.Kind == kind, path, name, fmt.Sprintf("expected a pool of kind %s", kind))
 }
 
-// names finds empty and repeated names.
-type names struct {
+// nameChecker reports empty and duplicate names.
+type nameChecker struct {
 	check *document.Checker
 	seen  map[string]bool
 }
 
-func newNames(check *document.Checker) *names {
-	return &names{check: check, seen: map[string]bool{}}
+func newNameChecker(check *document.Checker) *nameChecker {
+	return &nameChecker{check: check, seen: map[string]bool{}}
 }
 
-func (n *names) add(path, name string) {
+func (n *nameChecker) add(path, name string) {
 	n.check.Require(name != "", path, name, "expected a name")
 	n.check.Require(name == "" || !n.seen[name], path, name, "expected once only")
 	n.seen[name] = true
--- a/pkg/bundle/diff.go
+++ b/pkg/bundle/diff.go
@@ -8,13 +8,15 @@
 
 // Change is one difference between two bundles.
 type Change struct {
-	// Path names the place, list items by their names: "Models[drafter].Version".
+	// Path is the path of the field, with list items by name, such as
+	// "Models[drafter].Version".
 	Path string
-	// Old and New are empty where the field is absent on that side.
+	// Old and New are empty if the field is absent in that bundle.
 	Old, New string
 }
 
-// Diff returns the changes from old to new, in the order of the fields.
+// Diff returns the changes from one bundle to another, in the order of the
+// fields.
 func Diff(old, new *Bundle) []Change {
 	var changes []Change
 	diffValue("", reflect.ValueOf(*old), reflect.ValueOf(*new), &changes)
@@ -38,7 +40,7 @@
 	}
 }
 
-// diffSlice matches items by their key, so that a reordered list is no change.
+// diffSlice matches items by key, so that reordering a list is not a change.
 func diffSlice(path string, old, new reflect.Value, changes *[]Change) {
 	after := map[string]reflect.Value{}
 	for i := range new.Len() {
@@ -49,12 +51,12 @@
 		item := old.Index(i)
 		key := itemKey(item)
 		before[key] = true
-		place := fmt.Sprintf("%s[%s]", path, key)
+		itemPath := fmt.Sprintf("%s[%s]", path, key)
 		if other, ok := after[key]; ok {
-			diffValue(place, item, other, changes)
+			diffValue(itemPath, item, other, changes)
 			continue
 		}
-		*changes = append(*changes, Change{Path: place, Old: "present"})
+		*changes = append(*changes, Change{Path: itemPath, Old: "present"})
 	}
 	for i := range new.Len() {
 		key := itemKey(new.Index(i))
@@ -64,6 +66,7 @@
 	}
 }
 
+// itemKey returns the Name of a struct, or the value itself.
 func itemKey(item reflect.Value) string {
 	if item.Kind() != reflect.Struct {
 		return fmt.Sprint(item.Interface())
--- a/pkg/bundle/example.go
+++ b/pkg/bundle/example.go
@@ -2,8 +2,8 @@
 
 import "github.com/filbertlever/filbertlever"
 
-// Example returns a bundle that shows every section. Its digests stand for
-// the operators' own.
+// Example returns a bundle that contains every section. Its digests are
+// placeholders that operators replace.
 func Example() *Bundle {
 	return &Bundle{
 		Format:   FormatVersion,
--- a/pkg/bundle/manifest.go
+++ b/pkg/bundle/manifest.go
@@ -10,25 +10,25 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// Bounds of a manifest.
+// Limits of a manifest.
 const (
 	MaxManifestBytes = 8 << 20
 	MaxChunkBytes    = 64 << 20
 )
 
-// Manifest lists the chunks of a set of weights. Chunk i is the bytes from
-// i*ChunkSize on; all chunks but the last have ChunkSize bytes.
+// Manifest lists the chunks of a set of weights. Chunk i starts at byte
+// i*ChunkSize. All chunks but the last have ChunkSize bytes.
 type Manifest struct {
-	// Path names the set at the origin.
+	// Path is the path of the weights at the origin.
 	Path      string
 	Size      int64
 	ChunkSize int64
-	// Digest is that of the whole set.
+	// Digest is the digest of all the weights.
 	Digest filbertlever.Digest
 	Chunks []filbertlever.Digest
 }
 
-// NewManifest reads a set of weights and lists its chunks.
+// NewManifest reads a set of weights and returns its manifest.
 func NewManifest(path string, r io.Reader, chunkSize int64) (*Manifest, error) {
 	if chunkSize < 1 || chunkSize > MaxChunkBytes {
 		return nil, fmt.Errorf("chunk size %d: expected 1 to %d", chunkSize, MaxChunkBytes)
@@ -57,7 +57,7 @@
 	return m, nil
 }
 
-// Encode returns the form whose digest a bundle names.
+// Encode returns the JSON encoding whose digest a bundle refers to.
 func (m *Manifest) Encode() ([]byte, error) {
 	data, err := json.Marshal(m)
 	if err != nil {
@@ -66,20 +66,21 @@
 	return data, nil
 }
 
-// DecodeManifest reads a manifest and checks it against the digest wanted.
-func DecodeManifest(data []byte, want filbertlever.Digest) (*Manifest, error) {
+// DecodeManifest decodes a manifest after checking that data has the expected
+// digest.
+func DecodeManifest(data []byte, expected filbertlever.Digest) (*Manifest, error) {
 	if len(data) > MaxManifestBytes {
-		return nil, fmt.Errorf("manifest %s: more than %d bytes", want.Short(), MaxManifestBytes)
+		return nil, fmt.Errorf("manifest %s: more than %d bytes", expected.Short(), MaxManifestBytes)
 	}
-	if filbertlever.DigestOf(data) != want {
-		return nil, fmt.Errorf("manifest %s: %w", want.Short(), ErrDigest)
+	if filbertlever.DigestOf(data) != expected {
+		return nil, fmt.Errorf("manifest %s: %w", expected.Short(), ErrDigest)
 	}
 	var m Manifest
 	if err := json.Unmarshal(data, &m); err != nil {
-		return nil, fmt.Errorf("manifest %s: %w", want.Short(), err)
+		return nil, fmt.Errorf("manifest %s: %w", expected.Short(), err)
 	}
 	if err := m.check(); err != nil {
-		return nil, fmt.Errorf("manifest %s: %w", want.Short(), err)
+		return nil, fmt.Errorf("manifest %s: %w", expected.Short(), err)
 	}
 	return &m, nil
 }
@@ -91,11 +92,11 @@
 
 func (m *Manifest) check() error {
 	if m.ChunkSize < 1 || m.ChunkSize > MaxChunkBytes || m.Size < 1 {
-		return fmt.Errorf("size %d in chunks of %d: out of range", m.Size, m.ChunkSize)
+		return fmt.Errorf("size %d, chunk size %d: out of range", m.Size, m.ChunkSize)
 	}
-	want := (m.Size + m.ChunkSize - 1) / m.ChunkSize
-	if int64(len(m.Chunks)) != want {
-		return fmt.Errorf("%d chunks: expected %d", len(m.Chunks), want)
+	expected := (m.Size + m.ChunkSize - 1) / m.ChunkSize
+	if int64(len(m.Chunks)) != expected {
+		return fmt.Errorf("%d chunks: expected %d", len(m.Chunks), expected)
 	}
 	for i, chunk := range m.Chunks {
 		if !chunk.Valid() {
@@ -103,7 +104,7 @@
 		}
 	}
 	if !m.Digest.Valid() {
-		return fmt.Errorf("whole set: %w", ErrDigest)
+		return fmt.Errorf("digest of the weights: %w", ErrDigest)
 	}
 	return nil
 }
--- a/pkg/bundle/schema.go
+++ b/pkg/bundle/schema.go
@@ -7,14 +7,14 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// schema is a part of a JSON schema (draft 2020-12).
+// schema is a JSON schema or subschema (draft 2020-12).
 type schema struct {
 	Schema     string             `json:"$schema,omitempty"`
 	Title      string             `json:"title,omitempty"`
 	Type       string             `json:"type"`
 	Properties map[string]*schema `json:"properties,omitempty"`
 	Required   []string           `json:"required,omitempty"`
-	// Additional is false for objects: unknown fields are faults.
+	// Additional is false for objects, as unknown fields are errors.
 	Additional *bool    `json:"additionalProperties,omitempty"`
 	Items      *schema  `json:"items,omitempty"`
 	Enum       []string `json:"enum,omitempty"`
@@ -22,13 +22,13 @@
 	Minimum    *int     `json:"minimum,omitempty"`
 }
 
-// enums holds the values of the string types that have few.
+// enums lists the allowed values of enumerated string types.
 var enums = map[reflect.Type][]string{
 	reflect.TypeFor[Favour]():   {string(FavourTime), string(FavourOriginBytes)},
 	reflect.TypeFor[PoolKind](): {string(KindModelEngine), string(KindPlainService)},
 }
 
-// Schema returns the JSON schema of a bundle file, for editors.
+// Schema returns the JSON schema of a bundle file, for use in editors.
 func Schema() ([]byte, error) {
 	root := schemaOf(reflect.TypeFor[Bundle]())
 	root.Schema = "https://json-schema.org/draft/2020-12/schema"
--- a/pkg/bundle/sign.go
+++ b/pkg/bundle/sign.go
@@ -10,31 +10,32 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// signatureContext keeps a signature of a bundle from being taken for a
-// signature of anything else.
+// signatureContext is signed together with the bundle, so that a signature of
+// other data is never valid for a bundle and vice versa.
 const signatureContext = "filbertlever bundle 1\n"
 
-// Errors of verification.
+// Errors of the verification of bundles and manifests.
 var (
 	ErrDigest    = errors.New("digest does not match the content")
 	ErrSignature = errors.New("wrong signature")
 	ErrSignOffs  = errors.New("too few sign-offs")
 )
 
-// Signature is one operator's sign-off.
+// Signature is the sign-off of one operator.
 type Signature struct {
 	Operator  string
 	Signature []byte
 }
 
-// Signed is a bundle file with its sign-offs, as it is stored and sent.
+// Signed is a bundle file with its sign-offs, in the form that is stored and
+// sent.
 type Signed struct {
-	// Body is the bundle file, byte for byte as it was signed.
+	// Body is the exact content of the bundle file that was signed.
 	Body       []byte
 	Signatures []Signature
 }
 
-// Operators maps the name of each operator to the public key.
+// Operators maps the names of operators to their public keys.
 type Operators map[string]ed25519.PublicKey
 
 // Digest returns the digest of the bundle file.
@@ -42,7 +43,8 @@
 	return filbertlever.DigestOf(s.Body)
 }
 
-// Sign adds the sign-off of operator, in place of an earlier one of the same.
+// Sign adds the sign-off of an operator. It replaces an earlier one of the same
+// operator.
 func (s *Signed) Sign(operator string, key ed25519.PrivateKey) {
 	signature := Signature{Operator: operator, Signature: ed25519.Sign(key, signedMessage(s.Body))}
 	for i := range s.Signatures {
@@ -54,9 +56,9 @@
 	s.Signatures = append(s.Signatures, signature)
 }
 
-// Verify checks every sign-off and that there are enough of different
-// operators, and returns the bundle. The number wanted is the larger of
-// signOffs and the bundle's own.
+// Verify checks every sign-off and that enough different operators signed, and
+// returns the bundle. The required number is the larger of signOffs and the
+// bundle's own SignOffs.
 func (s *Signed) Verify(operators Operators, signOffs int) (*Bundle, error) {
 	b, err := Parse(s.Body)
 	if err != nil {
@@ -71,17 +73,17 @@
 		if !ed25519.Verify(key, signedMessage(s.Body), signature.Signature) {
 			return nil, fmt.Errorf("sign-off of %q: %w", signature.Operator, ErrSignature)
 		}
-		// Two names for one key are one operator.
+		// Two names with the same key count as one operator.
 		valid[string(key)] = true
 	}
-	wanted := max(signOffs, b.SignOffs)
-	if len(valid) < wanted {
-		return nil, fmt.Errorf("bundle %d has %d of %d: %w", b.Version, len(valid), wanted, ErrSignOffs)
+	required := max(signOffs, b.SignOffs)
+	if len(valid) < required {
+		return nil, fmt.Errorf("bundle %d has %d of %d required sign-offs: %w", b.Version, len(valid), required, ErrSignOffs)
 	}
 	return b, nil
 }
 
-// Encode returns the stored form.
+// Encode returns the JSON encoding that is stored and sent.
 func (s *Signed) Encode() ([]byte, error) {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -90,7 +92,7 @@
 	return data, nil
 }
 
-// DecodeSigned reads the stored form.
+// DecodeSigned decodes the encoding that Encode returns.
 func DecodeSigned(data []byte) (*Signed, error) {
 	var s Signed
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -99,7 +101,7 @@
 	return &s, nil
 }
 
-// ParsePublicKey reads a public key in base64.
+// ParsePublicKey parses an ed25519 public key in base64.
 func ParsePublicKey(text string) (ed25519.PublicKey, error) {
 	raw, err := base64.StdEncoding.DecodeString(text)
 	if err != nil || len(raw) != ed25519.PublicKeySize {
--- a/pkg/client/ask.go
+++ b/pkg/client/ask.go
@@ -12,9 +12,10 @@
 	filbertleverv1 "github.com/filbertlever/filbertlever/pkg/api/filbertlever/v1"
 )
 
-// Question is a model request.
+// Question is a request to a model.
 type Question struct {
-	// RequestID names the request in the system's logs; empty for a new one.
+	// RequestID identifies the request in the system's logs. If it is empty, a
+	// new ID is generated.
 	RequestID string
 	Model     string
 	Adapter   string
@@ -23,90 +24,94 @@
 	Priority  filbertlever.Priority
 }
 
-// Answer is a whole answer.
+// Answer is the answer to a Question.
 type Answer struct {
 	Pieces        []string
 	ModelVersion  string
 	VersionDigest string
-	// Attempts is how many entries were asked.
+	// Attempts is the number of attempts, each at one entry.
 	Attempts int
 }
 
-// Ask asks a model and calls each with the parts of the answer as they come,
-// every token once. It returns once the answer is whole, or with an error
-// that is ErrNotRun if nothing was delivered and ErrIncomplete otherwise. The
-// deadline of ctx is the request's.
-func (c *Client) Ask(ctx context.Context, question Question, each func(pieces []string) error) (*Answer, error) {
+// Ask sends a question to a model and calls onPieces with the pieces of the
+// answer as they arrive, each token once. It returns when the answer is
+// complete. Otherwise the error is ErrIncomplete if pieces were delivered, and
+// ErrNotRun if the request was refused before that. The deadline of ctx is the
+// deadline of the request.
+func (c *Client) Ask(ctx context.Context, question Question, onPieces func(pieces []string) error) (*Answer, error) {
 	if question.RequestID == "" {
 		question.RequestID = NewKey()
 	}
 	answer := &Answer{}
-	var last error
+	var lastErr error
 	for {
 		if err := ctx.Err(); err != nil {
-			return answer, giveUp(answer, errors.Join(err, last))
+			return answer, markIncomplete(answer, errors.Join(err, lastErr))
 		}
 		address, err := c.address(ctx)
 		if err != nil {
-			return answer, giveUp(answer, errors.Join(err, last))
+			return answer, markIncomplete(answer, errors.Join(err, lastErr))
 		}
 		answer.Attempts++
-		end, err := c.attempt(ctx, address, question, answer, each)
+		final, err := c.attempt(ctx, address, question, answer, onPieces)
 		if err != nil {
-			if final(err) || errors.Is(err, errEach) || ctx.Err() != nil {
-				return answer, giveUp(answer, err)
+			if isPermanent(err) || errors.Is(err, errCallback) || ctx.Err() != nil {
+				return answer, markIncomplete(answer, err)
 			}
-			last = c.failed(address, err)
-			_ = pause(ctx, retryPause)
+			lastErr = c.markFailed(address, err)
+			_ = sleep(ctx, retryDelay)
 			continue
 		}
-		done, err := c.ended(ctx, address, end)
+		done, err := c.handleFinal(ctx, address, final)
 		if done {
 			return answer, err
 		}
-		last = err
+		lastErr = err
 	}
 }
 
-var errEach = errors.New("caller's function failed")
+var errCallback = errors.New("callback failed")
 
-func giveUp(answer *Answer, err error) error {
+// markIncomplete wraps err in ErrIncomplete if pieces were delivered.
+func markIncomplete(answer *Answer, err error) error {
 	if len(answer.Pieces) > 0 {
 		return fmt.Errorf("%w: %w", ErrIncomplete, err)
 	}
 	return err
 }
 
-// ended takes the final word of an entry and reports whether it ends the
-// request.
-func (c *Client) ended(ctx context.Context, address string, end *filbertleverv1.Final) (bool, error) {
-	switch end.Outcome {
+// handleFinal handles the final event of an entry and reports whether the
+// request has ended. If not, it waits for the refusal's RetryAfter, unless the
+// entry named other entries to use.
+func (c *Client) handleFinal(ctx context.Context, address string, final *filbertleverv1.Final) (bool, error) {
+	switch final.Outcome {
 	case filbertleverv1.Outcome_OUTCOME_ANSWERED:
 		return true, nil
 	case filbertleverv1.Outcome_OUTCOME_INCOMPLETE:
-		return true, fmt.Errorf("%w: %s", ErrIncomplete, end.Reason)
+		return true, fmt.Errorf("%w: %s", ErrIncomplete, final.Reason)
 	}
-	refusal := &Refusal{Reason: end.Reason, RetryAfter: end.RetryAfter.AsDuration()}
-	if len(end.Elsewhere) > 0 {
-		_ = c.failed(address, refusal)
-		c.use(end.Elsewhere, avoidFor)
+	refusal := &Refusal{Reason: final.Reason, RetryAfter: final.RetryAfter.AsDuration()}
+	if len(final.Elsewhere) > 0 {
+		_ = c.markFailed(address, refusal)
+		c.setEntries(final.Elsewhere, avoidDuration)
 		return false, refusal
 	}
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= refusal.RetryAfter {
 		return true, refusal
 	}
-	if err := pause(ctx, max(refusal.RetryAfter, retryPause)); err != nil {
+	if err := sleep(ctx, max(refusal.RetryAfter, retryDelay)); err != nil {
 		return true, refusal
 	}
 	return false, refusal
 }
 
-// attempt asks one entry, from the tokens already delivered on.
-func (c *Client) attempt(ctx context.Context, address string, question Question, answer *Answer, each func([]string) error) (*filbertleverv1.Final, error) {
+// attempt sends the question to one entry. It resumes after the tokens that were
+// already delivered.
+func (c *Client) attempt(ctx context.Context, address string, question Question, answer *Answer, onPieces func([]string) error) (*filbertleverv1.Final, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(c.config.Silence, func() { cancel(errors.New("entry went silent")) })
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(c.config.Silence, func() { cancel(errors.New("entry sent nothing within the idle timeout")) })
+	defer idleTimer.Stop()
 	message := &filbertleverv1.AskRequest{
 		RequestId: question.RequestID,
 		Model:     question.Model,
@@ -127,26 +132,26 @@
 	}
 	defer events.Close()
 	for events.Receive() {
-		silence.Reset(c.config.Silence)
+		idleTimer.Reset(c.config.Silence)
 		event := events.Msg()
-		if end := event.GetFinal(); end != nil {
-			return end, nil
+		if final := event.GetFinal(); final != nil {
+			return final, nil
 		}
-		if err := answer.take(event, each); err != nil {
+		if err := answer.addEvent(event, onPieces); err != nil {
 			return nil, err
 		}
 	}
 	if err := events.Err(); err != nil {
 		return nil, err
 	}
-	return nil, errors.New("entry ended the stream early")
+	return nil, errors.New("entry closed the stream before the final event")
 }
 
-// take adds an event to the answer.
-func (a *Answer) take(event *filbertleverv1.AskResponse, each func([]string) error) error {
+// addEvent appends the new tokens of an event to the answer.
+func (a *Answer) addEvent(event *filbertleverv1.AskResponse, onPieces func([]string) error) error {
 	if start := event.GetStart(); start != nil {
 		if len(a.Pieces) > 0 && start.VersionDigest != a.VersionDigest {
-			return errors.New("entry resumed on another model version")
+			return errors.New("entry resumed the answer with another model version")
 		}
 		a.ModelVersion = start.ModelVersion
 		a.VersionDigest = start.VersionDigest
@@ -156,14 +161,14 @@
 		return nil
 	}
 	if int(tokens.Offset) > len(a.Pieces) {
-		return fmt.Errorf("entry left out tokens %d to %d", len(a.Pieces), tokens.Offset)
-	}
-	known := min(len(a.Pieces)-int(tokens.Offset), len(tokens.Pieces))
-	fresh := tokens.Pieces[known:]
-	a.Pieces = append(a.Pieces, fresh...)
-	if each != nil && len(fresh) > 0 {
-		if err := each(fresh); err != nil {
-			return fmt.Errorf("%w: %w", errEach, err)
+		return fmt.Errorf("entry skipped tokens %d to %d", len(a.Pieces), tokens.Offset)
+	}
+	delivered := min(len(a.Pieces)-int(tokens.Offset), len(tokens.Pieces))
+	newPieces := tokens.Pieces[delivered:]
+	a.Pieces = append(a.Pieces, newPieces...)
+	if onPieces != nil && len(newPieces) > 0 {
+		if err := onPieces(newPieces); err != nil {
+			return fmt.Errorf("%w: %w", errCallback, err)
 		}
 	}
 	return nil
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,6 +1,7 @@
-// Package client is the library that callers import. It asks the system which
-// entry hosts to use, keeps the answer for its time, moves on when one is
-// gone, resumes answers that broke off and repeats only what may be repeated.
+// Package client is the client library for callers. It asks the system which
+// entries to use and caches the response, fails over to another entry if one
+// becomes unreachable, resumes interrupted answers and retries only requests
+// that are safe to retry.
 package client
 
 import (
@@ -22,21 +23,22 @@
 	"github.com/filbertlever/filbertlever/pkg/api/filbertlever/v1/filbertleverv1connect"
 )
 
-// Config says how to reach the system.
+// Config is the configuration of a Client.
 type Config struct {
-	// Entries are addresses (IP:port) to ask first; one that lives is enough.
+	// Entries are the addresses (IP:port) of entries to contact first. One
+	// reachable entry is enough.
 	Entries []string
-	// Token is a token of the caller's organisation.
+	// Token is an access token of the caller's organisation.
 	Token string
-	// TLS holds the authority that signed the entries' certificates.
+	// TLS must trust the authority that signed the entries' certificates.
 	TLS *tls.Config
-	// Site is the caller's site, if it has one.
+	// Site is the caller's site. It is optional.
 	Site string
-	// DialTimeout bounds a connection attempt; zero means a second.
+	// DialTimeout bounds a connection attempt. Zero means one second.
 	DialTimeout time.Duration
-	// Dial connects to an address; nil means TCP.
+	// Dial connects to an address. Nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Silence is how long an entry may send nothing; zero means 15 seconds.
+	// Silence is the idle timeout of a response stream. Zero means 15 seconds.
 	Silence time.Duration
 }
 
@@ -44,15 +46,17 @@
 var (
 	// ErrNotRun means that the request did not run.
 	ErrNotRun = errors.New("not run")
-	// ErrUnknown means that an order may have run; look it up later.
+	// ErrUnknown means that an order may have run. Lookup returns its outcome
+	// later.
 	ErrUnknown = errors.New("outcome unknown")
-	// ErrIncomplete means that an answer broke off and could not be completed.
+	// ErrIncomplete means that an answer was interrupted and could not be
+	// completed.
 	ErrIncomplete = errors.New("answer incomplete")
 	// ErrNoEntry means that no entry could be reached.
 	ErrNoEntry = errors.New("no entry reachable")
 )
 
-// Refusal is an ErrNotRun with the time to come back.
+// Refusal is an ErrNotRun with the time after which to retry.
 type Refusal struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -60,41 +64,46 @@
 
 // Error describes the refusal.
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("not run: %s (come back after %s)", r.Reason, r.RetryAfter)
+	return fmt.Sprintf("not run: %s (retry after %s)", r.Reason, r.RetryAfter)
 }
 
-// Is makes a Refusal an ErrNotRun.
+// Is reports whether target is ErrNotRun.
 func (r *Refusal) Is(target error) bool { return target == ErrNotRun }
 
-// Client calls the system for one organisation. It is safe for concurrent use.
+// Client sends requests of one organisation to the system. It is safe for
+// concurrent use.
 type Client struct {
 	config Config
 	http   *http.Client
 
 	mu sync.Mutex
-	// entries is the last answer of Locate, good until keep.
-	entries []string
-	keep    time.Time
-	// avoid holds addresses that failed, and until when they are not used.
-	avoid map[string]time.Time
+	// entries are the addresses of the last response of Locate. They are valid
+	// until entriesExpire.
+	entries       []string
+	entriesExpire time.Time
+	// avoidUntil maps each address that failed to the time until which other
+	// addresses are preferred.
+	avoidUntil map[string]time.Time
 }
 
+// Defaults and timeouts. An address that failed is avoided for avoidDuration.
+// Pings detect dead connections.
 const (
-	defaultDial    = time.Second
-	defaultSilence = 15 * time.Second
-	avoidFor       = 5 * time.Second
-	retryPause     = 50 * time.Millisecond
-	pingAfter      = 2 * time.Second
-	pingTimeout    = 2 * time.Second
+	defaultDialTimeout = time.Second
+	defaultIdleTimeout = 15 * time.Second
+	avoidDuration      = 5 * time.Second
+	retryDelay         = 50 * time.Millisecond
+	pingInterval       = 2 * time.Second
+	pingTimeout        = 2 * time.Second
 )
 
-// New returns a client and the function that closes its connections.
+// New returns a client and a function that closes its idle connections.
 func New(config Config) (*Client, func()) {
 	if config.DialTimeout == 0 {
-		config.DialTimeout = defaultDial
+		config.DialTimeout = defaultDialTimeout
 	}
 	if config.Silence == 0 {
-		config.Silence = defaultSilence
+		config.Silence = defaultIdleTimeout
 	}
 	if config.Dial == nil {
 		config.Dial = (&net.Dialer{Timeout: config.DialTimeout}).DialContext
@@ -104,30 +113,30 @@
 		TLSClientConfig:     config.TLS,
 		TLSHandshakeTimeout: 2 * config.DialTimeout,
 		ForceAttemptHTTP2:   true,
-		HTTP2:               &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:               &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout},
 		MaxIdleConnsPerHost: 64,
 		IdleConnTimeout:     time.Minute,
 	}
-	c := &Client{config: config, http: &http.Client{Transport: transport}, avoid: map[string]time.Time{}}
+	c := &Client{config: config, http: &http.Client{Transport: transport}, avoidUntil: map[string]time.Time{}}
 	return c, transport.CloseIdleConnections
 }
 
-// Must returns the client of New and panics on an empty configuration.
-func Must(client *Client, clean func()) (*Client, func()) {
+// Must wraps a call of New and panics if the configuration has no entries.
+func Must(client *Client, closeIdle func()) (*Client, func()) {
 	if len(client.config.Entries) == 0 {
 		panic("client: no entries configured")
 	}
-	return client, clean
+	return client, closeIdle
 }
 
-// NewKey returns an idempotency key that no other order has.
+// NewKey returns a new random idempotency key.
 func NewKey() string {
 	var random [16]byte
 	_, _ = rand.Read(random[:])
 	return hex.EncodeToString(random[:])
 }
 
-// Located is an answer of Locate.
+// Located is a response of Locate.
 type Located struct {
 	Entries       []Entry
 	Keep          time.Duration
@@ -141,27 +150,27 @@
 	Site    string
 }
 
-// Locate asks the system which entries to use.
+// Locate asks the system which entries to use, and caches the response.
 func (c *Client) Locate(ctx context.Context) (*Located, error) {
 	var failures []error
 	for _, address := range c.candidates() {
 		response, err := c.service(address).Locate(ctx, connect.NewRequest(&filbertleverv1.LocateRequest{Site: c.config.Site}))
 		if err != nil {
-			failures = append(failures, c.failed(address, err))
+			failures = append(failures, c.markFailed(address, err))
 			continue
 		}
 		located := &Located{Keep: response.Msg.Keep.AsDuration(), BundleVersion: response.Msg.BundleVersion}
 		for _, entry := range response.Msg.Entries {
 			located.Entries = append(located.Entries, Entry{Host: filbertlever.HostID(entry.Host), Address: entry.Address, Site: entry.Site})
 		}
-		c.use(response.Msg.Entries, located.Keep)
+		c.setEntries(response.Msg.Entries, located.Keep)
 		return located, nil
 	}
 	return nil, errors.Join(append([]error{ErrNoEntry}, failures...)...)
 }
 
-// use takes addresses to keep for a while.
-func (c *Client) use(entries []*filbertleverv1.EntryAddress, keep time.Duration) {
+// setEntries replaces the cached addresses and sets how long they are valid.
+func (c *Client) setEntries(entries []*filbertleverv1.EntryAddress, validFor time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(entries) == 0 {
@@ -171,38 +180,38 @@
 	for _, entry := range entries {
 		c.entries = append(c.entries, entry.Address)
 	}
-	c.keep = time.Now().Add(keep)
+	c.entriesExpire = time.Now().Add(validFor)
 }
 
-// candidates returns addresses to try, best first: the kept answer, then the
-// configured ones; those that failed lately come last.
+// candidates returns the addresses to try, best first: the cached ones, then the
+// configured ones. Those that failed recently come last.
 func (c *Client) candidates() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	seen := map[string]bool{}
-	var good, bad []string
+	var preferred, avoided []string
 	for _, address := range append(append([]string(nil), c.entries...), c.config.Entries...) {
 		if seen[address] {
 			continue
 		}
 		seen[address] = true
-		if now.Before(c.avoid[address]) {
-			bad = append(bad, address)
+		if now.Before(c.avoidUntil[address]) {
+			avoided = append(avoided, address)
 		} else {
-			good = append(good, address)
+			preferred = append(preferred, address)
 		}
 	}
-	return append(good, bad...)
+	return append(preferred, avoided...)
 }
 
-// address returns the address to use now, asking the system if the kept
-// answer has run out.
+// address returns the address to use. It calls Locate if the cached addresses
+// have expired.
 func (c *Client) address(ctx context.Context) (string, error) {
 	c.mu.Lock()
-	fresh := len(c.entries) > 0 && time.Now().Before(c.keep)
+	valid := len(c.entries) > 0 && time.Now().Before(c.entriesExpire)
 	c.mu.Unlock()
-	if !fresh {
+	if !valid {
 		if _, err := c.Locate(ctx); err != nil {
 			return "", err
 		}
@@ -210,10 +219,12 @@
 	return c.candidates()[0], nil
 }
 
-func (c *Client) failed(address string, err error) error {
+// markFailed makes other addresses preferred for avoidDuration and wraps the
+// error.
+func (c *Client) markFailed(address string, err error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.avoid[address] = time.Now().Add(avoidFor)
+	c.avoidUntil[address] = time.Now().Add(avoidDuration)
 	return fmt.Errorf("entry %s: %w", address, err)
 }
 
@@ -227,9 +238,9 @@
 	return request
 }
 
-// final reports whether an error of an entry is about the request itself, so
-// that another entry would say the same.
-func final(err error) bool {
+// isPermanent reports whether an error is caused by the request itself, so that
+// every entry would return it.
+func isPermanent(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnauthenticated, connect.CodeInvalidArgument, connect.CodeNotFound, connect.CodePermissionDenied, connect.CodeFailedPrecondition:
 		return true
@@ -237,8 +248,8 @@
 	return false
 }
 
-// pause waits before another try, or returns why not.
-func pause(ctx context.Context, wait time.Duration) error {
+// sleep waits, or returns the error of ctx once ctx is done.
+func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/pkg/client/order.go
+++ b/pkg/client/order.go
@@ -13,37 +13,37 @@
 
 // Order is a call of a plain service.
 type Order struct {
-	// Key names the order; the same key never runs twice. Keep it, to look
-	// the order up later.
+	// Key is the idempotency key. An order with the same key never runs twice.
+	// Lookup needs the key.
 	Key     string
 	Service string
 	Call    string
 	Body    []byte
 }
 
-// Order runs an order and returns its answer. The error is ErrNotRun only if
-// no attempt with this key ran, and ErrUnknown if one may have.
+// Order runs an order and returns its answer. The error is ErrNotRun only if no
+// attempt with this key ran, and ErrUnknown if one may have run.
 func (c *Client) Order(ctx context.Context, order Order) ([]byte, error) {
-	// Once a connection broke after the order was sent, a later refusal says
-	// nothing of the earlier attempt.
+	// After a connection broke once the order was sent, a later refusal does not
+	// tell whether the earlier attempt ran.
 	repeated := false
-	var last error
+	var lastErr error
 	for {
 		if ctx.Err() != nil {
-			return nil, orderGivenUp(repeated, errors.Join(ctx.Err(), last))
+			return nil, markUnknown(repeated, errors.Join(ctx.Err(), lastErr))
 		}
 		address, err := c.address(ctx)
 		if err != nil {
-			return nil, orderGivenUp(repeated, errors.Join(err, last))
+			return nil, markUnknown(repeated, errors.Join(err, lastErr))
 		}
-		response, err := c.orderAt(ctx, address, order, repeated)
+		response, err := c.sendOrder(ctx, address, order, repeated)
 		if err != nil {
-			if final(err) {
-				return nil, orderGivenUp(repeated, err)
+			if isPermanent(err) {
+				return nil, markUnknown(repeated, err)
 			}
 			repeated = true
-			last = c.failed(address, err)
-			_ = pause(ctx, retryPause)
+			lastErr = c.markFailed(address, err)
+			_ = sleep(ctx, retryDelay)
 			continue
 		}
 		switch response.Outcome {
@@ -52,24 +52,25 @@
 		case filbertleverv1.Outcome_OUTCOME_UNKNOWN:
 			return nil, fmt.Errorf("%w: %s", ErrUnknown, response.Reason)
 		}
-		done, err := c.ended(ctx, address, &filbertleverv1.Final{
+		done, err := c.handleFinal(ctx, address, &filbertleverv1.Final{
 			Outcome: response.Outcome, Reason: response.Reason, RetryAfter: response.RetryAfter, Elsewhere: response.Elsewhere,
 		})
 		if done {
 			return nil, err
 		}
-		last = err
+		lastErr = err
 	}
 }
 
-func orderGivenUp(repeated bool, err error) error {
+// markUnknown wraps err in ErrUnknown if an earlier attempt may have run.
+func markUnknown(repeated bool, err error) error {
 	if repeated {
 		return fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	return err
 }
 
-func (c *Client) orderAt(ctx context.Context, address string, order Order, repeated bool) (*filbertleverv1.OrderResponse, error) {
+func (c *Client) sendOrder(ctx context.Context, address string, order Order, repeated bool) (*filbertleverv1.OrderResponse, error) {
 	message := &filbertleverv1.OrderRequest{
 		IdempotencyKey: order.Key,
 		Service:        order.Service,
@@ -88,7 +89,7 @@
 }
 
 // Lookup returns the answer of an order sent earlier, without running it. The
-// error is ErrNotRun or ErrUnknown where the order did not or may have run.
+// error is ErrNotRun if the order did not run, and ErrUnknown if it may have run.
 func (c *Client) Lookup(ctx context.Context, key string) ([]byte, error) {
 	address, err := c.address(ctx)
 	if err != nil {
@@ -96,7 +97,7 @@
 	}
 	response, err := c.service(address).LookupOrder(ctx, withToken(&filbertleverv1.LookupOrderRequest{IdempotencyKey: key}, c.config.Token))
 	if err != nil {
-		return nil, c.failed(address, err)
+		return nil, c.markFailed(address, err)
 	}
 	switch response.Msg.Outcome {
 	case filbertleverv1.Outcome_OUTCOME_ANSWERED:
--- a/pkg/document/document.go
+++ b/pkg/document/document.go
@@ -1,5 +1,6 @@
-// Package document decodes YAML files that people write, and reports every
-// fault of a file at once with its line, field, value and what was expected.
+// Package document decodes and validates YAML files written by people. It
+// reports all faults of a file at once, each with the line, the field, the value
+// and what was expected.
 package document
 
 import (
@@ -14,12 +15,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// MaxBytes bounds a document; a larger one is refused before it is parsed.
+// MaxBytes is the maximum size of a document. Larger documents are rejected
+// before they are parsed.
 const MaxBytes = 16 << 20
 
-// Fault is one thing wrong in a document.
+// Fault is one validation error in a document.
 type Fault struct {
-	// Line is 1 for the first line, 0 if the fault has no place.
+	// Line is the line of the fault, starting at 1, or 0 if it has none.
 	Line     int
 	Field    string
 	Value    string
@@ -42,10 +44,10 @@
 	return b.String()
 }
 
-// Faults is every fault found in a document.
+// Faults is the error that lists all faults of a document.
 type Faults []Fault
 
-// Error returns all faults, one a line.
+// Error returns all faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -54,20 +56,20 @@
 	return strings.Join(lines, "\n")
 }
 
-// Checker collects faults and knows the line of each field.
+// Checker collects faults and looks up the line of each field.
 type Checker struct {
 	root   *yaml.Node
 	faults Faults
-	// decoded holds the lines whose faults decoding found; what else is said of
-	// such a line would follow from them.
-	decoded map[int]bool
+	// decodeErrorLines holds the lines with faults found while decoding. Later
+	// faults of such a line are dropped, as they would only be consequences.
+	decodeErrorLines map[int]bool
 }
 
-// Decode parses data into out, a pointer to a struct whose fields bear yaml
-// tags. It returns a Checker that already holds the faults of syntax, type
-// and unknown fields.
+// Decode parses data into out, a pointer to a struct whose fields have yaml
+// tags. The returned Checker already contains the faults of syntax and type and
+// the unknown fields.
 func Decode(data []byte, out any) *Checker {
-	check := &Checker{decoded: map[int]bool{}}
+	check := &Checker{decodeErrorLines: map[int]bool{}}
 	if len(data) > MaxBytes {
 		check.add(Fault{Expected: fmt.Sprintf("at most %d bytes", MaxBytes)})
 		return check
@@ -86,28 +88,28 @@
 	return check
 }
 
-// Fault notes that the field at path has a value other than expected. A path
-// reads like "Models[0].Name".
+// Fault records that the value of the field at path is not as expected. An
+// example of a path is "Models[0].Name".
 func (c *Checker) Fault(path string, value any, expected string) {
 	line := c.Line(path)
-	if c.decoded[line] {
+	if c.decodeErrorLines[line] {
 		return
 	}
 	c.add(Fault{Line: line, Field: path, Value: fmt.Sprint(value), Expected: expected})
 }
 
-// Require notes a fault unless ok.
+// Require records a fault unless ok is true.
 func (c *Checker) Require(ok bool, path string, value any, expected string) {
 	if !ok {
 		c.Fault(path, value, expected)
 	}
 }
 
-// Parsed reports whether the document is YAML at all, so that its fields can be
+// Parsed reports whether the document is valid YAML, so that its fields can be
 // checked.
 func (c *Checker) Parsed() bool { return c.root != nil }
 
-// Err returns the Faults found in the order of their lines, or nil.
+// Err returns the Faults in the order of their lines, or nil if there are none.
 func (c *Checker) Err() error {
 	if len(c.faults) == 0 {
 		return nil
@@ -116,13 +118,14 @@
 	return c.faults
 }
 
-// Line returns the line of the deepest part of path that the file has.
+// Line returns the line of the field at path, or of its closest parent that
+// exists in the file.
 func (c *Checker) Line(path string) int {
 	if c.root == nil || len(c.root.Content) == 0 {
 		return 0
 	}
 	node := c.root.Content[0]
-	for _, step := range splitPath(path) {
+	for _, step := range parsePath(path) {
 		next := child(node, step)
 		if next == nil {
 			break
@@ -137,7 +140,7 @@
 }
 
 var (
-	decodeLine   = regexp.MustCompile(`^line (\d+): (.*)$`)
+	linePrefix   = regexp.MustCompile(`^line (\d+): (.*)$`)
 	unknownField = regexp.MustCompile(`^field (\S+) not found in type \S+$`)
 	wrongType    = regexp.MustCompile("^cannot unmarshal !!\\w+ `(.*)` into (\\S+)$")
 )
@@ -150,14 +153,15 @@
 	}
 	for _, message := range typeErr.Errors {
 		fault := decodeFault(message)
-		c.decoded[fault.Line] = true
+		c.decodeErrorLines[fault.Line] = true
 		c.add(fault)
 	}
 }
 
+// decodeFault converts an error message of the YAML decoder into a Fault.
 func decodeFault(message string) Fault {
 	var fault Fault
-	if m := decodeLine.FindStringSubmatch(message); m != nil {
+	if m := linePrefix.FindStringSubmatch(message); m != nil {
 		fault.Line, _ = strconv.Atoi(m[1])
 		message = m[2]
 	}
@@ -175,12 +179,13 @@
 	return fault
 }
 
-func splitPath(path string) []string {
+func parsePath(path string) []string {
 	path = strings.ReplaceAll(path, "[", ".")
 	path = strings.ReplaceAll(path, "]", "")
 	return strings.Split(path, ".")
 }
 
+// child returns the value of a mapping key or sequence index, or nil.
 func child(node *yaml.Node, step string) *yaml.Node {
 	switch node.Kind {
 	case yaml.MappingNode:
--- a/pkg/document/units.go
+++ b/pkg/document/units.go
@@ -9,10 +9,10 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Duration is a length of time, written like "250ms".
+// Duration is a duration that is written as "250ms" in YAML.
 type Duration time.Duration
 
-// UnmarshalYAML reads a duration.
+// UnmarshalYAML parses a duration.
 func (d *Duration) UnmarshalYAML(node *yaml.Node) error {
 	parsed, err := time.ParseDuration(node.Value)
 	if err != nil {
@@ -22,12 +22,12 @@
 	return nil
 }
 
-// MarshalYAML writes a duration.
+// MarshalYAML formats the duration.
 func (d Duration) MarshalYAML() (any, error) {
 	return time.Duration(d).String(), nil
 }
 
-// Size is a number of bytes, written like "64MiB".
+// Size is a number of bytes that is written as "64MiB" in YAML.
 type Size int64
 
 // The units of sizes.
@@ -47,7 +47,7 @@
 	{"B", 1},
 }
 
-// ParseSize reads a size such as "64MiB".
+// ParseSize parses a size such as "64MiB".
 func ParseSize(text string) (Size, error) {
 	for _, unit := range sizeUnits {
 		number, ok := strings.CutSuffix(text, unit.name)
@@ -63,7 +63,7 @@
 	return 0, fmt.Errorf("size %q: expected a number with B, KiB, MiB or GiB", text)
 }
 
-// String returns the size in its largest whole unit.
+// String returns the size in the largest unit that divides it.
 func (s Size) String() string {
 	for _, unit := range sizeUnits {
 		if s >= unit.size && s%unit.size == 0 {
@@ -73,7 +73,7 @@
 	return strconv.FormatInt(int64(s), 10) + "B"
 }
 
-// UnmarshalYAML reads a size.
+// UnmarshalYAML parses a size.
 func (s *Size) UnmarshalYAML(node *yaml.Node) error {
 	parsed, err := ParseSize(node.Value)
 	if err != nil {
@@ -83,11 +83,12 @@
 	return nil
 }
 
-// MarshalYAML writes a size.
+// MarshalYAML formats the size.
 func (s Size) MarshalYAML() (any, error) {
 	return s.String(), nil
 }
 
+// typeError returns the error type that Decode reports as a Fault.
 func typeError(node *yaml.Node, expected string) error {
 	message := fmt.Sprintf("line %d: %q: expected %s", node.Line, node.Value, expected)
 	return &yaml.TypeError{Errors: []string{message}}
