--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -59,9 +59,9 @@
 	defer closeAll()
 	failures := []error{fmt.Errorf("%w: no entry in Seeds answered", ErrNotRun)}
 	for _, seed := range s.Seeds {
-		askCtx, cancel := context.WithTimeout(ctx, statusTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, statusTimeout)
 		var status control.Status
-		err := connections.Call(askCtx, seed.Host, control.MethodStatus, struct{}{}, &status)
+		err := connections.Call(callCtx, seed.Host, control.MethodStatus, struct{}{}, &status)
 		cancel()
 		if err == nil {
 			return &status, nil
@@ -71,6 +71,8 @@
 	return nil, errors.Join(failures...)
 }
 
+// connect returns a control connection with the keys of the settings and a
+// function that closes it.
 func connect(s *settings.Settings, net network.Network) (*peer.Control, func(), error) {
 	keys, err := peer.LoadKeys(peer.Files{Authority: s.TLS.Authority, Certificate: s.TLS.Certificate, Key: s.TLS.Key})
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -106,7 +106,7 @@
 // Entry holds the settings of an entry.
 type Entry struct {
 	// OrderWrites is the maximum number of platform writes per second for the
-	// orders of the whole system.
+	// orders of the system as a whole.
 	OrderWrites int `yaml:"OrderWrites"`
 	// Keep is how long callers may cache a response of Locate.
 	Keep document.Duration `yaml:"Keep"`
--- a/pkg/bundle/manifest.go
+++ b/pkg/bundle/manifest.go
@@ -34,12 +34,12 @@
 		return nil, fmt.Errorf("chunk size %d: expected 1 to %d", chunkSize, MaxChunkBytes)
 	}
 	m := &Manifest{Path: path, ChunkSize: chunkSize}
-	whole := sha256.New()
+	allData := sha256.New()
 	chunk := make([]byte, chunkSize)
 	for {
 		n, err := io.ReadFull(r, chunk)
 		if n > 0 {
-			whole.Write(chunk[:n])
+			allData.Write(chunk[:n])
 			m.Size += int64(n)
 			m.Chunks = append(m.Chunks, filbertlever.DigestOf(chunk[:n]))
 		}
@@ -53,7 +53,7 @@
 	if m.Size == 0 {
 		return nil, fmt.Errorf("read weights %s: empty", path)
 	}
-	m.Digest = filbertlever.NewDigest(whole.Sum(nil))
+	m.Digest = filbertlever.NewDigest(allData.Sum(nil))
 	return m, nil
 }
 
