--- a/internal/bench/cluster/cluster.go
+++ b/internal/bench/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster starts entries and agents in this process, over loopback and
-// against the stand-ins, for measurements.
+// Package cluster runs entries and agents in this process for measurements. They
+// communicate over loopback and use the stand-ins.
 package cluster
 
 import (
@@ -28,51 +28,51 @@
 	"github.com/filbertlever/filbertlever/pkg/document"
 )
 
-// Config says what to start.
+// Config configures a cluster.
 type Config struct {
 	Entries, Agents int
 	Engine          standin.EngineConfig
 	Routing         routing.Config
-	// Concurrency is how many requests run at once at a backend server.
+	// Concurrency is the number of concurrent requests of a backend server.
 	Concurrency int
-	// Queue is how many requests wait at a backend server.
+	// Queue is the maximum number of queued requests at a backend server.
 	Queue int
-	// Network gives each host its network; nil means TCP.
+	// Network returns the network of a host. Nil means TCP.
 	Network func(filbertlever.Host) network.Network
-	// Organisations have tokens of their own name.
+	// Organisations may send requests. Each one's token is its name.
 	Organisations []filbertlever.OrganisationID
 }
 
 // Model is the model that every agent serves.
 const Model = "drafter"
 
-// Cluster is what runs.
+// Cluster is a running cluster.
 type Cluster struct {
 	Engines []*standin.Engine
-	// EngineURLs are the engines' own addresses.
+	// EngineURLs are the URLs for direct calls of the engines.
 	EngineURLs []string
-	// Callers are the entries' addresses for callers.
+	// Callers are the caller addresses of the entries.
 	Callers []string
-	// TLS trusts the entries.
+	// TLS is a client configuration that trusts the certificates of the entries.
 	TLS *tls.Config
-	// Digest is that of the weights loaded.
+	// Digest is the digest of the loaded weights.
 	Digest filbertlever.Digest
 
-	dir      operator.KeyDir
-	public   string
-	platform *standin.Platform
-	url      string
-	cancel   context.CancelFunc
-	group    sync.WaitGroup
-	servers  []*http.Server
-	seeds    []settings.Seed
-	ports    int
+	dir         operator.KeyDir
+	operatorKey string
+	platform    *standin.Platform
+	platformURL string
+	cancel      context.CancelFunc
+	group       sync.WaitGroup
+	servers     []*http.Server
+	seeds       []settings.Seed
+	firstPort   int
 }
 
 const (
 	basePort     = 21000
 	portsPerHost = 4
-	startMost    = 30 * time.Second
+	startTimeout = 30 * time.Second
 )
 
 var (
@@ -80,9 +80,9 @@
 	nextPort = basePort
 )
 
-// takePorts returns the first of n ports that no other cluster of this
-// process has had.
-func takePorts(n int) int {
+// reservePorts reserves n consecutive ports and returns the first. Each cluster
+// in this process gets different ports.
+func reservePorts(n int) int {
 	portsMu.Lock()
 	defer portsMu.Unlock()
 	first := nextPort
@@ -90,15 +90,15 @@
 	return first
 }
 
-// New starts a cluster whose agents all serve Model, and returns the function
-// that stops it.
+// New starts a cluster whose agents all serve Model. It returns the cluster and
+// a function that stops it.
 func New(ctx context.Context, config Config) (*Cluster, func(), error) {
 	path, err := os.MkdirTemp("", "cluster")
 	if err != nil {
 		return nil, nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	c := &Cluster{dir: operator.KeyDir{Path: path}, platform: standin.NewPlatform(), cancel: cancel, ports: takePorts(portsPerHost * (config.Entries + config.Agents))}
+	c := &Cluster{dir: operator.KeyDir{Path: path}, platform: standin.NewPlatform(), cancel: cancel, firstPort: reservePorts(portsPerHost * (config.Entries + config.Agents))}
 	stop := func() {
 		cancel()
 		c.group.Wait()
@@ -116,10 +116,10 @@
 
 func (c *Cluster) start(ctx context.Context, config Config) error {
 	var err error
-	if c.public, err = c.dir.NewOperator("ana"); err != nil {
+	if c.operatorKey, err = c.dir.NewOperator("ana"); err != nil {
 		return err
 	}
-	if c.url, err = c.serve(c.platform.Handler()); err != nil {
+	if c.platformURL, err = c.serve(c.platform.Handler()); err != nil {
 		return err
 	}
 	var hosts []filbertlever.Host
@@ -137,11 +137,11 @@
 		hosts = append(hosts, host)
 	}
 	c.platform.SetHosts(hosts)
-	if err := c.roll(ctx, config); err != nil {
+	if err := c.rollBundle(ctx, config); err != nil {
 		return err
 	}
 	for i, host := range hosts {
-		if err := c.run(ctx, config, i, host); err != nil {
+		if err := c.startHost(ctx, config, i, host); err != nil {
 			return err
 		}
 	}
@@ -150,13 +150,14 @@
 		return err
 	}
 	c.TLS = &tls.Config{RootCAs: authority}
-	return c.await(ctx)
+	return c.awaitReady(ctx)
 }
 
 func (c *Cluster) address(host, port int) string {
-	return fmt.Sprintf("127.0.0.1:%d", c.ports+host*portsPerHost+port)
+	return fmt.Sprintf("127.0.0.1:%d", c.firstPort+host*portsPerHost+port)
 }
 
+// serve starts an HTTP server for a handler and returns its URL.
 func (c *Cluster) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -164,19 +165,20 @@
 	}
 	server := &http.Server{Handler: handler}
 	c.servers = append(c.servers, server)
-	s := serving{server: server, listener: listener}
+	s := httpServer{server: server, listener: listener}
 	go s.run()
 	return "http://" + listener.Addr().String(), nil
 }
 
-type serving struct {
+type httpServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-func (s *serving) run() { _ = s.server.Serve(s.listener) }
+func (s *httpServer) run() { _ = s.server.Serve(s.listener) }
 
-func (c *Cluster) run(ctx context.Context, config Config, i int, host filbertlever.Host) error {
+// startHost starts host i and, for an agent, its engine.
+func (c *Cluster) startHost(ctx context.Context, config Config, i int, host filbertlever.Host) error {
 	files, err := c.dir.NewHost(string(host.ID), string(host.Role), net.IPv4(127, 0, 0, 1))
 	if err != nil {
 		return err
@@ -185,17 +187,17 @@
 	s.Host, s.Site, s.Region = host.ID, host.Site, host.Region
 	s.Peer.Address, s.Callers.Address, s.Admin.Address = host.PeerAddress, host.CallerAddress, c.address(i, 2)
 	s.TLS = settings.TLS{Authority: c.dir.Authority(), Certificate: files.Certificate, Key: files.Key}
-	s.Platform.URL = c.url
-	s.Operators = []settings.Operator{{Name: "ana", PublicKey: c.public}}
+	s.Platform.URL = c.platformURL
+	s.Operators = []settings.Operator{{Name: "ana", PublicKey: c.operatorKey}}
 	s.Seeds = c.seeds
 	s.Stop = settings.Stop{Grace: document.Duration(50 * time.Millisecond), Move: document.Duration(time.Second)}
-	var links network.Network = network.TCP{DialTimeout: peer.DialTimeout}
+	var hostNetwork network.Network = network.TCP{DialTimeout: peer.DialTimeout}
 	if config.Network != nil {
-		links = config.Network(host)
+		hostNetwork = config.Network(host)
 	}
 	log := zap.NewNop()
 	if host.Role == filbertlever.RoleEntry {
-		c.group.Go(func() { _ = process.RunEntryWith(ctx, &s, config.Routing, links, log) })
+		c.group.Go(func() { _ = process.RunEntryWith(ctx, &s, config.Routing, hostNetwork, log) })
 		return nil
 	}
 	engine := standin.NewEngine(config.Engine)
@@ -205,13 +207,13 @@
 	}
 	c.Engines = append(c.Engines, engine)
 	c.EngineURLs = append(c.EngineURLs, url)
-	s.Agent = settings.Agent{Pool: "models", Engine: url, Weights: settings.Listener{Address: c.address(i, 3)}, Origin: c.url + "/origin"}
-	c.group.Go(func() { _ = process.RunAgent(ctx, &s, links, log) })
+	s.Agent = settings.Agent{Pool: "models", Engine: url, Weights: settings.Listener{Address: c.address(i, 3)}, Origin: c.platformURL + "/origin"}
+	c.group.Go(func() { _ = process.RunAgent(ctx, &s, hostNetwork, log) })
 	return nil
 }
 
-// roll rolls a bundle with a small model.
-func (c *Cluster) roll(ctx context.Context, config Config) error {
+// rollBundle rolls out a bundle with a small model.
+func (c *Cluster) rollBundle(ctx context.Context, config Config) error {
 	data := bytes.Repeat([]byte("weights "), 1<<13)
 	c.platform.AddFile(Model, data)
 	c.Digest = filbertlever.DigestOf(data)
@@ -219,9 +221,9 @@
 	if err != nil {
 		return err
 	}
-	desk := platform.New(c.url, time.Second, network.TCP{DialTimeout: peer.DialTimeout})
-	defer desk.Close()
-	digest, err := operator.StoreManifest(ctx, desk, manifest)
+	client := platform.New(c.platformURL, time.Second, network.TCP{DialTimeout: peer.DialTimeout})
+	defer client.Close()
+	digest, err := operator.StoreManifest(ctx, client, manifest)
 	if err != nil {
 		return err
 	}
@@ -242,31 +244,32 @@
 	if err != nil {
 		return err
 	}
-	public, err := bundle.ParsePublicKey(c.public)
+	public, err := bundle.ParsePublicKey(c.operatorKey)
 	if err != nil {
 		return err
 	}
 	signed := &bundle.Signed{Body: body}
 	signed.Sign("ana", key)
-	_, err = operator.Roll(ctx, desk, signed, bundle.Operators{"ana": public}, 1)
+	_, err = operator.Roll(ctx, client, signed, bundle.Operators{"ana": public}, 1)
 	return err
 }
 
-// PlatformCalls returns how many reads and writes the platform has served.
+// PlatformCalls returns the number of reads and writes of the platform.
 func (c *Cluster) PlatformCalls() (reads, writes int) { return c.platform.Calls() }
 
-// await returns once every engine has its weights and entries know it.
-func (c *Cluster) await(ctx context.Context) error {
-	deadline := time.Now().Add(startMost)
-	for _, engine := range c.Engines {
+// awaitReady waits until every engine has loaded its weights and the entries have
+// received the agents' reports.
+func (c *Cluster) awaitReady(ctx context.Context) error {
+	deadline := time.Now().Add(startTimeout)
+	for i, engine := range c.Engines {
 		for len(engine.Versions()) == 0 {
 			if time.Now().After(deadline) || ctx.Err() != nil {
-				return fmt.Errorf("cluster did not start in %s", startMost)
+				return fmt.Errorf("engine %s did not load weights within %s", c.EngineURLs[i], startTimeout)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	// Reports reach the entries within about a second.
+	// Reports reach the entries within about one second.
 	time.Sleep(2 * time.Second)
 	return nil
 }
--- a/internal/bench/controlbench/control.go
+++ b/internal/bench/controlbench/control.go
@@ -1,5 +1,5 @@
-// Package controlbench measures what control costs an idle process of each
-// role, and how that grows with the number of entries and agents.
+// Package controlbench measures the control plane overhead of idle processes and
+// how it grows with the number of entries and agents.
 package controlbench
 
 import (
@@ -20,48 +20,49 @@
 	"github.com/filbertlever/filbertlever/internal/transport/network"
 )
 
-// Row is one size, idle.
+// Row is the overhead of an idle cluster of one size.
 type Row struct {
 	Entries, Agents int
-	// CPU is the share of a core that one process takes, all roles alike.
+	// CPU is the mean share of a core per process, over both roles.
 	CPU float64
-	// HeapKiB is the memory that one process takes above the program itself.
+	// HeapKiB is the memory per process, without the memory in use before the start.
 	HeapKiB float64
-	// Bytes a second, in and out together, of one entry and of one agent.
+	// EntryBytes and AgentBytes are the bytes per second, in and out, of one entry
+	// and of one agent.
 	EntryBytes, AgentBytes float64
-	// Calls of the platform a second, by all processes.
+	// Reads and Writes are the platform calls per second of all processes.
 	Reads, Writes float64
 }
 
-// Fit is a straight line through measured points.
+// Fit is a least squares line through measured points.
 type Fit struct {
 	What string
-	// Base is the value at no agents for each entry, Slope what each adds.
+	// Base is the intercept, and Slope the increase per unit.
 	Base, Slope float64
-	// Residual is the root mean square of what the line misses.
+	// Residual is the root mean square of the residuals.
 	Residual float64
 }
 
-// Result is everything that one run measured.
+// Result holds all measurements of one run.
 type Result struct {
 	Rows []Row
 	Fits []Fit
 }
 
-// sizes are entries and agents.
-var sizes = [][2]int{{8, 8}, {8, 24}, {8, 56}, {8, 120}, {16, 48}, {32, 96}}
+// clusterSizes are the measured numbers of entries and agents.
+var clusterSizes = [][2]int{{8, 8}, {8, 24}, {8, 56}, {8, 120}, {16, 48}, {32, 96}}
 
 const (
-	settle = 4 * time.Second
-	watch  = 6 * time.Second
-	huge   = 1 << 34
+	settleDuration  = 4 * time.Second
+	measureDuration = 6 * time.Second
+	unlimitedRate   = 1 << 34
 )
 
-// Measure runs all sizes.
+// Measure measures all cluster sizes and fits lines to the results.
 func Measure(ctx context.Context) (*Result, error) {
 	result := &Result{}
-	for _, size := range sizes {
-		row, err := measure(ctx, size[0], size[1])
+	for _, size := range clusterSizes {
+		row, err := measureSize(ctx, size[0], size[1])
 		if err != nil {
 			return nil, fmt.Errorf("%d entries, %d agents: %w", size[0], size[1], err)
 		}
@@ -70,49 +71,50 @@
 	perEntry := func(r Row) float64 { return float64(r.Agents) / float64(r.Entries) }
 	processes := func(r Row) float64 { return float64(r.Agents + r.Entries) }
 	result.Fits = []Fit{
-		fit("bytes a second of an entry, by agents for each entry", result.Rows, perEntry, func(r Row) float64 { return r.EntryBytes }),
-		fit("bytes a second of an agent, by entries", result.Rows, func(r Row) float64 { return float64(r.Entries) }, func(r Row) float64 { return r.AgentBytes }),
-		fit("share of a core of a process, by agents for each entry", result.Rows, perEntry, func(r Row) float64 { return r.CPU }),
-		fit("KiB of a process, by processes", result.Rows, processes, func(r Row) float64 { return r.HeapKiB }),
-		fit("platform reads a second of all, by processes", result.Rows, processes, func(r Row) float64 { return r.Reads }),
+		fitLine("bytes a second of an entry, by agents for each entry", result.Rows, perEntry, func(r Row) float64 { return r.EntryBytes }),
+		fitLine("bytes a second of an agent, by entries", result.Rows, func(r Row) float64 { return float64(r.Entries) }, func(r Row) float64 { return r.AgentBytes }),
+		fitLine("share of a core of a process, by agents for each entry", result.Rows, perEntry, func(r Row) float64 { return r.CPU }),
+		fitLine("KiB of a process, by processes", result.Rows, processes, func(r Row) float64 { return r.HeapKiB }),
+		fitLine("platform reads a second of all, by processes", result.Rows, processes, func(r Row) float64 { return r.Reads }),
 	}
 	return result, nil
 }
 
-// counted sums the bytes of the processes of one role.
-type counted struct {
+// linkSet is the set of links of all processes of one role.
+type linkSet struct {
 	mu    sync.Mutex
 	links []*links.Link
 }
 
-func (c *counted) add(l *links.Link) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.links = append(c.links, l)
+func (s *linkSet) add(l *links.Link) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.links = append(s.links, l)
 }
 
-func (c *counted) bytes() int64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (s *linkSet) totalBytes() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	total := int64(0)
-	for _, l := range c.links {
+	for _, l := range s.links {
 		total += l.In.Load() + l.Out.Load()
 	}
 	return total
 }
 
-func measure(ctx context.Context, entries, agents int) (Row, error) {
+// measureSize starts a cluster and measures it while it is idle.
+func measureSize(ctx context.Context, entries, agents int) (Row, error) {
 	runtime.GC()
-	heap := inUse()
-	var entryLinks, agentLinks counted
-	var made atomic.Int64
+	memoryBefore := memoryInUse()
+	var entryLinks, agentLinks linkSet
+	var networks atomic.Int64
 	c, stop, err := cluster.New(ctx, cluster.Config{
 		Entries: entries, Agents: agents, Concurrency: 4, Queue: 32, Routing: routing.DefaultConfig(),
 		Engine:        standin.EngineConfig{ChecksFencing: true, Slots: 4},
 		Organisations: []filbertlever.OrganisationID{"hauler-1"},
 		Network: func(h filbertlever.Host) network.Network {
-			made.Add(1)
-			l := links.New(huge)
+			networks.Add(1)
+			l := links.New(unlimitedRate)
 			if h.Role == filbertlever.RoleEntry {
 				entryLinks.add(l)
 			} else {
@@ -125,40 +127,42 @@
 		return Row{}, err
 	}
 	defer stop()
-	time.Sleep(settle)
-	entryBytes, agentBytes, cpu := entryLinks.bytes(), agentLinks.bytes(), usage()
+	time.Sleep(settleDuration)
+	entryBytes, agentBytes, cpu := entryLinks.totalBytes(), agentLinks.totalBytes(), cpuTime()
 	reads, writes := c.PlatformCalls()
-	time.Sleep(watch)
-	seconds := watch.Seconds()
+	time.Sleep(measureDuration)
+	seconds := measureDuration.Seconds()
 	readsAfter, writesAfter := c.PlatformCalls()
 	processes := float64(entries + agents)
 	row := Row{
 		Entries: entries, Agents: agents,
-		CPU:        (usage() - cpu).Seconds() / seconds / processes,
-		EntryBytes: float64(entryLinks.bytes()-entryBytes) / seconds / float64(entries),
-		AgentBytes: float64(agentLinks.bytes()-agentBytes) / seconds / float64(agents),
+		CPU:        (cpuTime() - cpu).Seconds() / seconds / processes,
+		EntryBytes: float64(entryLinks.totalBytes()-entryBytes) / seconds / float64(entries),
+		AgentBytes: float64(agentLinks.totalBytes()-agentBytes) / seconds / float64(agents),
 		Reads:      float64(readsAfter-reads) / seconds,
 		Writes:     float64(writesAfter-writes) / seconds,
 	}
 	runtime.GC()
-	row.HeapKiB = (float64(inUse()) - float64(heap)) / processes / 1024
+	row.HeapKiB = (float64(memoryInUse()) - float64(memoryBefore)) / processes / 1024
 	return row, nil
 }
 
-func inUse() uint64 {
+// memoryInUse returns the bytes of heap and stacks in use.
+func memoryInUse() uint64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapInuse + stats.StackInuse
 }
 
-func usage() time.Duration {
-	var r syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
-	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
+	var rusage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &rusage)
+	return time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano())
 }
 
-// fit returns the least squares line.
-func fit(what string, rows []Row, x, y func(Row) float64) Fit {
+// fitLine returns the least squares line of y over x.
+func fitLine(what string, rows []Row, x, y func(Row) float64) Fit {
 	n := float64(len(rows))
 	var sx, sy, sxx, sxy float64
 	for _, row := range rows {
@@ -170,8 +174,8 @@
 	slope := (n*sxy - sx*sy) / (n*sxx - sx*sx)
 	f := Fit{What: what, Slope: slope, Base: (sy - slope*sx) / n}
 	for _, row := range rows {
-		miss := y(row) - f.Base - f.Slope*x(row)
-		f.Residual += miss * miss
+		residual := y(row) - f.Base - f.Slope*x(row)
+		f.Residual += residual * residual
 	}
 	f.Residual = math.Sqrt(f.Residual / n)
 	return f
--- a/internal/bench/experiment/experiment_test.go
+++ b/internal/bench/experiment/experiment_test.go
@@ -51,9 +51,9 @@
 func TestTheSameSeedPlaysTheSame(t *testing.T) {
 	e := small(Policy{Name: "production"})
 	e.Outages = []Outage{{At: 2 * time.Second, For: time.Second}}
-	first, again := e.Play(&e.Policies[0], 7), e.Play(&e.Policies[0], 7)
+	first, again := e.Simulate(&e.Policies[0], 7), e.Simulate(&e.Policies[0], 7)
 	qt.Assert(t, again, qt.DeepEquals, first)
-	other := e.Play(&e.Policies[0], 8)
+	other := e.Simulate(&e.Policies[0], 8)
 	qt.Assert(t, other.Total(), qt.Not(qt.Equals), first.Total())
 }
 
@@ -63,13 +63,13 @@
 	e := small(Policy{Name: "production"})
 	e.Kinds[0].PerSecond = 60
 	e.Outages = []Outage{{At: 2 * time.Second, For: time.Second}}
-	outcome := e.Play(&e.Policies[0], 1)
+	outcome := e.Simulate(&e.Policies[0], 1)
 	for n, s := range outcome.Seconds {
 		c.Check(s.InTime+s.Late+s.Refused, qt.Equals, s.Asked, qt.Commentf("second %d: %+v", n, s))
 	}
 	c.Check(outcome.Seconds[2].InTime, qt.Equals, 0)
 	c.Check(outcome.Total().Broken > 0, qt.IsTrue)
-	c.Check(outcome.Seconds[7].inTime() > 0.9, qt.IsTrue)
+	c.Check(outcome.Seconds[7].inTimeShare() > 0.9, qt.IsTrue)
 }
 
 func TestExamplesAreRead(t *testing.T) {
--- a/internal/bench/experiment/file.go
+++ b/internal/bench/experiment/file.go
@@ -91,7 +91,7 @@
 	ReturnSpread time.Duration `yaml:"ReturnSpread"`
 }
 
-func (p *Policy) gate() admission.EntryGate {
+func (p *Policy) admissionGate() admission.EntryGate {
 	gate := admission.DefaultEntryGate()
 	if p.Waiting != nil {
 		gate.Waiting = *p.Waiting
@@ -113,7 +113,7 @@
 	if err := decoder.Decode(&e); err != nil {
 		return nil, fmt.Errorf("parse experiment: %w", err)
 	}
-	if err := e.check(); err != nil {
+	if err := e.validate(); err != nil {
 		return nil, fmt.Errorf("check experiment: %w", err)
 	}
 	return &e, nil
@@ -121,8 +121,8 @@
 
 // Bounds of an experiment: what a developer waits for.
 const (
-	lengthMost   = 10 * time.Minute
-	requestsMost = 5_000_000
+	maxLength   = 10 * time.Minute
+	maxRequests = 5_000_000
 )
 
 // FieldError is a field of an experiment that cannot be.
@@ -134,50 +134,50 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-func invalid(field, format string, args ...any) error {
+func fieldError(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-func (e *Experiment) check() error {
+func (e *Experiment) validate() error {
 	entries, servers, requests := 0, 0, 0.0
 	for _, r := range e.Regions {
 		entries, servers = entries+r.Entries, servers+r.Servers
 		if r.Entries < 0 || r.Servers < 0 || r.Name == "" {
-			return invalid("Regions", "%+v: expected a name and numbers of 0 or more", r)
+			return fieldError("Regions", "%+v: expected a name and numbers of 0 or more", r)
 		}
 	}
 	for _, k := range e.Kinds {
 		if k.PerSecond <= 0 || k.Prompt <= 0 || k.Answer <= 0 || k.Goal <= 0 || k.Limit <= 0 || k.Retries < 0 {
-			return invalid("Kinds", "%s: expected figures above 0, and Retries of 0 or more", k.Name)
+			return fieldError("Kinds", "%s: expected figures above 0, and Retries of 0 or more", k.Name)
 		}
 		requests += k.PerSecond * e.Length.Seconds()
 	}
 	for _, b := range e.Bursts {
 		if b.At < 0 || b.For <= 0 || b.Factor <= 0 {
-			return invalid("Bursts", "%+v: expected For and Factor above 0", b)
+			return fieldError("Bursts", "%+v: expected For and Factor above 0", b)
 		}
 		requests *= max(b.Factor, 1)
 	}
 	for _, o := range e.Outages {
 		if o.At < 0 || o.For <= 0 {
-			return invalid("Outages", "%+v: expected For above 0", o)
+			return fieldError("Outages", "%+v: expected For above 0", o)
 		}
 	}
 	switch {
-	case e.Length <= 0 || e.Length > lengthMost:
-		return invalid("Length", "%v: expected a time up to %v", e.Length, lengthMost)
+	case e.Length <= 0 || e.Length > maxLength:
+		return fieldError("Length", "%v: expected a time up to %v", e.Length, maxLength)
 	case len(e.Seeds) == 0:
-		return invalid("Seeds", "expected one or more")
+		return fieldError("Seeds", "expected one or more")
 	case entries == 0 || servers == 0:
-		return invalid("Regions", "expected an entry and a server or more")
+		return fieldError("Regions", "expected an entry and a server or more")
 	case len(e.Kinds) == 0:
-		return invalid("Kinds", "expected one or more")
+		return fieldError("Kinds", "expected one or more")
 	case len(e.Policies) == 0:
-		return invalid("Policies", "expected one or more")
+		return fieldError("Policies", "expected one or more")
 	case e.Engine.Slots <= 0 || e.Engine.Step <= 0 || e.Engine.Stride <= 0 || e.Engine.PromptsPerSecond <= 0:
-		return invalid("Engine", "%+v: expected figures above 0", e.Engine)
-	case requests > requestsMost:
-		return invalid("Kinds", "%.0f requests: expected %d or less", requests, requestsMost)
+		return fieldError("Engine", "%+v: expected figures above 0", e.Engine)
+	case requests > maxRequests:
+		return fieldError("Kinds", "%.0f requests: expected %d or less", requests, maxRequests)
 	}
 	return nil
 }
--- a/internal/bench/experiment/outcome.go
+++ b/internal/bench/experiment/outcome.go
@@ -16,8 +16,8 @@
 	InTime int
 	Late   int
 	// Refused are requests that ended with a refusal, and Tries all refused tries.
-	Refused int
-	Tries   int
+	Refused         int
+	RefusedAttempts int
 	// Broken are answers that ended before they were whole; they count as InTime or Late too.
 	Broken int
 }
@@ -25,8 +25,8 @@
 // Outcome is what callers got in one play.
 type Outcome struct {
 	Seconds []Second
-	// First are the times to the first token, from the caller's first try on.
-	First []time.Duration
+	// FirstTokens are the times to the first token, from the caller's first try on.
+	FirstTokens []time.Duration
 }
 
 // Total adds up the seconds.
@@ -39,27 +39,27 @@
 }
 
 func (s Second) add(more Second) Second {
-	return Second{s.Asked + more.Asked, s.InTime + more.InTime, s.Late + more.Late, s.Refused + more.Refused, s.Tries + more.Tries, s.Broken + more.Broken}
+	return Second{s.Asked + more.Asked, s.InTime + more.InTime, s.Late + more.Late, s.Refused + more.Refused, s.RefusedAttempts + more.RefusedAttempts, s.Broken + more.Broken}
 }
 
-// inTime returns the share of a second's requests that were answered in time.
-func (s Second) inTime() float64 { return float64(s.InTime) / float64(max(s.Asked, 1)) }
+// inTimeShare returns the share of a second's requests that were answered in time.
+func (s Second) inTimeShare() float64 { return float64(s.InTime) / float64(max(s.Asked, 1)) }
 
-// Worst returns the least share in time of two seconds in a row.
-func (o *Outcome) Worst() float64 {
+// WorstTwoSeconds returns the least share in time of two seconds in a row.
+func (o *Outcome) WorstTwoSeconds() float64 {
 	worst := 1.0
 	for i := range len(o.Seconds) - 1 {
-		worst = min(worst, o.Seconds[i].add(o.Seconds[i+1]).inTime())
+		worst = min(worst, o.Seconds[i].add(o.Seconds[i+1]).inTimeShare())
 	}
 	return worst
 }
 
 // Quantile returns the time within which a share of the first tokens came.
 func (o *Outcome) Quantile(share float64) time.Duration {
-	if len(o.First) == 0 {
+	if len(o.FirstTokens) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(o.First))
+	sorted := slices.Sorted(slices.Values(o.FirstTokens))
 	return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)]
 }
 
@@ -76,15 +76,15 @@
 		row := Row{Policy: e.Policies[i].Name}
 		for _, seed := range e.Seeds {
 			progress(row.Policy, seed)
-			row.Outcomes = append(row.Outcomes, e.Play(&e.Policies[i], seed))
+			row.Outcomes = append(row.Outcomes, e.Simulate(&e.Policies[i], seed))
 		}
 		rows = append(rows, row)
 	}
 	return rows
 }
 
-// spread formats the middle, least and most of a figure over a row's outcomes.
-func (r *Row) spread(format string, figure func(o *Outcome) float64) string {
+// formatSpread formats the middle, least and most of a figure over a row's outcomes.
+func (r *Row) formatSpread(format string, figure func(o *Outcome) float64) string {
 	var all []float64
 	for i := range r.Outcomes {
 		all = append(all, figure(&r.Outcomes[i]))
@@ -106,14 +106,14 @@
 	for i := range rows {
 		r := &rows[i]
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Policy,
-			r.spread("%.3f", share(func(s Second) int { return s.InTime })),
-			r.spread("%.3f", share(func(s Second) int { return s.Late })),
-			r.spread("%.3f", share(func(s Second) int { return s.Refused })),
-			r.spread("%.3f", share(func(s Second) int { return s.Tries })),
-			r.spread("%.3f", share(func(s Second) int { return s.Broken })),
-			r.spread("%.3f", (*Outcome).Worst),
-			r.spread("%.0fms", func(o *Outcome) float64 { return float64(o.Quantile(.5).Milliseconds()) }),
-			r.spread("%.0fms", func(o *Outcome) float64 { return float64(o.Quantile(.95).Milliseconds()) }))
+			r.formatSpread("%.3f", share(func(s Second) int { return s.InTime })),
+			r.formatSpread("%.3f", share(func(s Second) int { return s.Late })),
+			r.formatSpread("%.3f", share(func(s Second) int { return s.Refused })),
+			r.formatSpread("%.3f", share(func(s Second) int { return s.RefusedAttempts })),
+			r.formatSpread("%.3f", share(func(s Second) int { return s.Broken })),
+			r.formatSpread("%.3f", (*Outcome).WorstTwoSeconds),
+			r.formatSpread("%.0fms", func(o *Outcome) float64 { return float64(o.Quantile(.5).Milliseconds()) }),
+			r.formatSpread("%.0fms", func(o *Outcome) float64 { return float64(o.Quantile(.95).Milliseconds()) }))
 	}
 	return table.Flush()
 }
--- a/internal/bench/links/links.go
+++ b/internal/bench/links/links.go
@@ -1,5 +1,5 @@
-// Package links shapes loopback connections for measurements: each host has a
-// link in and a link out of a given rate, shared by all its connections.
+// Package links limits the bandwidth of loopback connections for measurements.
+// Each host has an inbound and an outbound rate, shared by all its connections.
 package links
 
 import (
@@ -12,20 +12,22 @@
 	"golang.org/x/time/rate"
 )
 
-// quantum is how many bytes a connection may send or take at a time, so that
-// connections share a link evenly.
-const quantum = 4 << 10
+// maxTransfer is the maximum number of bytes of one read or write. It is small so
+// that connections share a link evenly.
+const maxTransfer = 4 << 10
 
-// socketBuffer keeps the kernel from hiding the shaping.
+// socketBuffer is the size of the kernel's socket buffers. Larger buffers would
+// hide the bandwidth limit.
 const socketBuffer = 32 << 10
 
-// Link is one host's link. It is a network.Network.
+// Link is the network link of one host. It implements network.Network.
 type Link struct {
-	// In and Out count the bytes carried.
-	In, Out atomic.Int64
-	in, out *rate.Limiter
-	stalled chan struct{}
-	once    sync.Once
+	// In and Out count the transferred bytes.
+	In, Out               atomic.Int64
+	inLimiter, outLimiter *rate.Limiter
+	// stalled is closed when the link stalls.
+	stalled   chan struct{}
+	stallOnce sync.Once
 	// cut is closed when the link is cut.
 	cut     chan struct{}
 	cutOnce sync.Once
@@ -35,24 +37,24 @@
 	down  bool
 }
 
-// New returns a link that carries bytesPerSecond each way.
+// New returns a link with a rate of bytesPerSecond in each direction.
 func New(bytesPerSecond float64) *Link {
-	return &Link{in: limiter(bytesPerSecond), out: limiter(bytesPerSecond), stalled: make(chan struct{}), cut: make(chan struct{})}
+	return &Link{inLimiter: newLimiter(bytesPerSecond), outLimiter: newLimiter(bytesPerSecond), stalled: make(chan struct{}), cut: make(chan struct{})}
 }
 
-func limiter(bytesPerSecond float64) *rate.Limiter {
-	// The burst is what may pass ahead of time, and bounds how far timers that
-	// fire late set the link back.
-	burst := max(int(bytesPerSecond/200), 2*quantum)
-	l := rate.NewLimiter(rate.Limit(bytesPerSecond), burst)
-	l.AllowN(time.Now(), burst)
-	return l
+func newLimiter(bytesPerSecond float64) *rate.Limiter {
+	// The burst compensates for timers that fire late, which would otherwise
+	// reduce the rate of the link.
+	burst := max(int(bytesPerSecond/200), 2*maxTransfer)
+	limiter := rate.NewLimiter(rate.Limit(bytesPerSecond), burst)
+	limiter.AllowN(time.Now(), burst)
+	return limiter
 }
 
-// Stall stops everything on the link without a sign.
-func (l *Link) Stall() { l.once.Do(func() { close(l.stalled) }) }
+// Stall blocks all transfers on the link without closing connections.
+func (l *Link) Stall() { l.stallOnce.Do(func() { close(l.stalled) }) }
 
-// Cut breaks every connection and refuses new ones.
+// Cut closes every connection and rejects new ones.
 func (l *Link) Cut() {
 	l.cutOnce.Do(func() { close(l.cut) })
 	l.mu.Lock()
@@ -63,7 +65,7 @@
 	}
 }
 
-// Listen listens on an address behind the link.
+// Listen returns a listener whose connections use the link.
 func (l *Link) Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -72,17 +74,18 @@
 	return &shapedListener{Listener: listener, link: l}, nil
 }
 
-// DialContext connects from behind the link.
+// DialContext opens a connection that uses the link.
 func (l *Link) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return l.shape(conn)
+	return l.shapeConn(conn)
 }
 
-func (l *Link) shape(conn net.Conn) (net.Conn, error) {
+// shapeConn returns the connection with the link's bandwidth limit.
+func (l *Link) shapeConn(conn net.Conn) (net.Conn, error) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetReadBuffer(socketBuffer)
 		_ = tcp.SetWriteBuffer(socketBuffer)
@@ -94,7 +97,7 @@
 		return nil, net.ErrClosed
 	}
 	l.conns = append(l.conns, conn)
-	return &shaped{Conn: conn, link: l}, nil
+	return &shapedConn{Conn: conn, link: l}, nil
 }
 
 type shapedListener struct {
@@ -102,41 +105,41 @@
 	link *Link
 }
 
-// Accept accepts a connection.
+// Accept returns the next connection. It skips connections that a cut link rejects.
 func (s *shapedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := s.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if conn, err := s.link.shape(conn); err == nil {
+		if conn, err := s.link.shapeConn(conn); err == nil {
 			return conn, nil
 		}
 	}
 }
 
-type shaped struct {
+type shapedConn struct {
 	net.Conn
 	link *Link
 }
 
-// Read takes at most a quantum off the link.
-func (s *shaped) Read(b []byte) (int, error) {
-	n, err := s.Conn.Read(b[:min(len(b), quantum)])
-	s.wait(s.link.in, n)
-	s.link.In.Add(int64(n))
+// Read reads at most maxTransfer bytes.
+func (c *shapedConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b[:min(len(b), maxTransfer)])
+	c.throttle(c.link.inLimiter, n)
+	c.link.In.Add(int64(n))
 	return n, err
 }
 
-// Write puts bytes on the link, a quantum at a time.
-func (s *shaped) Write(b []byte) (int, error) {
+// Write writes in blocks of at most maxTransfer bytes.
+func (c *shapedConn) Write(b []byte) (int, error) {
 	written := 0
 	for written < len(b) {
-		step := min(quantum, len(b)-written)
-		s.wait(s.link.out, step)
-		n, err := s.Conn.Write(b[written : written+step])
+		size := min(maxTransfer, len(b)-written)
+		c.throttle(c.link.outLimiter, size)
+		n, err := c.Conn.Write(b[written : written+size])
 		written += n
-		s.link.Out.Add(int64(n))
+		c.link.Out.Add(int64(n))
 		if err != nil {
 			return written, err
 		}
@@ -144,13 +147,15 @@
 	return written, nil
 }
 
-func (s *shaped) wait(l *rate.Limiter, n int) {
+// throttle waits until the limiter allows n bytes. On a stalled link it blocks
+// until the link is cut.
+func (c *shapedConn) throttle(limiter *rate.Limiter, n int) {
 	select {
-	case <-s.link.stalled:
-		<-s.link.cut
+	case <-c.link.stalled:
+		<-c.link.cut
 	default:
 	}
 	if n > 0 {
-		_ = l.WaitN(context.Background(), n)
+		_ = limiter.WaitN(context.Background(), n)
 	}
 }
--- a/internal/bench/requestsbench/cost.go
+++ b/internal/bench/requestsbench/cost.go
@@ -21,14 +21,15 @@
 	"github.com/filbertlever/filbertlever/internal/standin"
 )
 
-// Decision is the cost of one routing decision.
+// Decision holds the cost of one routing decision.
 type Decision struct {
-	// Micros is by number of hosts.
-	Micros      map[int]float64
+	// Micros is the time in microseconds, keyed by the number of hosts.
+	Micros map[int]float64
+	// Allocations is the largest number of allocations for any number of hosts.
 	Allocations float64
 }
 
-// MeasureDecision times routing decisions alone.
+// MeasureDecision measures routing decisions without network or engines.
 func MeasureDecision() Decision {
 	d := Decision{Micros: map[int]float64{}}
 	for _, hosts := range []int{16, 256, 2700} {
@@ -52,29 +53,32 @@
 	return d
 }
 
-// Overhead is what entry and agent add to a direct call of the engine.
+// Overhead is the cost that entry and agent add to a direct call of the engine.
 type Overhead struct {
-	// Microseconds that the path adds, one request at a time.
+	// P50Micros and P99Micros are the added latency in microseconds, with
+	// sequential requests.
 	P50Micros, P99Micros float64
-	// CPUMicros is the processor time that the path adds to a request, of
-	// caller's TLS, entry and agent together, with many at a time.
+	// CPUMicros is the added CPU time of a request in microseconds, with
+	// concurrent requests. It covers the caller's TLS, the entry and the agent.
 	CPUMicros float64
-	// PerCore is how many requests a core carries through entry and agent.
+	// PerCore is the number of requests per second that entry and agent can
+	// process on one core.
 	PerCore float64
 }
 
 const (
-	sequential = 1500
-	parallel   = 64
-	batch      = 12000
+	sequentialCalls = 1500
+	parallelCallers = 64
+	parallelCalls   = 12000
 )
 
-// MeasureOverhead compares the path with direct calls.
+// MeasureOverhead compares requests through entry and agent with direct calls of
+// the engine.
 func MeasureOverhead(ctx context.Context) (Overhead, error) {
 	c, stop, err := cluster.New(ctx, cluster.Config{
 		Entries: 1, Agents: 1, Concurrency: 256, Queue: 1024, Routing: routing.DefaultConfig(),
 		Engine:        standin.EngineConfig{ChecksFencing: true, Slots: 256},
-		Organisations: []filbertlever.OrganisationID{large},
+		Organisations: []filbertlever.OrganisationID{largeOrganisation},
 	})
 	if err != nil {
 		return Overhead{}, err
@@ -82,42 +86,43 @@
 	defer stop()
 	callers := newCallers(c)
 	defer callers.http.CloseIdleConnections()
-	load := Load{Organisation: large, Deadline: deadline, Tokens: 1, Prompts: 1}
-	through := func() error {
-		if s := ask(ctx, callers.clients[0], load, "overhead", "hello"); s.failed {
-			return fmt.Errorf("request through the path failed")
+	load := Load{Organisation: largeOrganisation, Deadline: requestDeadline, Tokens: 1, Prompts: 1}
+	viaEntry := func() error {
+		if s := sendRequest(ctx, callers.clients[0], load, "overhead", "hello"); s.failed {
+			return fmt.Errorf("request through entry %s failed", c.Callers[0])
 		}
 		return nil
 	}
-	plain := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * parallel}}
-	defer plain.CloseIdleConnections()
-	engine := enginev1connect.NewEngineServiceClient(plain, c.EngineURLs[0])
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * parallelCallers}}
+	defer client.CloseIdleConnections()
+	engine := enginev1connect.NewEngineServiceClient(client, c.EngineURLs[0])
 	direct := func() error { return generate(ctx, engine, c.Digest) }
-	path, err := times(through)
+	entryLatencies, err := measureLatencies(viaEntry)
 	if err != nil {
 		return Overhead{}, err
 	}
-	alone, err := times(direct)
+	directLatencies, err := measureLatencies(direct)
 	if err != nil {
 		return Overhead{}, err
 	}
-	pathCPU, err := processor(through)
+	entryCPU, err := cpuMicrosPerCall(viaEntry)
 	if err != nil {
 		return Overhead{}, err
 	}
-	directCPU, err := processor(direct)
+	directCPU, err := cpuMicrosPerCall(direct)
 	if err != nil {
 		return Overhead{}, err
 	}
 	o := Overhead{
-		P50Micros: 1000 * (percentile(path, 50) - percentile(alone, 50)),
-		P99Micros: 1000 * (percentile(path, 99) - percentile(alone, 99)),
-		CPUMicros: pathCPU - directCPU,
+		P50Micros: 1000 * (percentile(entryLatencies, 50) - percentile(directLatencies, 50)),
+		P99Micros: 1000 * (percentile(entryLatencies, 99) - percentile(directLatencies, 99)),
+		CPUMicros: entryCPU - directCPU,
 	}
 	o.PerCore = 1e6 / o.CPUMicros
 	return o, nil
 }
 
+// generate sends a request directly to an engine and reads the whole answer.
 func generate(ctx context.Context, engine enginev1connect.EngineServiceClient, digest filbertlever.Digest) error {
 	frames, err := engine.Generate(ctx, connect.NewRequest(&enginev1.GenerateRequest{Model: cluster.Model, VersionDigest: string(digest), Prompt: "hello", MaxTokens: 1}))
 	if err != nil {
@@ -130,28 +135,29 @@
 	return frames.Err()
 }
 
-// times runs one call after the other.
-func times(call func() error) ([]time.Duration, error) {
-	var took []time.Duration
-	for range sequential {
+// measureLatencies runs sequential calls and returns their sorted latencies.
+func measureLatencies(call func() error) ([]time.Duration, error) {
+	var latencies []time.Duration
+	for range sequentialCalls {
 		start := time.Now()
 		if err := call(); err != nil {
 			return nil, err
 		}
-		took = append(took, time.Since(start))
+		latencies = append(latencies, time.Since(start))
 	}
-	slices.Sort(took)
-	return took, nil
+	slices.Sort(latencies)
+	return latencies, nil
 }
 
-// processor returns the microseconds of processor time that a call takes.
-func processor(call func() error) (float64, error) {
-	before := usage()
+// cpuMicrosPerCall runs concurrent calls and returns the CPU time of a call in
+// microseconds.
+func cpuMicrosPerCall(call func() error) (float64, error) {
+	before := cpuTime()
 	var group sync.WaitGroup
-	errs := make([]error, parallel)
-	for i := range parallel {
+	errs := make([]error, parallelCallers)
+	for i := range parallelCallers {
 		group.Go(func() {
-			for range batch / parallel {
+			for range parallelCalls / parallelCallers {
 				if err := call(); err != nil {
 					errs[i] = err
 					return
@@ -165,12 +171,12 @@
 			return 0, err
 		}
 	}
-	return float64((usage() - before).Microseconds()) / batch, nil
+	return float64((cpuTime() - before).Microseconds()) / parallelCalls, nil
 }
 
-// usage returns the processor time that this process has used.
-func usage() time.Duration {
-	var r syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
-	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
+	var rusage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &rusage)
+	return time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano())
 }
--- a/internal/bench/requestsbench/load.go
+++ b/internal/bench/requestsbench/load.go
@@ -1,5 +1,5 @@
-// Package requestsbench measures callers' requests through real entries and
-// agents under load and faults.
+// Package requestsbench measures the latency and goodput of requests through
+// real entries and agents under load and faults.
 package requestsbench
 
 import (
@@ -21,40 +21,42 @@
 	"github.com/filbertlever/filbertlever/pkg/api/filbertlever/v1/filbertleverv1connect"
 )
 
-// Load is an open stream of requests of one organisation.
+// Load is an open-loop stream of requests from one organisation.
 type Load struct {
 	Organisation filbertlever.OrganisationID
-	// PerSecond is the mean rate; arrivals are Poisson.
+	// PerSecond is the mean rate of Poisson arrivals.
 	PerSecond float64
-	For       time.Duration
-	// Deadline is each request's.
+	Duration  time.Duration
+	// Deadline is the time limit of each request.
 	Deadline time.Duration
-	Tokens   int
-	// Prompts is how many different prompts there are.
+	// Tokens is the length of each answer.
+	Tokens int
+	// Prompts is the number of distinct prompts.
 	Prompts int
 	Seed    uint64
 }
 
-// Outcome counts what became of a load's requests.
+// Outcome summarises the results of a load's requests.
 type Outcome struct {
 	Offered, Answered, NotRun, Incomplete, Failed int
-	// In milliseconds to the first token, of those answered.
+	// P50, P95 and P99 are the time to the first token of answered requests, in
+	// milliseconds.
 	P50, P95, P99 float64
-	// Goodput is answers a second within the deadline.
+	// Goodput is the number of answers per second within the deadline.
 	Goodput float64
-	// RefusedP95 is the milliseconds until a refusal.
+	// RefusedP95 is the time until a refusal, in milliseconds.
 	RefusedP95 float64
 }
 
-// sample is one request's end.
+// sample is the result of one request.
 type sample struct {
-	outcome filbertleverv1.Outcome
-	first   time.Duration
-	took    time.Duration
-	failed  bool
+	outcome    filbertleverv1.Outcome
+	firstToken time.Duration
+	duration   time.Duration
+	failed     bool
 }
 
-// callers sends requests to a cluster's entries.
+// callers sends requests to the entries of a cluster.
 type callers struct {
 	clients []filbertleverv1connect.CallerServiceClient
 	http    *http.Client
@@ -69,14 +71,14 @@
 	return out
 }
 
-// run offers a load and waits for all ends.
-func (c *callers) run(ctx context.Context, load Load) Outcome {
+// offerLoad sends the requests of a load and waits until all have ended.
+func (c *callers) offerLoad(ctx context.Context, load Load) Outcome {
 	rng := rand.New(rand.NewPCG(load.Seed, 7))
 	var mu sync.Mutex
 	var samples []sample
 	var group sync.WaitGroup
 	next := time.Now()
-	end := next.Add(load.For)
+	end := next.Add(load.Duration)
 	for i := 0; ctx.Err() == nil; i++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / load.PerSecond * float64(time.Second)))
 		if next.After(end) {
@@ -84,10 +86,10 @@
 		}
 		time.Sleep(time.Until(next))
 		client := c.clients[rng.IntN(len(c.clients))]
-		prompt := prompt(load, rng.IntN(load.Prompts))
+		prompt := promptText(load, rng.IntN(load.Prompts))
 		id := fmt.Sprint(load.Organisation, "-", i)
 		group.Go(func() {
-			s := ask(ctx, client, load, id, prompt)
+			s := sendRequest(ctx, client, load, id, prompt)
 			mu.Lock()
 			samples = append(samples, s)
 			mu.Unlock()
@@ -99,12 +101,14 @@
 
 const promptBytes = 2048
 
-func prompt(load Load, n int) string {
+// promptText returns prompt n of a load, padded to promptBytes.
+func promptText(load Load, n int) string {
 	head := fmt.Sprintf("%s clause %d ", load.Organisation, n)
 	return head + strings.Repeat("x", promptBytes-len(head))
 }
 
-func ask(ctx context.Context, client filbertleverv1connect.CallerServiceClient, load Load, id, prompt string) sample {
+// sendRequest sends one request and reads the answer to its end.
+func sendRequest(ctx context.Context, client filbertleverv1connect.CallerServiceClient, load Load, id, prompt string) sample {
 	ctx, cancel := context.WithTimeout(ctx, load.Deadline+time.Second)
 	defer cancel()
 	request := connect.NewRequest(&filbertleverv1.AskRequest{
@@ -119,18 +123,19 @@
 	defer events.Close()
 	s := sample{failed: true}
 	for events.Receive() {
-		if events.Msg().GetTokens() != nil && s.first == 0 {
-			s.first = time.Since(start)
+		if events.Msg().GetTokens() != nil && s.firstToken == 0 {
+			s.firstToken = time.Since(start)
 		}
 		if final := events.Msg().GetFinal(); final != nil {
 			s.outcome = final.Outcome
 			s.failed = false
 		}
 	}
-	s.took = time.Since(start)
+	s.duration = time.Since(start)
 	return s
 }
 
+// summarize computes the outcome of a load from its samples.
 func summarize(samples []sample, load Load) Outcome {
 	out := Outcome{Offered: len(samples)}
 	var firsts, refused []time.Duration
@@ -141,27 +146,28 @@
 			out.Failed++
 		case s.outcome == filbertleverv1.Outcome_OUTCOME_ANSWERED:
 			out.Answered++
-			firsts = append(firsts, s.first)
-			if s.took <= load.Deadline {
+			firsts = append(firsts, s.firstToken)
+			if s.duration <= load.Deadline {
 				good++
 			}
 		case s.outcome == filbertleverv1.Outcome_OUTCOME_NOT_RUN:
 			out.NotRun++
-			refused = append(refused, s.took)
+			refused = append(refused, s.duration)
 		default:
 			out.Incomplete++
 		}
 	}
 	out.P50, out.P95, out.P99 = percentile(firsts, 50), percentile(firsts, 95), percentile(firsts, 99)
 	out.RefusedP95 = percentile(refused, 95)
-	out.Goodput = float64(good) / load.For.Seconds()
+	out.Goodput = float64(good) / load.Duration.Seconds()
 	return out
 }
 
-func percentile(times []time.Duration, p int) float64 {
-	if len(times) == 0 {
+// percentile returns a percentile in milliseconds. It sorts its argument.
+func percentile(durations []time.Duration, p int) float64 {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(times)
-	return float64(times[min(len(times)*p/100, len(times)-1)].Microseconds()) / 1000
+	slices.Sort(durations)
+	return float64(durations[min(len(durations)*p/100, len(durations)-1)].Microseconds()) / 1000
 }
--- a/internal/bench/weightsbench/live.go
+++ b/internal/bench/weightsbench/live.go
@@ -25,51 +25,51 @@
 }
 
 const (
-	liveHosts = 16
-	liveEvery = 20 * time.Millisecond
-	quietTime = time.Second
+	liveHosts     = 16
+	liveInterval  = 20 * time.Millisecond
+	quietDuration = time.Second
 )
 
 // MeasureLive measures live requests without and with a burst.
 func MeasureLive(ctx context.Context, scale Scale) (Live, error) {
-	w, err := newWorld(scale, liveHosts, config())
+	w, err := newTestbed(scale, liveHosts, fetchConfig())
 	if err != nil {
 		return Live{}, err
 	}
 	defer w.close()
 	for _, h := range w.hosts {
-		h.in.SetLive(1)
-		h.out.SetLive(1)
+		h.inLimiter.SetLive(1)
+		h.outLimiter.SetLive(1)
 	}
 	caller := &liveCaller{world: w, client: &http.Client{Transport: &http.Transport{DialContext: links.New(1 << 30).DialContext, MaxIdleConnsPerHost: 8}}}
 	defer caller.client.CloseIdleConnections()
-	quietCtx, cancel := context.WithTimeout(ctx, quietTime)
+	quietCtx, cancel := context.WithTimeout(ctx, quietDuration)
 	caller.run(quietCtx)
 	cancel()
-	quiet := caller.p95()
+	quiet := caller.takeP95()
 	burstCtx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	group.Go(func() { caller.run(burstCtx) })
-	err = w.run(ctx, bundle.FavourOriginBytes)
+	err = w.fetchAll(ctx, bundle.FavourOriginBytes)
 	cancel()
 	group.Wait()
-	requests := len(caller.times)
-	burst := caller.p95()
-	return Live{QuietP95: quiet, BurstP95: burst, Ratio: burst / quiet, Last: w.row(WayTrees).Last, Requests: requests}, err
+	requests := len(caller.latencies)
+	burst := caller.takeP95()
+	return Live{QuietP95: quiet, BurstP95: burst, Ratio: burst / quiet, Last: w.resultRow(StrategyTrees).Last, Requests: requests}, err
 }
 
 // liveCaller sends live requests to every host.
 type liveCaller struct {
-	world  *world
+	world  *testbed
 	client *http.Client
 
-	mu    sync.Mutex
-	times []time.Duration
+	mu        sync.Mutex
+	latencies []time.Duration
 }
 
 func (l *liveCaller) run(ctx context.Context) {
 	var group sync.WaitGroup
-	ticker := time.NewTicker(liveEvery)
+	ticker := time.NewTicker(liveInterval)
 	defer ticker.Stop()
 	for i := 0; ; i++ {
 		select {
@@ -79,13 +79,13 @@
 		case <-ticker.C:
 			for k := range 4 {
 				h := l.world.hosts[(4*i+k)%len(l.world.hosts)]
-				group.Go(func() { l.ask(h) })
+				group.Go(func() { l.sendRequest(h) })
 			}
 		}
 	}
 }
 
-func (l *liveCaller) ask(h *host) {
+func (l *liveCaller) sendRequest(h *benchHost) {
 	start := time.Now()
 	response, err := l.client.Get(h.url + "/live")
 	if err != nil {
@@ -95,15 +95,15 @@
 	_ = response.Body.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.times = append(l.times, time.Since(start))
+	l.latencies = append(l.latencies, time.Since(start))
 }
 
-// p95 returns the 95th percentile in seconds and forgets the times.
-func (l *liveCaller) p95() float64 {
+// takeP95 returns the 95th percentile in seconds and forgets the times.
+func (l *liveCaller) takeP95() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	slices.Sort(l.times)
-	at := l.times[len(l.times)*95/100]
-	l.times = nil
+	slices.Sort(l.latencies)
+	at := l.latencies[len(l.latencies)*95/100]
+	l.latencies = nil
 	return at.Seconds()
 }
--- a/internal/bench/weightsbench/plot.go
+++ b/internal/bench/weightsbench/plot.go
@@ -17,7 +17,7 @@
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	var lines []any
-	for _, way := range []string{WayOrigin, WayTrees, WayTime} {
+	for _, way := range []string{StrategyOrigin, StrategyTrees, StrategyTime} {
 		over, copies := plotter.XYs{}, plotter.XYs{}
 		for _, row := range rows {
 			if row.Way == way {
--- a/internal/bench/weightsbench/rolls.go
+++ b/internal/bench/weightsbench/rolls.go
@@ -41,23 +41,23 @@
 
 // fleet is the common part of many processes in this one.
 type fleet struct {
-	dir      operator.KeyDir
-	public   string
-	platform *standin.Platform
-	desk     *platform.Client
-	settings *settings.Settings
-	parent   bundle.Parent
-	nodes    []*node.Node
-	servers  []*http.Server
-	clean    []func()
+	keyDir         operator.KeyDir
+	operatorKey    string
+	platform       *standin.Platform
+	platformClient *platform.Client
+	settings       *settings.Settings
+	parent         bundle.Parent
+	nodes          []*node.Node
+	servers        []*http.Server
+	cleanups       []func()
 	// adopted gets the version each time that a node puts one in force.
 	adopted chan uint64
 }
 
 const fleetBasePort = 17400
 
-// tcp is the loopback network of the fleet.
-var tcp = network.TCP{DialTimeout: time.Second}
+// loopback is the loopback network of the fleet.
+var loopback = network.TCP{DialTimeout: time.Second}
 
 // MeasureRolls measures so many rolls of each kind on 8 entries and 24 agents.
 func MeasureRolls(ctx context.Context, rolls int) (Rolls, error) {
@@ -68,7 +68,7 @@
 	}
 	defer f.close()
 	result := Rolls{Processes: entries + agents, Rolls: rolls}
-	if _, err := f.roll(ctx, true, false); err != nil {
+	if _, err := f.measureRoll(ctx, true, false); err != nil {
 		return Rolls{}, err
 	}
 	kinds := []struct {
@@ -82,7 +82,7 @@
 	for _, kind := range kinds {
 		var took []time.Duration
 		for range rolls {
-			d, err := f.roll(ctx, kind.told, kind.down)
+			d, err := f.measureRoll(ctx, kind.told, kind.down)
 			if err != nil {
 				return Rolls{}, err
 			}
@@ -102,12 +102,12 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{dir: operator.KeyDir{Path: path}, platform: standin.NewPlatform(), adopted: make(chan uint64, 4096)}
-	f.clean = append(f.clean, func() { _ = os.RemoveAll(path) })
-	if _, err := f.dir.NewHost("ana", peer.RoleOperator, nil); err != nil {
+	f := &fleet{keyDir: operator.KeyDir{Path: path}, platform: standin.NewPlatform(), adopted: make(chan uint64, 4096)}
+	f.cleanups = append(f.cleanups, func() { _ = os.RemoveAll(path) })
+	if _, err := f.keyDir.NewHost("ana", peer.RoleOperator, nil); err != nil {
 		return nil, err
 	}
-	if f.public, err = f.dir.NewOperator("ana"); err != nil {
+	if f.operatorKey, err = f.keyDir.NewOperator("ana"); err != nil {
 		return nil, err
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -116,10 +116,10 @@
 	}
 	server := &http.Server{Handler: f.platform.Handler()}
 	f.servers = append(f.servers, server)
-	s := serving{server: server, listener: listener}
+	s := httpServer{server: server, listener: listener}
 	go s.run()
-	f.desk = platform.New("http://"+listener.Addr().String(), time.Second, tcp)
-	f.settings = &settings.Settings{TLS: settings.TLS{Authority: f.dir.Authority(), Certificate: path + "/ana.pem", Key: path + "/ana.key"}}
+	f.platformClient = platform.New("http://"+listener.Addr().String(), time.Second, loopback)
+	f.settings = &settings.Settings{TLS: settings.TLS{Authority: f.keyDir.Authority(), Certificate: path + "/ana.pem", Key: path + "/ana.key"}}
 	var hosts []filbertlever.Host
 	for i := range entries + agents {
 		h := filbertlever.Host{ID: filbertlever.HostID(fmt.Sprint("process-", i)), Role: filbertlever.RoleAgent, PeerAddress: fmt.Sprintf("127.0.0.1:%d", fleetBasePort+i)}
@@ -131,15 +131,15 @@
 	}
 	f.platform.SetHosts(hosts)
 	for _, h := range hosts {
-		if err := f.start(ctx, h); err != nil {
+		if err := f.startNode(ctx, h); err != nil {
 			return nil, err
 		}
 	}
-	return f, f.settle(hosts)
+	return f, f.awaitMembership(hosts)
 }
 
-// settle waits until every node knows all hosts.
-func (f *fleet) settle(hosts []filbertlever.Host) error {
+// awaitMembership waits until every node knows all hosts.
+func (f *fleet) awaitMembership(hosts []filbertlever.Host) error {
 	deadline := time.Now().Add(20 * time.Second)
 	for _, n := range f.nodes {
 		for known := 0; known < len(hosts); {
@@ -155,16 +155,16 @@
 	return nil
 }
 
-func (f *fleet) start(ctx context.Context, h filbertlever.Host) error {
-	files, err := f.dir.NewHost(string(h.ID), string(h.Role), net.IPv4(127, 0, 0, 1))
+func (f *fleet) startNode(ctx context.Context, h filbertlever.Host) error {
+	files, err := f.keyDir.NewHost(string(h.ID), string(h.Role), net.IPv4(127, 0, 0, 1))
 	if err != nil {
 		return err
 	}
-	keys, err := peer.LoadKeys(peer.Files{Authority: f.dir.Authority(), Certificate: files.Certificate, Key: files.Key})
+	keys, err := peer.LoadKeys(peer.Files{Authority: f.keyDir.Authority(), Certificate: files.Certificate, Key: files.Key})
 	if err != nil {
 		return err
 	}
-	public, err := bundle.ParsePublicKey(f.public)
+	public, err := bundle.ParsePublicKey(f.operatorKey)
 	if err != nil {
 		return err
 	}
@@ -175,23 +175,23 @@
 	n, clean := node.New(node.Config{
 		Host: h, Incarnation: node.NewIncarnation(h.ID), Operators: bundle.Operators{"ana": public}, SignOffs: 1,
 		Poll: 500 * time.Millisecond, Seeds: seeds, Stop: drain.DefaultConfig(),
-	}, f.desk, keys, tcp, zap.NewNop())
+	}, f.platformClient, keys, loopback, zap.NewNop())
 	n.OnAdopted(func(current *state.Current) { f.adopted <- current.Head.Version })
 	mux := http.NewServeMux()
 	mux.Handle(peer.ControlPath, n.Control())
-	listener, err := tcp.Listen(h.PeerAddress)
+	listener, err := loopback.Listen(h.PeerAddress)
 	if err != nil {
 		return err
 	}
 	server := &http.Server{Handler: mux, TLSConfig: keys.ServerConfig()}
-	s := servingTLS{server: server, listener: listener}
+	s := tlsServer{server: server, listener: listener}
 	go s.run()
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	group.Go(func() { n.Run(ctx) })
 	f.nodes = append(f.nodes, n)
 	f.servers = append(f.servers, server)
-	f.clean = append(f.clean, func() {
+	f.cleanups = append(f.cleanups, func() {
 		cancel()
 		clean()
 		group.Wait()
@@ -199,16 +199,16 @@
 	return nil
 }
 
-type servingTLS struct {
+type tlsServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-func (s *servingTLS) run() { _ = s.server.ServeTLS(s.listener, "", "") }
+func (s *tlsServer) run() { _ = s.server.ServeTLS(s.listener, "", "") }
 
-// roll rolls the next bundle and returns the time until the last process has
+// measureRoll rolls the next bundle and returns the time until the last process has
 // it in force.
-func (f *fleet) roll(ctx context.Context, told, down bool) (time.Duration, error) {
+func (f *fleet) measureRoll(ctx context.Context, told, down bool) (time.Duration, error) {
 	b := bundle.Example()
 	b.Models = nil
 	b.Version = f.parent.Version + 1
@@ -217,18 +217,18 @@
 	if err != nil {
 		return 0, err
 	}
-	key, err := operator.ReadSigningKey(f.dir.SigningKey("ana"))
+	key, err := operator.ReadSigningKey(f.keyDir.SigningKey("ana"))
 	if err != nil {
 		return 0, err
 	}
 	signed := &bundle.Signed{Body: body}
 	signed.Sign("ana", key)
-	public, err := bundle.ParsePublicKey(f.public)
+	public, err := bundle.ParsePublicKey(f.operatorKey)
 	if err != nil {
 		return 0, err
 	}
 	start := time.Now()
-	head, err := operator.Roll(ctx, f.desk, signed, bundle.Operators{"ana": public}, 1)
+	head, err := operator.Roll(ctx, f.platformClient, signed, bundle.Operators{"ana": public}, 1)
 	if err != nil {
 		return 0, err
 	}
@@ -236,7 +236,7 @@
 	defer f.platform.SetFaults(standin.Faults{})
 	f.parent = bundle.Parent{Version: head.Version, Digest: head.Digest}
 	if told {
-		if _, err := operator.Announce(ctx, f.settings, tcp, head, signed); err != nil {
+		if _, err := operator.Announce(ctx, f.settings, loopback, head, signed); err != nil {
 			return 0, err
 		}
 	}
@@ -255,11 +255,11 @@
 }
 
 func (f *fleet) close() {
-	for _, c := range f.clean {
+	for _, c := range f.cleanups {
 		c()
 	}
 	for _, server := range f.servers {
 		_ = server.Close()
 	}
-	f.desk.Close()
+	f.platformClient.Close()
 }
--- a/internal/bench/weightsbench/rows.go
+++ b/internal/bench/weightsbench/rows.go
@@ -27,18 +27,18 @@
 
 // The ways that are measured.
 const (
-	WayAlone    = "one host alone"
-	WayOrigin   = "every host from the origin"
-	WayTrees    = "trees per chunk, origin bytes favoured"
-	WayTime     = "trees per chunk, time favoured"
-	WayOneTree  = "one tree for all chunks"
-	WayChain    = "chain"
-	WayFaults   = "trees with faults"
-	WaySiteless = "trees per chunk, blind to sites"
+	StrategyAlone       = "one host alone"
+	StrategyOrigin      = "every host from the origin"
+	StrategyTrees       = "trees per chunk, origin bytes favoured"
+	StrategyTime        = "trees per chunk, time favoured"
+	StrategyOneTree     = "one tree for all chunks"
+	StrategyChain       = "chain"
+	StrategyFaults      = "trees with faults"
+	StrategySiteUnaware = "trees per chunk, blind to sites"
 )
 
-// config returns the fetch configuration of a way at a scale.
-func config() weights.FetchConfig {
+// fetchConfig returns the fetch configuration of a way at a scale.
+func fetchConfig() weights.FetchConfig {
 	c := weights.DefaultFetchConfig()
 	c.Planner.Takeover = 500 * time.Millisecond
 	c.Planner.Avoid = 500 * time.Millisecond
@@ -48,19 +48,19 @@
 }
 
 // Burst runs one burst and measures it.
-func Burst(ctx context.Context, scale Scale, way string, hosts int, prepare func(*world)) (Row, error) {
-	c := config()
-	c.Planner.Shape = shapes[way]
-	if way == WayOrigin {
+func Burst(ctx context.Context, scale Scale, way string, hosts int, prepare func(*testbed)) (Row, error) {
+	c := fetchConfig()
+	c.Planner.Shape = treeShapes[way]
+	if way == StrategyOrigin {
 		// With the origin's link split among all, a chunk takes seconds.
-		c.Stall, c.Planner.Takeover = slowPatience, slowPatience
+		c.Stall, c.Planner.Takeover = originBurstTimeout, originBurstTimeout
 	}
-	w, err := newWorld(scale, hosts, c)
+	w, err := newTestbed(scale, hosts, c)
 	if err != nil {
 		return Row{}, err
 	}
 	defer w.close()
-	if way == WaySiteless {
+	if way == StrategySiteUnaware {
 		for i := range w.peers {
 			w.peers[i].Site = ""
 		}
@@ -69,32 +69,32 @@
 		prepare(w)
 	}
 	favour := bundle.FavourOriginBytes
-	if way == WayTime {
+	if way == StrategyTime {
 		favour = bundle.FavourTime
 	}
-	if err := w.run(ctx, favour); err != nil {
+	if err := w.fetchAll(ctx, favour); err != nil {
 		return Row{}, err
 	}
-	return w.row(way), nil
+	return w.resultRow(way), nil
 }
 
-// slowPatience keeps the baseline from taking a shared origin for a stalled one.
-const slowPatience = 30 * time.Second
+// originBurstTimeout keeps the baseline from taking a shared origin for a stalled one.
+const originBurstTimeout = 30 * time.Second
 
-// shapes are the trees of the ways.
-var shapes = map[string]distribution.Shape{
-	WayOrigin:  distribution.ShapeStar,
-	WayOneTree: distribution.ShapeOneTree,
-	WayChain:   distribution.ShapeChain,
+// treeShapes are the trees of the ways.
+var treeShapes = map[string]distribution.Shape{
+	StrategyOrigin:  distribution.ShapeStar,
+	StrategyOneTree: distribution.ShapeOneTree,
+	StrategyChain:   distribution.ShapeChain,
 }
 
-func (w *world) row(way string) Row {
+func (w *testbed) resultRow(way string) Row {
 	var took []float64
 	crossed := int64(0)
 	for _, h := range w.hosts {
-		crossed += h.between.Load()
-		if !h.lost {
-			took = append(took, h.took.Seconds())
+		crossed += h.crossSiteRequests.Load()
+		if !h.expectFailure {
+			took = append(took, h.fetchTime.Seconds())
 		}
 	}
 	slices.Sort(took)
@@ -102,7 +102,7 @@
 	last := took[len(took)-1]
 	return Row{
 		Way: way, Hosts: len(w.hosts), Last: last, Median: took[len(took)/2], Bound: bound, OverBound: last / bound,
-		OriginCopies: float64(w.drawn.Load()) / float64(w.scale.Size),
+		OriginCopies: float64(w.originBytes.Load()) / float64(w.scale.Size),
 		SiteCopies:   float64(crossed) / float64(len(w.manifest.Chunks)),
 	}
 }
--- a/internal/proof/guards.go
+++ b/internal/proof/guards.go
@@ -1,5 +1,5 @@
-// Package proof runs the project's proofs: it removes each guard in turn to
-// see its test fail, and prints the fault matrix from the tests behind it.
+// Package proof runs mutation tests and the fault matrix. It removes each
+// safeguard from the code and verifies that the safeguard's test then fails.
 package proof
 
 import (
@@ -17,7 +17,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Guard is a guard in the code, how to remove it and the test that must fail.
+// Guard is a safeguard in the code. Replacing Old by New in File removes it, and
+// Test of Package must then fail.
 type Guard struct {
 	File    string `yaml:"File"`
 	Old     string `yaml:"Old"`
@@ -26,15 +27,16 @@
 	Test    string `yaml:"Test"`
 }
 
-// GuardResult is what became of one guard.
+// GuardResult is the result of one mutation test.
 type GuardResult struct {
-	Guard  Guard
+	Guard Guard
+	// Caught is true if the test failed without the guard.
 	Caught bool
-	// Problem is set if the guard could not be removed or the test did not run.
+	// Problem says why the guard could not be removed or the test did not run.
 	Problem string
 }
 
-// LoadGuards reads the list of guards.
+// LoadGuards reads the list of guards from a YAML file.
 func LoadGuards(file string) ([]Guard, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -49,7 +51,8 @@
 
 var guardComment = regexp.MustCompile(`(?m)^\s*// Guards?: `)
 
-// CheckListed fails if a file names more guards in comments than the list has.
+// CheckListed returns an error for each source file with more "Guard:" comments
+// than entries in the list.
 func CheckListed(guards []Guard) error {
 	listed := map[string]int{}
 	for _, guard := range guards {
@@ -62,8 +65,8 @@
 				return err
 			}
 			data, err := os.ReadFile(path)
-			if named := len(guardComment.FindAll(data, -1)); named > listed[path] {
-				problems = append(problems, fmt.Errorf("%s names %d guards, the list has %d", path, named, listed[path]))
+			if comments := len(guardComment.FindAll(data, -1)); comments > listed[path] {
+				problems = append(problems, fmt.Errorf("%s has %d guard comments, but the list has %d entries for it", path, comments, listed[path]))
 			}
 			return err
 		})
@@ -72,26 +75,26 @@
 	return errors.Join(problems...)
 }
 
-// parallelTests bounds how many mutated tests run at once.
-const parallelTests = 4
+// maxParallelTests is the number of mutation tests that run concurrently.
+const maxParallelTests = 4
 
-// RunGuards removes each guard in turn and runs its test.
+// RunGuards removes each guard separately and runs its test.
 func RunGuards(ctx context.Context, guards []Guard) []GuardResult {
 	results := make([]GuardResult, len(guards))
-	slots := make(chan struct{}, parallelTests)
+	semaphore := make(chan struct{}, maxParallelTests)
 	var group sync.WaitGroup
 	for i, guard := range guards {
 		group.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			results[i] = run(ctx, guard)
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			results[i] = runGuard(ctx, guard)
 		})
 	}
 	group.Wait()
 	return results
 }
 
-func run(ctx context.Context, guard Guard) GuardResult {
+func runGuard(ctx context.Context, guard Guard) GuardResult {
 	result := GuardResult{Guard: guard}
 	source, err := os.ReadFile(guard.File)
 	if err != nil {
@@ -99,7 +102,7 @@
 		return result
 	}
 	if n := strings.Count(string(source), guard.Old); n != 1 {
-		result.Problem = fmt.Sprintf("the guard's text is there %d times, expected once", n)
+		result.Problem = fmt.Sprintf("%s contains the guard's text %d times, expected once", guard.File, n)
 		return result
 	}
 	dir, err := os.MkdirTemp("", "guard")
@@ -118,15 +121,17 @@
 	text := string(output)
 	switch {
 	case err == nil && strings.Contains(text, "no tests to run"):
-		result.Problem = "no such test"
+		result.Problem = fmt.Sprintf("package %s has no test %s", guard.Package, guard.Test)
 	case strings.Contains(text, "[build failed]") || strings.Contains(text, "[setup failed]"):
-		result.Problem = "does not build:\n" + text
+		result.Problem = "build failed:\n" + text
 	default:
 		result.Caught = err != nil
 	}
 	return result
 }
 
+// writeOverlay writes the mutated source and an overlay file for the go command.
+// It returns the path of the overlay file.
 func writeOverlay(dir string, guard Guard, source string) (string, error) {
 	mutated := filepath.Join(dir, "mutated.go")
 	if err := os.WriteFile(mutated, []byte(strings.Replace(source, guard.Old, guard.New, 1)), 0o600); err != nil {
--- a/internal/proof/matrix.go
+++ b/internal/proof/matrix.go
@@ -14,34 +14,34 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Matrix is the fault matrix as data.
+// Matrix is the fault matrix: which tests cover each fault at each step.
 type Matrix struct {
 	Faults   []string  `yaml:"Faults"`
 	Promises []Promise `yaml:"Promises"`
 }
 
-// Promise is one promise of the brief.
+// Promise is a guarantee that the system gives to its users.
 type Promise struct {
-	Name  string   `yaml:"Name"`
-	Says  string   `yaml:"Says"`
-	Steps []string `yaml:"Steps"`
-	Rules []Rule   `yaml:"Rules"`
+	Name        string   `yaml:"Name"`
+	Description string   `yaml:"Says"`
+	Steps       []string `yaml:"Steps"`
+	Rules       []Rule   `yaml:"Rules"`
 }
 
-// Rule decides cells; empty Steps or Faults name all.
+// Rule assigns tests or a reason to cells. Empty Steps or Faults match all.
 type Rule struct {
 	Steps  []string `yaml:"Steps"`
 	Faults []string `yaml:"Faults"`
-	// Tests are "package.Test"; Reason is set instead where the fault cannot
-	// happen at the step.
+	// Tests are names of the form "package.Test". Reason is set instead of Tests
+	// if the fault cannot happen at the step.
 	Tests  []string `yaml:"Tests"`
 	Reason string   `yaml:"Reason"`
 }
 
-// Verdict is what a cell is.
+// Verdict is the state of a cell.
 type Verdict string
 
-// The verdicts.
+// States of a cell.
 const (
 	Proved        Verdict = "proved"
 	NotApplicable Verdict = "not applicable"
@@ -55,7 +55,7 @@
 	Rule                 *Rule
 }
 
-// LoadMatrix reads the matrix and checks the names in it.
+// LoadMatrix reads the matrix from a YAML file and validates its names.
 func LoadMatrix(file string) (*Matrix, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	for _, promise := range m.Promises {
 		for _, rule := range promise.Rules {
-			if err := m.check(promise, rule, tests); err != nil {
+			if err := m.checkRule(promise, rule, tests); err != nil {
 				return nil, err
 			}
 		}
@@ -79,53 +79,55 @@
 	return &m, nil
 }
 
-func (m *Matrix) check(promise Promise, rule Rule, tests map[string]string) error {
+func (m *Matrix) checkRule(promise Promise, rule Rule, tests map[string]string) error {
 	for _, step := range rule.Steps {
 		if !slices.Contains(promise.Steps, step) {
-			return fmt.Errorf("%s: no step %s", promise.Name, step)
+			return fmt.Errorf("promise %s has no step %s", promise.Name, step)
 		}
 	}
 	for _, fault := range rule.Faults {
 		if !slices.Contains(m.Faults, fault) {
-			return fmt.Errorf("%s: no fault %s", promise.Name, fault)
+			return fmt.Errorf("promise %s: unknown fault %s", promise.Name, fault)
 		}
 	}
 	for _, test := range rule.Tests {
 		if _, ok := tests[test]; !ok {
-			return fmt.Errorf("%s: no test %s", promise.Name, test)
+			return fmt.Errorf("promise %s: unknown test %s", promise.Name, test)
 		}
 	}
 	if (len(rule.Tests) == 0) == (rule.Reason == "") {
-		return fmt.Errorf("%s: a rule has either Tests or a Reason", promise.Name)
+		return fmt.Errorf("promise %s: a rule needs either Tests or a Reason", promise.Name)
 	}
 	return nil
 }
 
-// Cells returns every cell with the rule that decides it, or nil.
+// Cells returns every cell with the first rule that matches it, or nil.
 func (m *Matrix) Cells() []Cell {
 	var cells []Cell
 	for _, promise := range m.Promises {
 		for _, step := range promise.Steps {
 			for _, fault := range m.Faults {
-				cells = append(cells, Cell{Promise: promise.Name, Step: step, Fault: fault, Rule: promise.rule(step, fault)})
+				cells = append(cells, Cell{Promise: promise.Name, Step: step, Fault: fault, Rule: promise.ruleFor(step, fault)})
 			}
 		}
 	}
 	return cells
 }
 
-func (p Promise) rule(step, fault string) *Rule {
+// ruleFor returns the first rule that matches a step and a fault, or nil.
+func (p Promise) ruleFor(step, fault string) *Rule {
 	for i, rule := range p.Rules {
-		if names(rule.Steps, step) && names(rule.Faults, fault) {
+		if listed(rule.Steps, step) && listed(rule.Faults, fault) {
 			return &p.Rules[i]
 		}
 	}
 	return nil
 }
 
-func names(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
+// listed reports whether a list contains a name. An empty list contains all.
+func listed(list []string, name string) bool { return len(list) == 0 || slices.Contains(list, name) }
 
-// Verdict returns what a cell is, given the tests that failed.
+// Verdict returns the state of the cell, given the tests that failed.
 func (c Cell) Verdict(failed map[string]bool) Verdict {
 	switch {
 	case c.Rule == nil:
@@ -143,7 +145,7 @@
 
 var testFunc = regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 
-// findTests returns the folder of each test, by "package.Test".
+// findTests returns the directory of each test, keyed by "package.Test".
 func findTests() (map[string]string, error) {
 	tests := map[string]string{}
 	err := filepath.WalkDir(".", func(path string, _ os.DirEntry, err error) error {
@@ -160,8 +162,8 @@
 	return tests, err
 }
 
-// RunTests runs every test that the matrix names, and returns those that did
-// not pass.
+// RunTests runs every test in the matrix and returns the tests that did not
+// pass.
 func (m *Matrix) RunTests(ctx context.Context) (failed map[string]bool, err error) {
 	dirs, err := findTests()
 	if err != nil {
@@ -197,7 +199,7 @@
 	return failed, nil
 }
 
-// Count returns how many cells have each verdict.
+// Count returns the number of cells for each verdict.
 func (m *Matrix) Count(failed map[string]bool) map[Verdict]int {
 	counts := map[Verdict]int{}
 	for _, cell := range m.Cells() {
@@ -206,14 +208,14 @@
 	return counts
 }
 
-// Write writes the page of the matrix in Markdown.
+// Write writes the matrix as a Markdown page.
 func (m *Matrix) Write(w io.Writer) {
 	counts := m.Count(nil)
 	fmt.Fprintln(w, "# Fault matrix\n\nWritten from proof/matrix.yaml by `make docs`; `make matrix` runs the tests behind it.")
 	fmt.Fprintf(w, "\n%d cells have a test, %d cannot happen, %d are not proved.\n", counts[Proved], counts[NotApplicable], counts[NotProved])
 	fmt.Fprintln(w, "\nA cell is `test`, `-` (cannot happen, see the reasons) or **NOT PROVED**.")
 	for _, promise := range m.Promises {
-		fmt.Fprintf(w, "\n## %s\n\n%s\n\n| fault |", promise.Name, promise.Says)
+		fmt.Fprintf(w, "\n## %s\n\n%s\n\n| fault |", promise.Name, promise.Description)
 		for _, step := range promise.Steps {
 			fmt.Fprintf(w, " %s |", step)
 		}
@@ -221,7 +223,7 @@
 		for _, fault := range m.Faults {
 			fmt.Fprintf(w, "| %s |", fault)
 			for _, step := range promise.Steps {
-				fmt.Fprintf(w, " %s |", mark(promise.rule(step, fault)))
+				fmt.Fprintf(w, " %s |", cellText(promise.ruleFor(step, fault)))
 			}
 			fmt.Fprintln(w)
 		}
@@ -229,7 +231,8 @@
 	}
 }
 
-func mark(rule *Rule) string {
+// cellText returns the text of a table cell.
+func cellText(rule *Rule) string {
 	switch {
 	case rule == nil:
 		return "**NOT PROVED**"
@@ -239,6 +242,7 @@
 	return "test"
 }
 
+// writeRules writes the table of the rules.
 func (p Promise) writeRules(w io.Writer) {
 	all := func(list []string) string {
 		if len(list) == 0 {
--- a/internal/proof/soak.go
+++ b/internal/proof/soak.go
@@ -16,28 +16,30 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Removal is a part of the product whose loss the soak must notice.
+// Removal is a mutation that removes a mechanism. The soak test must detect it.
 type Removal struct {
 	Name string `yaml:"Name"`
 	File string `yaml:"File"`
 	Old  string `yaml:"Old"`
 	New  string `yaml:"New"`
-	// Gap is the longest pause between troubles for promises that hold in calm only.
+	// Gap is the longest interval between faults. It lets the soak check promises
+	// that hold only in the absence of faults.
 	Gap time.Duration `yaml:"Gap"`
 }
 
-// RemovalResult is what the soak made of one removal.
+// RemovalResult is the result of the soak tests of one removal.
 type RemovalResult struct {
 	Removal Removal
-	// Seed is the first that broke promises, and Promise names them; empty if none
-	// of Runs did.
+	// Seed is the first seed with broken promises, and Promise lists them. Promise
+	// is empty if none of the Runs broke one.
 	Seed    uint64
 	Promise string
 	Runs    int
+	// Problem says why the removal could not be tested.
 	Problem string
 }
 
-// LoadRemovals reads the list of removals.
+// LoadRemovals reads the list of removals from a YAML file.
 func LoadRemovals(file string) ([]Removal, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -50,28 +52,32 @@
 	return removals, nil
 }
 
-// Soak says how a program is soaked.
+// Soak configures the soak tests.
 type Soak struct {
-	// Program is the soak's own.
+	// Program is the path of the soak test binary.
 	Program string
-	First   uint64
-	Seeds   int
-	Length  time.Duration
-	// Parallel is how many removals are soaked at once, some 25 processes each.
+	// First is the first seed, and Seeds the maximum number of seeds for each
+	// removal.
+	First uint64
+	Seeds int
+	// Length is the duration of each run.
+	Length time.Duration
+	// Parallel is the number of removals that are tested concurrently. Each run
+	// starts about 25 processes.
 	Parallel int
 }
 
-// Run takes each part out in turn and soaks the program without it until a
-// promise is broken.
+// Run builds the program with each removal applied and soak-tests it until a
+// promise is broken or all seeds have run. It calls report for each removal.
 func (s Soak) Run(ctx context.Context, removals []Removal, report func(RemovalResult)) {
-	slots := make(chan struct{}, s.Parallel)
+	semaphore := make(chan struct{}, s.Parallel)
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	for _, removal := range removals {
 		group.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			result := s.one(ctx, removal)
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			result := s.runRemoval(ctx, removal)
 			mu.Lock()
 			defer mu.Unlock()
 			report(result)
@@ -80,7 +86,7 @@
 	group.Wait()
 }
 
-func (s Soak) one(ctx context.Context, removal Removal) RemovalResult {
+func (s Soak) runRemoval(ctx context.Context, removal Removal) RemovalResult {
 	result := RemovalResult{Removal: removal}
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -97,7 +103,7 @@
 		result.Runs++
 		command := exec.CommandContext(ctx, s.Program, "--binary", binary, "--seed", strconv.FormatUint(s.First+n, 10),
 			"--length", s.Length.String(), "--gap", removal.Gap.String(), "--logs", filepath.Join(dir, "logs"))
-		output, _ := command.CombinedOutput() // an error is what is hoped for; the output tells
+		output, _ := command.CombinedOutput() // the exit status is ignored because the output lists broken promises
 		if promises := brokenPromises(string(output)); promises != "" {
 			result.Seed, result.Promise = s.First+n, promises
 			return result
@@ -110,12 +116,12 @@
 	return result
 }
 
-var broken = regexp.MustCompile(`(?m)^  (\w+): `)
+var brokenPromiseLine = regexp.MustCompile(`(?m)^  (\w+): `)
 
-// brokenPromises names the promises that the soak's output says were broken.
+// brokenPromises returns the broken promises listed in the output of a soak test.
 func brokenPromises(output string) string {
 	var names []string
-	for _, match := range broken.FindAllStringSubmatch(output, -1) {
+	for _, match := range brokenPromiseLine.FindAllStringSubmatch(output, -1) {
 		if !slices.Contains(names, match[1]) {
 			names = append(names, match[1])
 		}
@@ -123,14 +129,14 @@
 	return strings.Join(names, " ")
 }
 
-// build builds the product without the part.
+// build builds the program with the removal applied and returns its path.
 func (r Removal) build(ctx context.Context, dir string) (string, error) {
 	source, err := os.ReadFile(r.File)
 	if err != nil {
 		return "", err
 	}
 	if n := strings.Count(string(source), r.Old); n != 1 {
-		return "", fmt.Errorf("the text is there %d times, expected once", n)
+		return "", fmt.Errorf("%s contains the text %d times, expected once", r.File, n)
 	}
 	overlay, err := writeOverlay(dir, Guard{File: r.File, Old: r.Old, New: r.New}, string(source))
 	if err != nil {
@@ -139,7 +145,7 @@
 	binary := filepath.Join(dir, "filbertlever")
 	output, err := exec.CommandContext(ctx, "go", "build", "-overlay="+overlay, "-o", binary, "./cmd/filbertlever").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("build: %w: %s", err, output)
+		return "", fmt.Errorf("build program: %w: %s", err, output)
 	}
 	return binary, nil
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -21,55 +21,58 @@
 	"github.com/filbertlever/filbertlever/internal/protocol/engine/v1/enginev1connect"
 )
 
-// EngineConfig is how a stand-in engine behaves.
+// EngineConfig configures a stand-in engine.
 type EngineConfig struct {
-	// ChecksFencing is true if it refuses an order with an old number.
+	// ChecksFencing makes the engine reject load orders with a stale fencing token.
 	ChecksFencing bool
-	// Slots is how many requests it runs at once; more wait.
+	// Slots is the number of requests that run concurrently. Further requests queue.
 	Slots int
-	// Prefill is the time to the first token, Token that between two.
+	// Prefill is the time to the first token, and Token the time between two tokens.
 	Prefill time.Duration
 	Token   time.Duration
-	// CachedPrompts is how many prompts' prefixes the engine keeps; a request
-	// whose prefix it has takes a fifth of the prefill.
+	// CachedPrompts is the capacity of the prefix cache, in prompts. A request
+	// with a cached prefix takes a fifth of the prefill time.
 	CachedPrompts int
-	// Client reads weights; nil means the default one.
+	// Client fetches weights. Nil means http.DefaultClient.
 	Client *http.Client
 }
 
-// EngineFaults is what is wrong with an engine now.
+// EngineFaults holds the faults that are injected into an engine.
 type EngineFaults struct {
-	// RefuseLoads refuses so many orders to load.
+	// RefuseLoads is the number of load orders that the engine rejects.
 	RefuseLoads int
-	// StallAfter stops every answer after so many tokens; 0 stops none.
+	// StallAfter is the number of tokens after which each answer stalls. 0 disables it.
 	StallAfter int
-	// FailShare fails this share of answers at once.
+	// FailShare is the share of requests that fail immediately.
 	FailShare float64
-	// SwitchAfter answers from other weights after so many tokens; 0 never.
+	// SwitchAfter is the number of tokens after which an answer continues
+	// with other weights. 0 disables it.
 	SwitchAfter int
-	// Slowdown multiplies all times; 0 counts as 1.
+	// Slowdown multiplies all processing times. Values below 1 count as 1.
 	Slowdown float64
 }
 
-// Engine is a stand-in for a model engine. Its answers depend on the weights,
-// the prompt and the position only, so a test can tell whose they are.
+// Engine is a stand-in for a model engine. Each token depends only on the
+// weights, the prompt and the position, so a test can verify which weights
+// produced an answer.
 type Engine struct {
 	config EngineConfig
 	slots  chan struct{}
 
-	mu     sync.Mutex
-	fences lease.Keeper
-	loaded map[string]*enginev1.LoadedWeights
-	faults EngineFaults
-	// running, cancelled and loads count.
-	running, cancelled, loads int
-	// generates counts calls of Generate, hits those whose prefix was cached.
-	generates, hits int
-	// prefixes are the cached prefixes, oldest first.
+	mu      sync.Mutex
+	fencing lease.Keeper
+	loaded  map[string]*enginev1.LoadedWeights
+	faults  EngineFaults
+	// runningCount is the number of requests that run now. cancelledCount and
+	// loadCount are totals.
+	runningCount, cancelledCount, loadCount int
+	// generateCalls counts the calls of Generate, and prefixHits those with a cached prefix.
+	generateCalls, prefixHits int
+	// prefixes are the cached prefixes, least recently used first.
 	prefixes []string
 }
 
-// NewEngine returns an engine with nothing loaded.
+// NewEngine returns an engine without loaded weights.
 func NewEngine(config EngineConfig) *Engine {
 	if config.Client == nil {
 		config.Client = http.DefaultClient
@@ -77,28 +80,28 @@
 	return &Engine{config: config, slots: make(chan struct{}, max(config.Slots, 1)), loaded: map[string]*enginev1.LoadedWeights{}}
 }
 
-// Piece returns token i of the answer that weights give to a prompt.
+// Piece returns token i of the answer to a prompt by the given weights.
 func Piece(weights filbertlever.Digest, prompt string, i int) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s|%s|%d", weights, prompt, i))
 	return fmt.Sprintf("%x ", sum[:3])
 }
 
-// SetFaults changes what is wrong.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(faults EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = faults
 }
 
-// Counts returns how many requests run and were cancelled, and how many loads
-// were carried out.
+// Counts returns the number of running requests, cancelled requests and
+// completed loads.
 func (e *Engine) Counts() (running, cancelled, loads int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.running, e.cancelled, e.loads
+	return e.runningCount, e.cancelledCount, e.loadCount
 }
 
-// Handler serves the engine's interface.
+// Handler returns the handler of the engine API.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	path, handler := enginev1connect.NewEngineServiceHandler(e, connect.WithCompressMinBytes(1<<20))
@@ -106,26 +109,26 @@
 	return mux
 }
 
-// AdminHandler serves faults.
+// AdminHandler returns the handler that sets the injected faults.
 func (e *Engine) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, request *http.Request) {
 		var faults EngineFaults
-		if decode(w, request, &faults) {
+		if decodeJSON(w, request, &faults) {
 			e.SetFaults(faults)
 		}
 	})
 	return mux
 }
 
-// Generate streams tokens.
+// Generate streams the tokens of an answer.
 func (e *Engine) Generate(ctx context.Context, request *connect.Request[enginev1.GenerateRequest], stream *connect.ServerStream[enginev1.GenerateResponse]) error {
 	message := request.Msg
 	e.mu.Lock()
 	_, ok := e.loaded[message.VersionDigest]
 	faults := e.faults
 	stallAfter := faults.StallAfter
-	e.generates++
+	e.generateCalls++
 	e.mu.Unlock()
 	if faults.FailShare > 0 && rand.Float64() < faults.FailShare {
 		return connect.NewError(connect.CodeUnavailable, errors.New("engine is browned out"))
@@ -133,53 +136,53 @@
 	if !ok {
 		return connect.NewError(connect.CodeFailedPrecondition, errors.New("weights are not loaded"))
 	}
-	if err := e.enter(ctx); err != nil {
+	if err := e.acquireSlot(ctx); err != nil {
 		return err
 	}
-	defer e.leave(ctx)
+	defer e.releaseSlot(ctx)
 	slowdown := max(faults.Slowdown, 1)
-	pause := time.Duration(slowdown * float64(e.prefill(message)))
-	from := len(message.Delivered)
-	for i := from; i <= int(message.MaxTokens); i++ {
-		if err := wait(ctx, pause); err != nil {
+	delay := time.Duration(slowdown * float64(e.prefillTime(message)))
+	start := len(message.Delivered)
+	for i := start; i <= int(message.MaxTokens); i++ {
+		if err := sleep(ctx, delay); err != nil {
 			return err
 		}
-		pause = time.Duration(slowdown * float64(e.config.Token))
-		if stallAfter > 0 && i-from >= stallAfter {
+		delay = time.Duration(slowdown * float64(e.config.Token))
+		if stallAfter > 0 && i-start >= stallAfter {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		frame := e.frame(message, i)
-		if faults.SwitchAfter > 0 && i-from >= faults.SwitchAfter {
-			frame.VersionDigest = string(filbertlever.DigestOf([]byte("other weights")))
-			frame.Pieces = []string{"other "}
+		response := e.responseAt(message, i)
+		if faults.SwitchAfter > 0 && i-start >= faults.SwitchAfter {
+			response.VersionDigest = string(filbertlever.DigestOf([]byte("other weights")))
+			response.Pieces = []string{"other "}
 		}
-		if err := stream.Send(frame); err != nil {
+		if err := stream.Send(response); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// prefixBytes is the part of a prompt that the cache tells prompts apart by.
-const prefixBytes = 1024
+// cachePrefixBytes is the length of the prompt prefix that is the cache key.
+const cachePrefixBytes = 1024
 
-// cachedShare is the part of the prefill that a cached prefix leaves.
-const cachedShare = 5
+// cachedPrefillDivisor divides the prefill time of a prompt with a cached prefix.
+const cachedPrefillDivisor = 5
 
-// prefill returns the time to the first token, and caches the prefix.
-func (e *Engine) prefill(message *enginev1.GenerateRequest) time.Duration {
+// prefillTime returns the time to the first token and adds the prefix to the cache.
+func (e *Engine) prefillTime(message *enginev1.GenerateRequest) time.Duration {
 	if e.config.CachedPrompts == 0 {
 		return e.config.Prefill
 	}
-	prefix := message.CacheScope + "\x00" + message.Prompt[:min(prefixBytes, len(message.Prompt))]
+	prefix := message.CacheScope + "\x00" + message.Prompt[:min(cachePrefixBytes, len(message.Prompt))]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at := slices.Index(e.prefixes, prefix)
-	if at >= 0 {
-		e.hits++
-		e.prefixes = append(slices.Delete(e.prefixes, at, at+1), prefix)
-		return e.config.Prefill / cachedShare
+	index := slices.Index(e.prefixes, prefix)
+	if index >= 0 {
+		e.prefixHits++
+		e.prefixes = append(slices.Delete(e.prefixes, index, index+1), prefix)
+		return e.config.Prefill / cachedPrefillDivisor
 	}
 	e.prefixes = append(e.prefixes, prefix)
 	if len(e.prefixes) > e.config.CachedPrompts {
@@ -188,15 +191,15 @@
 	return e.config.Prefill
 }
 
-// Generates returns how many answers were asked for and how many of them found
-// their prefix cached.
+// GenerateCounts returns the number of calls of Generate and how many of them
+// had a cached prefix.
 func (e *Engine) Generates() (generates, hits int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.generates, e.hits
+	return e.generateCalls, e.prefixHits
 }
 
-func (e *Engine) frame(message *enginev1.GenerateRequest, i int) *enginev1.GenerateResponse {
+func (e *Engine) responseAt(message *enginev1.GenerateRequest, i int) *enginev1.GenerateResponse {
 	if i >= int(message.MaxTokens) {
 		return &enginev1.GenerateResponse{Offset: uint32(i), VersionDigest: message.VersionDigest, Done: true}
 	}
@@ -204,33 +207,33 @@
 	return &enginev1.GenerateResponse{Offset: uint32(i), Pieces: []string{piece}, VersionDigest: message.VersionDigest}
 }
 
-func (e *Engine) enter(ctx context.Context) error {
+func (e *Engine) acquireSlot(ctx context.Context) error {
 	select {
 	case e.slots <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	e.mu.Lock()
-	e.running++
+	e.runningCount++
 	e.mu.Unlock()
 	return nil
 }
 
-func (e *Engine) leave(ctx context.Context) {
+func (e *Engine) releaseSlot(ctx context.Context) {
 	<-e.slots
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.running--
+	e.runningCount--
 	if ctx.Err() != nil {
-		e.cancelled++
+		e.cancelledCount++
 	}
 }
 
-func wait(ctx context.Context, pause time.Duration) error {
-	if pause <= 0 {
+func sleep(ctx context.Context, delay time.Duration) error {
+	if delay <= 0 {
 		return ctx.Err()
 	}
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -240,10 +243,10 @@
 	}
 }
 
-// Load reads a set of weights and serves it in place of the model's last one.
+// Load fetches weights and replaces the loaded weights of the same model.
 func (e *Engine) Load(ctx context.Context, request *connect.Request[enginev1.LoadRequest]) (*connect.Response[enginev1.LoadResponse], error) {
 	message := request.Msg
-	if err := e.admit(message); err != nil {
+	if err := e.checkLoad(message); err != nil {
 		return nil, err
 	}
 	sum, err := e.digest(ctx, message.Url)
@@ -252,7 +255,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.config.ChecksFencing && !e.fences.Admit(message.Fence) {
+	if e.config.ChecksFencing && !e.fencing.Admit(message.Fence) {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errors.New("fencing number is old"))
 	}
 	for old, weights := range e.loaded {
@@ -260,15 +263,15 @@
 			delete(e.loaded, old)
 		}
 	}
-	e.loads++
+	e.loadCount++
 	e.loaded[string(sum)] = &enginev1.LoadedWeights{Kind: message.Kind, Model: message.Model, Version: message.Version, Digest: string(sum)}
 	return connect.NewResponse(&enginev1.LoadResponse{AttestedDigest: string(sum)}), nil
 }
 
-func (e *Engine) admit(message *enginev1.LoadRequest) error {
+func (e *Engine) checkLoad(message *enginev1.LoadRequest) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.config.ChecksFencing && !e.fences.Admit(message.Fence) {
+	if e.config.ChecksFencing && !e.fencing.Admit(message.Fence) {
 		return connect.NewError(connect.CodeFailedPrecondition, errors.New("fencing number is old"))
 	}
 	if e.faults.RefuseLoads > 0 {
@@ -289,7 +292,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return "", fmt.Errorf("read weights: status %s", response.Status)
+		return "", fmt.Errorf("fetch weights from %s: status %s", url, response.Status)
 	}
 	var sum hash.Hash = sha256.New()
 	if _, err := io.Copy(sum, response.Body); err != nil {
@@ -298,18 +301,18 @@
 	return filbertlever.NewDigest(sum.Sum(nil)), nil
 }
 
-// Status reports what is loaded.
+// Status reports the loaded weights and the number of running requests.
 func (e *Engine) Status(context.Context, *connect.Request[enginev1.StatusRequest]) (*connect.Response[enginev1.StatusResponse], error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	response := &enginev1.StatusResponse{Running: uint32(e.running), HighestFence: e.fences.Highest()}
+	response := &enginev1.StatusResponse{Running: uint32(e.runningCount), HighestFence: e.fencing.Highest()}
 	for _, weights := range e.loaded {
 		response.Loaded = append(response.Loaded, weights)
 	}
 	return connect.NewResponse(response), nil
 }
 
-// Serves reports whether the engine has a version of a model or adapter loaded.
+// HasLoaded reports whether a version of a model or adapter is loaded.
 func (e *Engine) Serves(model, version string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -321,7 +324,7 @@
 	return false
 }
 
-// Versions returns the versions of the models that are loaded.
+// Versions returns the versions of the loaded models.
 func (e *Engine) Versions() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,5 +1,6 @@
-// Package standin holds stand-ins for what the system meets: the platform, a
-// model engine and a plain service. They are for tests and the demo only.
+// Package standin provides stand-ins for the external dependencies of the
+// system: the platform, a model engine and a plain service. They are for tests
+// and the demo only.
 package standin
 
 import (
@@ -21,22 +22,22 @@
 	"github.com/filbertlever/filbertlever/internal/protocol/platform/v1/platformv1connect"
 )
 
-// Faults is what is wrong with a stand-in now.
+// Faults holds the faults that are injected into a stand-in platform.
 type Faults struct {
-	// Down refuses every call.
+	// Down fails every call of the table, object and host list services.
 	Down bool
-	// Slow delays every call.
+	// Slow is a delay that is added to every such call.
 	Slow time.Duration
-	// LoseAcks lets so many writes take effect and loses their answers.
+	// LoseAcks is the number of commits that are applied but answered with an error.
 	LoseAcks int
-	// CorruptEvery corrupts every nth chunk; 0 corrupts none.
+	// CorruptEvery corrupts every nth transfer of weights. 0 disables it.
 	CorruptEvery int
-	// Stall makes transfers stop half way without an end.
+	// Stall makes each transfer stop half way and keeps its connection open.
 	Stall bool
 }
 
-// Platform is a stand-in for the platform: table, objects, host list, origin
-// and weight store. It is safe for concurrent use.
+// Platform is a stand-in for the platform: table, object store, host list,
+// origin and weight store. It is safe for concurrent use.
 type Platform struct {
 	mu       sync.Mutex
 	rows     map[string]*platformv1.Row
@@ -44,12 +45,13 @@
 	hosts    []*platformv1.Host
 	revision uint64
 	faults   Faults
-	// files are the weights at the origin, by path; chunks the weight store's.
-	files  map[string][]byte
-	chunks map[filbertlever.Digest][]byte
-	drawn  int64
-	served int
-	// Reads and Writes count calls of the table and object services.
+	// files are the weights at the origin, by path. chunks is the content of the
+	// weight store.
+	files       map[string][]byte
+	chunks      map[filbertlever.Digest][]byte
+	originBytes int64
+	transfers   int
+	// reads and writes count the calls of the table, host list and object services.
 	reads, writes int
 }
 
@@ -63,9 +65,9 @@
 	}
 }
 
-var errDown = connect.NewError(connect.CodeUnavailable, errors.New("platform is down"))
+var errPlatformDown = connect.NewError(connect.CodeUnavailable, errors.New("platform is down"))
 
-// SetFaults changes what is wrong.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(faults Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,43 +92,43 @@
 	}
 }
 
-// AddFile puts weights at the origin.
+// AddFile adds weights to the origin.
 func (p *Platform) AddFile(path string, data []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.files[path] = data
 }
 
-// RemoveFile takes weights away from the origin.
+// RemoveFile removes weights from the origin.
 func (p *Platform) RemoveFile(path string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.files, path)
 }
 
-// AddChunk puts a chunk into the weight store.
+// AddChunk adds a chunk to the weight store.
 func (p *Platform) AddChunk(data []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.chunks[filbertlever.DigestOf(data)] = data
 }
 
-// Drawn returns the bytes drawn from the origin.
+// OriginBytes returns the number of bytes that the origin has sent.
 func (p *Platform) Drawn() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.drawn
+	return p.originBytes
 }
 
-// Calls returns how many reads and writes were made.
+// Calls returns the number of reads and writes.
 func (p *Platform) Calls() (reads, writes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads, p.writes
 }
 
-// before carries out the faults that come before a call.
-func (p *Platform) before(ctx context.Context) error {
+// injectFaults applies the Slow and Down faults before a call.
+func (p *Platform) injectFaults(ctx context.Context) error {
 	p.mu.Lock()
 	faults := p.faults
 	p.mu.Unlock()
@@ -138,14 +140,14 @@
 		}
 	}
 	if faults.Down {
-		return errDown
+		return errPlatformDown
 	}
 	return nil
 }
 
-// Get reads rows.
+// Get returns the rows with the given keys or prefix.
 func (p *Platform) Get(ctx context.Context, request *connect.Request[platformv1.GetRequest]) (*connect.Response[platformv1.GetResponse], error) {
-	if err := p.before(ctx); err != nil {
+	if err := p.injectFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -174,7 +176,7 @@
 
 // Commit applies all writes or none.
 func (p *Platform) Commit(ctx context.Context, request *connect.Request[platformv1.CommitRequest]) (*connect.Response[platformv1.CommitResponse], error) {
-	if err := p.before(ctx); err != nil {
+	if err := p.injectFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -212,7 +214,7 @@
 
 // ListHosts returns the host list.
 func (p *Platform) ListHosts(ctx context.Context, request *connect.Request[platformv1.ListHostsRequest]) (*connect.Response[platformv1.ListHostsResponse], error) {
-	if err := p.before(ctx); err != nil {
+	if err := p.injectFaults(ctx); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -225,7 +227,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// Handler serves the platform's interfaces.
+// Handler returns the handler of the platform APIs.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	path, handler := platformv1connect.NewTableServiceHandler(p)
@@ -233,12 +235,12 @@
 	mux.HandleFunc("GET /objects/{key...}", p.getObject)
 	mux.HandleFunc("PUT /objects/{key...}", p.putObject)
 	mux.HandleFunc("GET /origin/{path...}", p.getOrigin)
-	mux.HandleFunc("GET /store/{digest}", p.getStore)
+	mux.HandleFunc("GET /store/{digest}", p.getChunk)
 	return mux
 }
 
 func (p *Platform) getObject(w http.ResponseWriter, request *http.Request) {
-	if err := p.before(request.Context()); err != nil {
+	if err := p.injectFaults(request.Context()); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -254,7 +256,7 @@
 }
 
 func (p *Platform) putObject(w http.ResponseWriter, request *http.Request) {
-	if err := p.before(request.Context()); err != nil {
+	if err := p.injectFaults(request.Context()); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -291,13 +293,13 @@
 		w.WriteHeader(http.StatusRequestedRangeNotSatisfiable)
 		return
 	}
-	n := p.send(w, request, data[from:to+1])
+	n := p.sendData(w, request, data[from:to+1])
 	p.mu.Lock()
-	p.drawn += int64(n)
+	p.originBytes += int64(n)
 	p.mu.Unlock()
 }
 
-func (p *Platform) getStore(w http.ResponseWriter, request *http.Request) {
+func (p *Platform) getChunk(w http.ResponseWriter, request *http.Request) {
 	p.mu.Lock()
 	data, ok := p.chunks[filbertlever.Digest(request.PathValue("digest"))]
 	p.mu.Unlock()
@@ -305,15 +307,15 @@
 		http.NotFound(w, request)
 		return
 	}
-	p.send(w, request, data)
+	p.sendData(w, request, data)
 }
 
-// send writes a chunk with the faults of now.
-func (p *Platform) send(w http.ResponseWriter, request *http.Request, data []byte) int {
+// sendData writes data with the injected faults and returns the bytes written.
+func (p *Platform) sendData(w http.ResponseWriter, request *http.Request, data []byte) int {
 	p.mu.Lock()
 	faults := p.faults
-	p.served++
-	corrupt := faults.CorruptEvery > 0 && p.served%faults.CorruptEvery == 0
+	p.transfers++
+	corrupt := faults.CorruptEvery > 0 && p.transfers%faults.CorruptEvery == 0
 	p.mu.Unlock()
 	if corrupt {
 		data = append([]byte(nil), data...)
@@ -330,18 +332,19 @@
 	return n
 }
 
-// AdminHandler serves faults, hosts and figures for tests and the demo.
+// AdminHandler returns the handler that sets faults and hosts and reports call
+// counts, for tests and the demo.
 func (p *Platform) AdminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, request *http.Request) {
 		var faults Faults
-		if decode(w, request, &faults) {
+		if decodeJSON(w, request, &faults) {
 			p.SetFaults(faults)
 		}
 	})
 	mux.HandleFunc("PUT /hosts", func(w http.ResponseWriter, request *http.Request) {
 		var hosts []filbertlever.Host
-		if decode(w, request, &hosts) {
+		if decodeJSON(w, request, &hosts) {
 			p.SetHosts(hosts)
 		}
 	})
@@ -352,7 +355,7 @@
 	return mux
 }
 
-func decode(w http.ResponseWriter, request *http.Request, out any) bool {
+func decodeJSON(w http.ResponseWriter, request *http.Request, out any) bool {
 	if err := json.NewDecoder(request.Body).Decode(out); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -360,7 +363,8 @@
 	return true
 }
 
-// LoadFiles reads weights from files into the origin, as NAME=FILE.
+// LoadFiles reads weights from files into the origin. The keys are paths at the
+// origin, and the values file names.
 func (p *Platform) LoadFiles(files map[string]string) error {
 	for path, file := range files {
 		data, err := os.ReadFile(file)
