--- a/internal/bench/experiment/engine.go
+++ b/internal/bench/experiment/engine.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// attempt is one try of a request at an engine.
+// attempt is one attempt to run a request on an engine.
 type attempt struct {
 	entry    *entry
 	request  *request
 	server   *engine
 	placedAt time.Duration
-	// predictedDelay is when the first token was predicted, from the placement on.
+	// predictedDelay is the predicted time from the placement to the first token.
 	predictedDelay time.Duration
-	// prefilled is true once the prompt has been read, and left how many tokens are still to be made.
-	prefilled       bool
+	// prefilled is true once the prompt has been processed.
+	prefilled bool
+	// remainingTokens is the number of tokens that are still to be generated.
 	remainingTokens int
-	// ended is true once nobody waits for the answer.
+	// ended is true once the attempt has completed or failed.
 	ended bool
 }
 
-// engine is a model server that works in passes: each reads the prompts that have come, as many as
-// there are free slots, and makes one event of each request that is running.
+// engine models a model server with batched passes. A pass processes queued prompts, up to the
+// number of free slots, and generates one event for each running request.
 type engine struct {
 	simulation *simulation
 	id         string
@@ -29,79 +30,81 @@
 	region     string
 	running    []*attempt
 	queued     []*attempt
-	// passRunning is true while a pass is under way.
+	// passRunning is true during a pass.
 	passRunning bool
-	// loadedVersion is the version of the weights; 0 while none are loaded, and loadedAt when they will be.
+	// loadedVersion is the version of the loaded weights, or 0.
 	loadedVersion uint64
-	loadEnd       time.Duration
-	// boot tells processes apart, so that a pass of an earlier one ends nothing.
+	// loadEnd is the time at which loading ends, or 0.
+	loadEnd time.Duration
+	// boot counts the boots of the server, so that the end of a pass of an earlier boot is ignored.
 	boot     int
 	sequence uint64
 }
 
-// enqueue takes a request.
-func (s *engine) enqueue(j *attempt) {
-	s.queued = append(s.queued, j)
+// enqueue adds an attempt to the queue.
+func (s *engine) enqueue(a *attempt) {
+	s.queued = append(s.queued, a)
 	s.startPass()
 }
 
-// startPass begins a pass if there is something to do.
+// startPass starts a pass if none is running and there are attempts to process.
 func (s *engine) startPass() {
-	s.running = slices.DeleteFunc(s.running, func(j *attempt) bool { return j.ended })
-	s.queued = slices.DeleteFunc(s.queued, func(j *attempt) bool { return j.ended })
+	s.running = slices.DeleteFunc(s.running, func(a *attempt) bool { return a.ended })
+	s.queued = slices.DeleteFunc(s.queued, func(a *attempt) bool { return a.ended })
 	free := max(s.simulation.Engine.Slots-len(s.running), 0)
 	next := s.queued[:min(free, len(s.queued))]
 	if s.passRunning || s.loadedVersion == 0 || len(s.running)+len(next) == 0 {
 		return
 	}
 	tokens := 0
-	for _, j := range next {
-		tokens += j.request.promptTokens
+	for _, a := range next {
+		tokens += a.request.promptTokens
 	}
 	s.running = append(s.running, next...)
 	s.queued = slices.Clone(s.queued[len(next):])
 	pass := time.Duration(s.simulation.Engine.Stride)*s.simulation.Engine.Step +
 		time.Duration(tokens)*time.Second/time.Duration(s.simulation.Engine.PromptsPerSecond)
 	s.passRunning = true
-	life := s.boot
-	s.simulation.after(pass, func() { s.endPass(life) })
+	boot := s.boot
+	s.simulation.after(pass, func() { s.endPass(boot) })
 }
 
-func (s *engine) endPass(life int) {
-	if life != s.boot {
+// endPass processes the end of a pass and starts the next one.
+func (s *engine) endPass(boot int) {
+	if boot != s.boot {
 		return
 	}
 	s.passRunning = false
-	for _, j := range s.running {
-		if !j.prefilled {
-			j.prefilled = true
-			s.simulation.recordFirstToken(j)
+	for _, a := range s.running {
+		if !a.prefilled {
+			a.prefilled = true
+			s.simulation.recordFirstToken(a)
 		}
-		j.remainingTokens -= s.simulation.Engine.Stride
-		if j.remainingTokens <= 0 {
-			s.simulation.completeAttempt(j)
+		a.remainingTokens -= s.simulation.Engine.Stride
+		if a.remainingTokens <= 0 {
+			s.simulation.completeAttempt(a)
 		}
 	}
 	s.startPass()
 }
 
-// stop ends the process with all that it runs.
+// stop ends the server process. All its attempts fail.
 func (s *engine) stop() {
-	lost := slices.Concat(s.running, s.queued)
+	failed := slices.Concat(s.running, s.queued)
 	s.running, s.queued, s.passRunning, s.loadedVersion, s.loadEnd = nil, nil, false, 0, 0
 	s.boot++
-	for _, j := range lost {
-		s.simulation.failAttempt(j)
+	for _, a := range failed {
+		s.simulation.failAttempt(a)
 	}
 }
 
-// start loads the weights.
+// start starts the server process and loads the weights.
 func (s *engine) start() {
 	s.loadEnd = s.simulation.now + s.simulation.Engine.Load
-	life := s.boot
+	boot := s.boot
 	s.simulation.report(s)
 	s.simulation.after(s.simulation.Engine.Load, func() {
-		if life != s.boot {
+		if boot != s.boot {
 			return
 		}
 		s.loadedVersion, s.loadEnd = 1, 0
--- a/internal/bench/experiment/entry.go
+++ b/internal/bench/experiment/entry.go
@@ -10,16 +10,17 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/fleet"
 )
 
-// Names in the modelled installation.
+// Names of the service and model in the simulated installation.
 const (
 	serviceName = "models"
 	modelName   = "model"
 )
 
-// Periods as entries and agents keep them.
+// Intervals and delays, with the same values as in entries and agents.
 const (
 	minGossipInterval = 25 * time.Millisecond
-	// gossipIntervalPerLocalEntry and countsFarEach are what other entries add to the period.
+	// gossipIntervalPerLocalEntry and gossipIntervalPerRemoteEntry are added to the interval for
+	// each other entry in the same region and in other regions.
 	gossipIntervalPerLocalEntry  = 25 * time.Millisecond / 8
 	gossipIntervalPerRemoteEntry = 24 * time.Millisecond
 	reportInterval               = 200 * time.Millisecond
@@ -27,7 +28,7 @@
 	waitingRoomInterval          = 20 * time.Millisecond
 )
 
-// entry decides as an entry does: where requests go, which are refused and when callers return.
+// entry runs the decision code of an entry: placement, admission and retry times.
 type entry struct {
 	simulation    *simulation
 	host          filbertlever.HostID
@@ -40,45 +41,46 @@
 	rng           *rand.Rand
 }
 
-func newEntry(w *simulation, host filbertlever.HostID, region string, regions map[string]string, rng *rand.Rand) *entry {
+// newEntry returns an entry that knows all engines of the simulation.
+func newEntry(sim *simulation, host filbertlever.HostID, region string, regions map[string]string, rng *rand.Rand) *entry {
 	config := fleet.DefaultConfig()
 	config.Site, config.Region, config.Regions = region, region, regions
-	e := &entry{simulation: w, host: host, region: region, fleet: fleet.New(config, rng), admissionGate: w.policy.admissionGate(),
+	e := &entry{simulation: sim, host: host, region: region, fleet: fleet.New(config, rng), admissionGate: sim.policy.admissionGate(),
 		waitingRoom: admission.NewRoom(), waiting: map[uint64]*request{}, rng: rng}
-	usual, answer := w.meanSizes()
-	engine := &catalog.Engine{Slots: w.Engine.Slots, Step: w.Engine.Step, Stride: w.Engine.Stride,
-		PromptToken: time.Second / time.Duration(w.Engine.PromptsPerSecond), UsualPrompt: usual, UsualAnswer: answer,
+	promptTokens, answerTokens := sim.meanSizes()
+	engine := &catalog.Engine{Slots: sim.Engine.Slots, Step: sim.Engine.Step, Stride: sim.Engine.Stride,
+		PromptToken: time.Second / time.Duration(sim.Engine.PromptsPerSecond), UsualPrompt: promptTokens, UsualAnswer: answerTokens,
 		ReportLag: reportDelay, Models: []string{modelName}}
-	e.fleet.SetState(catalog.New(1, nil, []catalog.Service{{Name: serviceName, Engine: engine}}, nil, catalog.Limits{}), w.now)
-	var listed []catalog.Backend
-	for _, s := range w.engines {
-		listed = append(listed, catalog.Backend{ID: s.id, Service: serviceName, Address: s.address, Site: s.region, Slots: w.Engine.Slots})
+	e.fleet.SetState(catalog.New(1, nil, []catalog.Service{{Name: serviceName, Engine: engine}}, nil, catalog.Limits{}), sim.now)
+	var backends []catalog.Backend
+	for _, s := range sim.engines {
+		backends = append(backends, catalog.Backend{ID: s.id, Service: serviceName, Address: s.address, Site: s.region, Slots: sim.Engine.Slots})
 	}
-	e.fleet.Apply(listed, nil, true, w.now)
+	e.fleet.Apply(backends, nil, true, sim.now)
 	return e
 }
 
-// handle decides on a request that has just come.
+// handle places, queues or refuses a request that has just arrived.
 func (e *entry) handle(r *request) {
 	now := e.simulation.now
-	left := r.arrivedAt + r.spec.Limit - now
+	remaining := r.arrivedAt + r.spec.Limit - now
 	placement := e.chooseBackend(r)
 	if !placement.Found {
-		away := e.outage.Refused(now)
-		if placement.ReadyIn > 0 && placement.ReadyIn < admission.RoomWait && e.enterWaitingRoom(r, left) {
+		outageDelay := e.outage.Refused(now)
+		if placement.ReadyIn > 0 && placement.ReadyIn < admission.RoomWait && e.enterWaitingRoom(r, remaining) {
 			return
 		}
-		e.simulation.refuseAttempt(r, admission.ReturnWhenReady(placement.ReadyIn, left, away, e.rng))
+		e.simulation.refuseAttempt(r, admission.ReturnWhenReady(placement.ReadyIn, remaining, outageDelay, e.rng))
 		return
 	}
 	forecast := admission.Forecast{Ahead: placement.Ahead, Reading: placement.Reading, Predicted: placement.Predicted}
-	ok, retry := e.admissionGate.Admit(forecast, admission.Caller{Left: left, Goal: r.spec.Goal}, e.rng)
+	ok, retry := e.admissionGate.Admit(forecast, admission.Caller{Left: remaining, Goal: r.spec.Goal}, e.rng)
 	if ok {
 		e.place(r, &placement)
 		return
 	}
 	e.fleet.Ended(placement.Backend.ID)
-	if now-r.arrivedAt > r.spec.Goal && e.outage.Ended(now) < admission.Recovery && e.enterWaitingRoom(r, left) {
+	if now-r.arrivedAt > r.spec.Goal && e.outage.Ended(now) < admission.Recovery && e.enterWaitingRoom(r, remaining) {
 		return
 	}
 	if p := e.simulation.policy; p.ReturnLeast > 0 || p.ReturnSpread > 0 {
@@ -87,10 +89,12 @@
 	e.simulation.refuseAttempt(r, retry)
 }
 
+// chooseBackend chooses a backend server and reserves a slot there.
 func (e *entry) chooseBackend(r *request) fleet.Placement {
 	return e.fleet.Choose(fleet.Request{Service: serviceName, Model: modelName, PromptTokens: r.promptTokens, AnswerTokens: r.answerTokens}, e.simulation.now)
 }
 
+// place sends a request to the chosen engine, or refuses it if the engine has no weights.
 func (e *entry) place(r *request, p *fleet.Placement) {
 	s := e.simulation.byID[p.Backend.ID]
 	r.current = &attempt{entry: e, request: r, server: s, placedAt: e.simulation.now, predictedDelay: p.Predicted, remainingTokens: r.answerTokens}
@@ -103,9 +107,9 @@
 	s.enqueue(r.current)
 }
 
-// enterWaitingRoom lets a request wait for a place.
-func (e *entry) enterWaitingRoom(r *request, left time.Duration) bool {
-	id, ok := e.waitingRoom.Enter(serviceName, e.simulation.now+min(admission.RoomWait, left/2))
+// enterWaitingRoom lets a request wait for a free slot. It returns false if the room is full.
+func (e *entry) enterWaitingRoom(r *request, remaining time.Duration) bool {
+	id, ok := e.waitingRoom.Enter(serviceName, e.simulation.now+min(admission.RoomWait, remaining/2))
 	if !ok {
 		return false
 	}
@@ -116,9 +120,10 @@
 	return true
 }
 
-// placeWaiting offers places to those who wait, until nobody does.
+// placeWaiting places waiting requests on free slots and refuses expired ones. It repeats while
+// requests wait.
 func (e *entry) placeWaiting() {
-	over := e.waitingRoom.Scan(e.simulation.now, func(id uint64) bool {
+	expired := e.waitingRoom.Scan(e.simulation.now, func(id uint64) bool {
 		r := e.waiting[id]
 		p := e.chooseBackend(r)
 		if !p.Found {
@@ -133,7 +138,7 @@
 		e.place(r, &p)
 		return true
 	})
-	for _, id := range over {
+	for _, id := range expired {
 		r := e.waiting[id]
 		delete(e.waiting, id)
 		e.simulation.refuseAttempt(r, admission.ReturnTime(0, e.rng))
@@ -143,13 +148,14 @@
 	}
 }
 
-// gossip sends this entry's counts to some of the others, and again after a period.
-func (e *entry) gossip(near bool, period time.Duration) {
+// gossip periodically sends this entry's counts to the other entries of its region, or to those of
+// other regions.
+func (e *entry) gossip(local bool, interval time.Duration) {
 	counts := e.fleet.Counts()
 	for _, other := range e.simulation.entries {
-		if other != e && (other.region == e.region) == near {
+		if other != e && (other.region == e.region) == local {
 			other.fleet.SetCounts(e.host, counts, e.simulation.now)
 		}
 	}
-	e.simulation.after(period, func() { e.gossip(near, period) })
+	e.simulation.after(interval, func() { e.gossip(local, interval) })
 }
--- a/internal/bench/weightsbench/live.go
+++ b/internal/bench/weightsbench/live.go
@@ -12,15 +12,18 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// Live is the first token times of live requests, quiet and during a burst on
-// the same links.
+// Live holds the latencies of live requests, measured without and during a burst
+// of weight transfers on the same links.
 type Live struct {
+	// QuietP95 and BurstP95 are the 95th percentiles in seconds, without and during
+	// a burst.
 	QuietP95, BurstP95 float64
-	// Ratio is BurstP95 over QuietP95.
+	// Ratio is BurstP95 divided by QuietP95.
 	Ratio float64
-	// Last is the seconds of the burst's last host, paced under the requests.
+	// Last is the fetch time of the slowest host in seconds. Fetches are paced to
+	// leave bandwidth for the requests.
 	Last float64
-	// Requests is how many were measured in the burst.
+	// Requests is the number of requests during the burst.
 	Requests int
 }
 
@@ -30,18 +33,18 @@
 	quietDuration = time.Second
 )
 
-// MeasureLive measures live requests without and with a burst.
+// MeasureLive measures live requests without and during a burst.
 func MeasureLive(ctx context.Context, scale Scale) (Live, error) {
-	w, err := newTestbed(scale, liveHosts, fetchConfig())
+	t, err := newTestbed(scale, liveHosts, fetchConfig())
 	if err != nil {
 		return Live{}, err
 	}
-	defer w.close()
-	for _, h := range w.hosts {
+	defer t.close()
+	for _, h := range t.hosts {
 		h.inLimiter.SetLive(1)
 		h.outLimiter.SetLive(1)
 	}
-	caller := &liveCaller{world: w, client: &http.Client{Transport: &http.Transport{DialContext: links.New(1 << 30).DialContext, MaxIdleConnsPerHost: 8}}}
+	caller := &liveCaller{testbed: t, client: &http.Client{Transport: &http.Transport{DialContext: links.New(1 << 30).DialContext, MaxIdleConnsPerHost: 8}}}
 	defer caller.client.CloseIdleConnections()
 	quietCtx, cancel := context.WithTimeout(ctx, quietDuration)
 	caller.run(quietCtx)
@@ -50,24 +53,24 @@
 	burstCtx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	group.Go(func() { caller.run(burstCtx) })
-	err = w.fetchAll(ctx, bundle.FavourOriginBytes)
+	err = t.fetchAll(ctx, bundle.FavourOriginBytes)
 	cancel()
 	group.Wait()
 	requests := len(caller.latencies)
 	burst := caller.takeP95()
-	return Live{QuietP95: quiet, BurstP95: burst, Ratio: burst / quiet, Last: w.resultRow(StrategyTrees).Last, Requests: requests}, err
+	return Live{QuietP95: quiet, BurstP95: burst, Ratio: burst / quiet, Last: t.resultRow(StrategyTrees).Last, Requests: requests}, err
 }
 
 // liveCaller sends live requests to every host.
 type liveCaller struct {
-	world  *testbed
-	client *http.Client
+	testbed *testbed
+	client  *http.Client
 
 	mu        sync.Mutex
 	latencies []time.Duration
 }
 
-func (l *liveCaller) run(ctx context.Context) {
+func (c *liveCaller) run(ctx context.Context) {
 	var group sync.WaitGroup
 	ticker := time.NewTicker(liveInterval)
 	defer ticker.Stop()
@@ -78,32 +81,32 @@
 			return
 		case <-ticker.C:
 			for k := range 4 {
-				h := l.world.hosts[(4*i+k)%len(l.world.hosts)]
-				group.Go(func() { l.sendRequest(h) })
+				h := c.testbed.hosts[(4*i+k)%len(c.testbed.hosts)]
+				group.Go(func() { c.sendRequest(h) })
 			}
 		}
 	}
 }
 
-func (l *liveCaller) sendRequest(h *benchHost) {
+func (c *liveCaller) sendRequest(h *benchHost) {
 	start := time.Now()
-	response, err := l.client.Get(h.url + "/live")
+	response, err := c.client.Get(h.url + "/live")
 	if err != nil {
 		return
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.latencies = append(l.latencies, time.Since(start))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.latencies = append(c.latencies, time.Since(start))
 }
 
-// takeP95 returns the 95th percentile in seconds and forgets the times.
-func (l *liveCaller) takeP95() float64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	slices.Sort(l.latencies)
-	at := l.latencies[len(l.latencies)*95/100]
-	l.latencies = nil
-	return at.Seconds()
+// takeP95 returns the 95th percentile in seconds and clears the latencies.
+func (c *liveCaller) takeP95() float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	slices.Sort(c.latencies)
+	percentile := c.latencies[len(c.latencies)*95/100]
+	c.latencies = nil
+	return percentile.Seconds()
 }
--- a/internal/bench/weightsbench/measure.go
+++ b/internal/bench/weightsbench/measure.go
@@ -10,25 +10,27 @@
 	"time"
 )
 
-// Result is everything that one run measured.
+// Result holds all measurements of one run.
 type Result struct {
 	Rows  []Row
 	Live  Live
 	Rolls Rolls
-	// AgentMiB is the memory of an agent in a burst, less the chunks it holds.
+	// AgentMiB is the memory of an agent during a burst in MiB, without the cached
+	// chunks.
 	AgentMiB float64
 }
 
-// Sizes of the bursts.
+// burstHosts are the measured numbers of hosts.
 var burstHosts = []int{16, 32, 64, 128}
 
-// maxShapingError is how far one host alone may be from what the rates say.
+// maxShapingError is the maximum relative deviation of the fetch time of a single
+// host from the time that follows from the link rate.
 const maxShapingError = 0.1
 
 // measureTimeout bounds the whole measurement.
 const measureTimeout = 100 * time.Second
 
-// Measure runs all bursts, live requests and rolls.
+// Measure measures all bursts, live requests and rolls.
 func Measure(ctx context.Context, scale Scale, rolls int) (*Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, measureTimeout)
 	defer cancel()
@@ -38,15 +40,17 @@
 		return nil, err
 	}
 	if math.Abs(alone.OverBound-1) > maxShapingError {
-		return nil, fmt.Errorf("links are not as shaped: one host alone took %.2f of the bound", alone.OverBound)
+		return nil, fmt.Errorf("link rates are wrong: one host alone took %.2f of the bound, expected 1 +/- %.2f", alone.OverBound, maxShapingError)
 	}
 	result.Rows = append(result.Rows, alone)
-	// Every host drawing from the origin takes minutes and hardly any
-	// processor time, so these bursts run beside the others, on faster links.
-	slow := &originBursts{rows: make([]Row, len(burstHosts)), errs: make([]error, len(burstHosts))}
-	var beside sync.WaitGroup
+	// Bursts in which every host fetches from the origin take minutes and little
+	// CPU time, so they run concurrently with the others, on faster links.
+	originRows := &originBursts{rows: make([]Row, len(burstHosts)), errs: make([]error, len(burstHosts))}
+	var group sync.WaitGroup
 	for i, hosts := range burstHosts {
-		beside.Go(func() { slow.rows[i], slow.errs[i] = Burst(ctx, scale.withDoubleRate(), StrategyOrigin, hosts, nil) })
+		group.Go(func() {
+			originRows.rows[i], originRows.errs[i] = Burst(ctx, scale.withDoubleRate(), StrategyOrigin, hosts, nil)
+		})
 	}
 	if err := result.measureFastBursts(ctx, scale); err != nil {
 		return nil, err
@@ -57,36 +61,37 @@
 	if result.Rolls, err = MeasureRolls(ctx, rolls); err != nil {
 		return nil, err
 	}
-	beside.Wait()
-	result.Rows = append(result.Rows, slow.rows...)
-	return result, errors.Join(slow.errs...)
+	group.Wait()
+	result.Rows = append(result.Rows, originRows.rows...)
+	return result, errors.Join(originRows.errs...)
 }
 
+// originBursts holds the results of the concurrent bursts.
 type originBursts struct {
 	rows []Row
 	errs []error
 }
 
-// measureFastBursts measures the bursts that take about the bound.
+// measureFastBursts measures the bursts whose duration is close to the bound.
 func (r *Result) measureFastBursts(ctx context.Context, scale Scale) error {
 	for _, hosts := range burstHosts {
-		for _, way := range []string{StrategyTrees, StrategyTime} {
-			memory := startMemorySampler()
-			row, err := Burst(ctx, scale, way, hosts, nil)
-			mib := memory.stopPerAgent(hosts, scale)
+		for _, strategy := range []string{StrategyTrees, StrategyTime} {
+			sampler := startMemorySampler()
+			row, err := Burst(ctx, scale, strategy, hosts, nil)
+			mib := sampler.mibPerAgent(hosts, scale)
 			if err != nil {
-				return fmt.Errorf("%s, %d hosts: %w", way, hosts, err)
+				return fmt.Errorf("%s, %d hosts: %w", strategy, hosts, err)
 			}
 			r.Rows = append(r.Rows, row)
-			if hosts == 64 && way == StrategyTrees {
+			if hosts == 64 && strategy == StrategyTrees {
 				r.AgentMiB = mib
 			}
 		}
 	}
-	for _, way := range []string{StrategySiteUnaware, StrategyOneTree, StrategyChain} {
-		row, err := Burst(ctx, scale, way, 64, nil)
+	for _, strategy := range []string{StrategySiteUnaware, StrategyOneTree, StrategyChain} {
+		row, err := Burst(ctx, scale, strategy, 64, nil)
 		if err != nil {
-			return fmt.Errorf("%s: %w", way, err)
+			return fmt.Errorf("%s: %w", strategy, err)
 		}
 		r.Rows = append(r.Rows, row)
 	}
@@ -95,16 +100,16 @@
 	return err
 }
 
-// injectFaults kills a tenth of the hosts mid-transfer, stalls a twentieth of
-// the links, and corrupts a hundredth of the chunks.
-func injectFaults(w *testbed) {
-	w.corruptShare = 0.01
-	half := w.scale.Bound() / 2
-	for i, h := range w.hosts {
+// injectFaults cuts the links of a tenth of the hosts during the transfer, stalls
+// a twentieth of the links, and corrupts a hundredth of the chunks.
+func injectFaults(t *testbed) {
+	t.corruptShare = 0.01
+	half := t.scale.Bound() / 2
+	for i, h := range t.hosts {
 		switch {
 		case i%10 == 3:
 			h.expectFailure = true
-			time.AfterFunc(half/2+time.Duration(i)*half/time.Duration(2*len(w.hosts)), h.link.Cut)
+			time.AfterFunc(half/2+time.Duration(i)*half/time.Duration(2*len(t.hosts)), h.link.Cut)
 		case i%20 == 7:
 			h.expectFailure = true
 			time.AfterFunc(half, h.link.Stall)
@@ -127,6 +132,7 @@
 	return m
 }
 
+// memoryInUse returns the bytes of heap and stacks in use.
 func memoryInUse() uint64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
@@ -146,8 +152,8 @@
 	}
 }
 
-// stopPerAgent returns the mebibytes of one agent, less the chunks that it holds.
-func (m *memorySampler) stopPerAgent(hosts int, scale Scale) float64 {
+// mibPerAgent returns the mebibytes of one agent, less the chunks that it holds.
+func (m *memorySampler) mibPerAgent(hosts int, scale Scale) float64 {
 	close(m.stop)
 	m.done.Wait()
 	const mib = 1 << 20
@@ -156,26 +162,26 @@
 }
 
 // findRow returns the row of a way at a number of hosts.
-func (r *Result) findRow(way string, hosts int) Row {
+func (r *Result) findRow(strategy string, hosts int) Row {
 	for _, row := range r.Rows {
-		if row.Way == way && row.Hosts == hosts {
+		if row.Way == strategy && row.Hosts == hosts {
 			return row
 		}
 	}
 	return Row{}
 }
 
-// Summary returns the last line of the measurement.
+// Summary returns the summary line of the measurement.
 func (r *Result) Summary() string {
-	most := func(way string) float64 {
+	maxCopies := func(strategy string) float64 {
 		copies := 0.0
 		for _, hosts := range burstHosts {
-			copies = max(copies, r.findRow(way, hosts).OriginCopies)
+			copies = max(copies, r.findRow(strategy, hosts).OriginCopies)
 		}
 		return copies
 	}
 	trees, faults := r.findRow(StrategyTrees, 64), r.findRow(StrategyFaults, 64)
 	return fmt.Sprintf("bench-weights: n64_over_bound=%.2f growth_16_to_128=%.2f origin_copies=%.2f time_favoured_copies=%.2f faults_over_bound=%.2f faults_copies=%.2f live_p95_ratio=%.2f roll_p99_ms=%.0f roll_p99_platform_down_ms=%.0f agent_mib=%.1f",
-		trees.OverBound, r.findRow(StrategyTrees, 128).Last/r.findRow(StrategyTrees, 16).Last, most(StrategyTrees), most(StrategyTime),
+		trees.OverBound, r.findRow(StrategyTrees, 128).Last/r.findRow(StrategyTrees, 16).Last, maxCopies(StrategyTrees), maxCopies(StrategyTime),
 		faults.OverBound, faults.OriginCopies, r.Live.Ratio, r.Rolls.P99, r.Rolls.DownP99, r.AgentMiB)
 }
--- a/internal/bench/weightsbench/plot.go
+++ b/internal/bench/weightsbench/plot.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws the time to N hosts and the origin copies against N.
+// Plot plots the fetch time and the origin copies against the number of hosts.
 func Plot(file string, rows []Row) error {
 	p := plot.New()
 	p.Title.Text = "Time to the last host over the bound, and copies drawn from the origin"
@@ -17,15 +17,15 @@
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	var lines []any
-	for _, way := range []string{StrategyOrigin, StrategyTrees, StrategyTime} {
-		over, copies := plotter.XYs{}, plotter.XYs{}
+	for _, strategy := range []string{StrategyOrigin, StrategyTrees, StrategyTime} {
+		times, copies := plotter.XYs{}, plotter.XYs{}
 		for _, row := range rows {
-			if row.Way == way {
-				over = append(over, plotter.XY{X: float64(row.Hosts), Y: row.OverBound})
+			if row.Way == strategy {
+				times = append(times, plotter.XY{X: float64(row.Hosts), Y: row.OverBound})
 				copies = append(copies, plotter.XY{X: float64(row.Hosts), Y: row.OriginCopies})
 			}
 		}
-		lines = append(lines, way+": time", over, way+": copies", copies)
+		lines = append(lines, strategy+": time", times, strategy+": copies", copies)
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
 		return fmt.Errorf("plot: %w", err)
--- a/internal/bench/weightsbench/rolls.go
+++ b/internal/bench/weightsbench/rolls.go
@@ -26,20 +26,21 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// Rolls is the time from the start of a roll until the bundle is in force on
+// Rolls holds the times from the start of a roll until the bundle is active on
 // every process.
 type Rolls struct {
 	Processes, Rolls int
-	// In milliseconds.
+	// P50 and P99 are in milliseconds.
 	P50, P99 float64
-	// The same with the platform down right after the acceptance.
+	// DownP50 and DownP99 are measured with a platform outage immediately after the
+	// platform has accepted the bundle.
 	DownP50, DownP99 float64
-	// Unheard is the P99 where no entry is told by the operator's command and
-	// all depends on the watchers.
-	UnheardP99 float64
+	// WatchersOnlyP99 is the P99 when the operator's command does not announce the
+	// bundle to the entries, so that they depend on the watchers.
+	WatchersOnlyP99 float64 `json:"UnheardP99"`
 }
 
-// fleet is the common part of many processes in this one.
+// fleet runs the control part of many hosts in this process.
 type fleet struct {
 	keyDir         operator.KeyDir
 	operatorKey    string
@@ -50,16 +51,17 @@
 	nodes          []*node.Node
 	servers        []*http.Server
 	cleanups       []func()
-	// adopted gets the version each time that a node puts one in force.
+	// adopted receives the version of each bundle that a node activates.
 	adopted chan uint64
 }
 
 const fleetBasePort = 17400
 
-// loopback is the loopback network of the fleet.
+// loopback is the network of the fleet.
 var loopback = network.TCP{DialTimeout: time.Second}
 
-// MeasureRolls measures so many rolls of each kind on 8 entries and 24 agents.
+// MeasureRolls measures the given number of rolls of each kind on 8 entries and
+// 24 agents.
 func MeasureRolls(ctx context.Context, rolls int) (Rolls, error) {
 	const entries, agents = 8, 24
 	f, err := newFleet(ctx, entries, agents)
@@ -72,31 +74,32 @@
 		return Rolls{}, err
 	}
 	kinds := []struct {
-		told, down bool
-		p50, p99   *float64
+		announce, platformDown bool
+		p50, p99               *float64
 	}{
 		{true, false, &result.P50, &result.P99},
 		{true, true, &result.DownP50, &result.DownP99},
-		{false, false, new(float64), &result.UnheardP99},
+		{false, false, new(float64), &result.WatchersOnlyP99},
 	}
 	for _, kind := range kinds {
-		var took []time.Duration
+		var durations []time.Duration
 		for range rolls {
-			d, err := f.measureRoll(ctx, kind.told, kind.down)
+			d, err := f.measureRoll(ctx, kind.announce, kind.platformDown)
 			if err != nil {
 				return Rolls{}, err
 			}
-			took = append(took, d)
+			durations = append(durations, d)
 		}
-		slices.Sort(took)
-		*kind.p50 = milliseconds(took[len(took)/2])
-		*kind.p99 = milliseconds(took[len(took)*99/100])
+		slices.Sort(durations)
+		*kind.p50 = milliseconds(durations[len(durations)/2])
+		*kind.p99 = milliseconds(durations[len(durations)*99/100])
 	}
 	return result, nil
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
+// newFleet starts the stand-in platform and a node for each host.
 func newFleet(ctx context.Context, entries, agents int) (*fleet, error) {
 	path, err := os.MkdirTemp("", "fleet")
 	if err != nil {
@@ -138,16 +141,16 @@
 	return f, f.awaitMembership(hosts)
 }
 
-// awaitMembership waits until every node knows all hosts.
+// awaitMembership waits until every node has discovered all hosts.
 func (f *fleet) awaitMembership(hosts []filbertlever.Host) error {
 	deadline := time.Now().Add(20 * time.Second)
 	for _, n := range f.nodes {
-		for known := 0; known < len(hosts); {
+		for discovered := 0; discovered < len(hosts); {
 			n.Read(func(base *knowledge.Base) {
-				known = len(base.Members.Hosts(filbertlever.RoleEntry)) + len(base.Members.Hosts(filbertlever.RoleAgent))
+				discovered = len(base.Members.Hosts(filbertlever.RoleEntry)) + len(base.Members.Hosts(filbertlever.RoleAgent))
 			})
 			if time.Now().After(deadline) {
-				return fmt.Errorf("processes did not find each other: %d of %d known", known, len(hosts))
+				return fmt.Errorf("nodes did not discover each other within 20s: %d of %d hosts discovered", discovered, len(hosts))
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -155,6 +158,7 @@
 	return nil
 }
 
+// startNode starts the node and the control server of a host.
 func (f *fleet) startNode(ctx context.Context, h filbertlever.Host) error {
 	files, err := f.keyDir.NewHost(string(h.ID), string(h.Role), net.IPv4(127, 0, 0, 1))
 	if err != nil {
@@ -172,7 +176,7 @@
 	for _, seed := range f.settings.Seeds {
 		seeds[seed.Host] = seed.PeerAddress
 	}
-	n, clean := node.New(node.Config{
+	n, cleanup := node.New(node.Config{
 		Host: h, Incarnation: node.NewIncarnation(h.ID), Operators: bundle.Operators{"ana": public}, SignOffs: 1,
 		Poll: 500 * time.Millisecond, Seeds: seeds, Stop: drain.DefaultConfig(),
 	}, f.platformClient, keys, loopback, zap.NewNop())
@@ -193,7 +197,7 @@
 	f.servers = append(f.servers, server)
 	f.cleanups = append(f.cleanups, func() {
 		cancel()
-		clean()
+		cleanup()
 		group.Wait()
 	})
 	return nil
@@ -206,9 +210,9 @@
 
 func (s *tlsServer) run() { _ = s.server.ServeTLS(s.listener, "", "") }
 
-// measureRoll rolls the next bundle and returns the time until the last process has
-// it in force.
-func (f *fleet) measureRoll(ctx context.Context, told, down bool) (time.Duration, error) {
+// measureRoll rolls out the next bundle and returns the time until it is active on
+// the last process.
+func (f *fleet) measureRoll(ctx context.Context, announce, platformDown bool) (time.Duration, error) {
 	b := bundle.Example()
 	b.Models = nil
 	b.Version = f.parent.Version + 1
@@ -232,31 +236,32 @@
 	if err != nil {
 		return 0, err
 	}
-	f.platform.SetFaults(standin.Faults{Down: down})
+	f.platform.SetFaults(standin.Faults{Down: platformDown})
 	defer f.platform.SetFaults(standin.Faults{})
 	f.parent = bundle.Parent{Version: head.Version, Digest: head.Digest}
-	if told {
+	if announce {
 		if _, err := operator.Announce(ctx, f.settings, loopback, head, signed); err != nil {
 			return 0, err
 		}
 	}
-	limit := time.After(10 * time.Second)
-	for left := len(f.nodes); left > 0; {
+	timeout := time.After(10 * time.Second)
+	for pending := len(f.nodes); pending > 0; {
 		select {
 		case version := <-f.adopted:
 			if version == head.Version {
-				left--
+				pending--
 			}
-		case <-limit:
-			return 0, fmt.Errorf("bundle %d is not in force on %d of %d processes after 10s", head.Version, left, len(f.nodes))
+		case <-timeout:
+			return 0, fmt.Errorf("bundle %d is not active on %d of %d processes after 10s", head.Version, pending, len(f.nodes))
 		}
 	}
 	return time.Since(start), nil
 }
 
+// close stops all nodes and servers.
 func (f *fleet) close() {
-	for _, c := range f.cleanups {
-		c()
+	for _, cleanup := range f.cleanups {
+		cleanup()
 	}
 	for _, server := range f.servers {
 		_ = server.Close()
--- a/internal/bench/weightsbench/rows.go
+++ b/internal/bench/weightsbench/rows.go
@@ -10,22 +10,25 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// Row is one measured burst.
+// Row is the result of one measured burst.
 type Row struct {
-	// Way says who fetched from whom.
-	Way   string
+	// Strategy is the way in which the hosts fetched from each other.
+	Way   string `json:"Way"`
 	Hosts int
-	// Seconds until the last host, the median host, and the bound.
+	// Last and Median are the fetch times of the slowest and the median host, and
+	// Bound is the lower bound, all in seconds.
 	Last, Median, Bound float64
-	// OverBound is Last over Bound.
+	// OverBound is Last divided by Bound.
 	OverBound float64
-	// OriginCopies is the bytes drawn from the origin over the model's size.
+	// OriginCopies is the number of bytes fetched from the origin divided by the
+	// size of the model.
 	OriginCopies float64
-	// SiteCopies is chunks that crossed between sites, over the model's chunks.
+	// SiteCopies is the number of requests between sites divided by the number of
+	// chunks of the model.
 	SiteCopies float64
 }
 
-// The ways that are measured.
+// Measured strategies.
 const (
 	StrategyAlone       = "one host alone"
 	StrategyOrigin      = "every host from the origin"
@@ -37,7 +40,8 @@
 	StrategySiteUnaware = "trees per chunk, blind to sites"
 )
 
-// fetchConfig returns the fetch configuration of a way at a scale.
+// fetchConfig returns the fetch configuration, with timeouts for the scaled-down
+// burst.
 func fetchConfig() weights.FetchConfig {
 	c := weights.DefaultFetchConfig()
 	c.Planner.Takeover = 500 * time.Millisecond
@@ -48,61 +52,63 @@
 }
 
 // Burst runs one burst and measures it.
-func Burst(ctx context.Context, scale Scale, way string, hosts int, prepare func(*testbed)) (Row, error) {
+func Burst(ctx context.Context, scale Scale, strategy string, hosts int, prepare func(*testbed)) (Row, error) {
 	c := fetchConfig()
-	c.Planner.Shape = treeShapes[way]
-	if way == StrategyOrigin {
-		// With the origin's link split among all, a chunk takes seconds.
+	c.Planner.Shape = treeShapes[strategy]
+	if strategy == StrategyOrigin {
+		// All hosts share the origin's link, so a chunk takes seconds.
 		c.Stall, c.Planner.Takeover = originBurstTimeout, originBurstTimeout
 	}
-	w, err := newTestbed(scale, hosts, c)
+	t, err := newTestbed(scale, hosts, c)
 	if err != nil {
 		return Row{}, err
 	}
-	defer w.close()
-	if way == StrategySiteUnaware {
-		for i := range w.peers {
-			w.peers[i].Site = ""
+	defer t.close()
+	if strategy == StrategySiteUnaware {
+		for i := range t.peers {
+			t.peers[i].Site = ""
 		}
 	}
 	if prepare != nil {
-		prepare(w)
+		prepare(t)
 	}
 	favour := bundle.FavourOriginBytes
-	if way == StrategyTime {
+	if strategy == StrategyTime {
 		favour = bundle.FavourTime
 	}
-	if err := w.fetchAll(ctx, favour); err != nil {
+	if err := t.fetchAll(ctx, favour); err != nil {
 		return Row{}, err
 	}
-	return w.resultRow(way), nil
+	return t.resultRow(strategy), nil
 }
 
-// originBurstTimeout keeps the baseline from taking a shared origin for a stalled one.
+// originBurstTimeout is long enough that a slow, shared origin does not count as
+// stalled.
 const originBurstTimeout = 30 * time.Second
 
-// treeShapes are the trees of the ways.
+// treeShapes are the tree shapes of the strategies that do not use the default.
 var treeShapes = map[string]distribution.Shape{
 	StrategyOrigin:  distribution.ShapeStar,
 	StrategyOneTree: distribution.ShapeOneTree,
 	StrategyChain:   distribution.ShapeChain,
 }
 
-func (w *testbed) resultRow(way string) Row {
-	var took []float64
-	crossed := int64(0)
-	for _, h := range w.hosts {
-		crossed += h.crossSiteRequests.Load()
+// resultRow returns the results of the burst.
+func (t *testbed) resultRow(strategy string) Row {
+	var times []float64
+	crossSite := int64(0)
+	for _, h := range t.hosts {
+		crossSite += h.crossSiteRequests.Load()
 		if !h.expectFailure {
-			took = append(took, h.fetchTime.Seconds())
+			times = append(times, h.fetchTime.Seconds())
 		}
 	}
-	slices.Sort(took)
-	bound := w.scale.Bound().Seconds()
-	last := took[len(took)-1]
+	slices.Sort(times)
+	bound := t.scale.Bound().Seconds()
+	slowest := times[len(times)-1]
 	return Row{
-		Way: way, Hosts: len(w.hosts), Last: last, Median: took[len(took)/2], Bound: bound, OverBound: last / bound,
-		OriginCopies: float64(w.originBytes.Load()) / float64(w.scale.Size),
-		SiteCopies:   float64(crossed) / float64(len(w.manifest.Chunks)),
+		Way: strategy, Hosts: len(t.hosts), Last: slowest, Median: times[len(times)/2], Bound: bound, OverBound: slowest / bound,
+		OriginCopies: float64(t.originBytes.Load()) / float64(t.scale.Size),
+		SiteCopies:   float64(crossSite) / float64(len(t.manifest.Chunks)),
 	}
 }
--- a/internal/bench/weightsbench/world.go
+++ b/internal/bench/weightsbench/testbed.go
@@ -1,5 +1,5 @@
-// Package weightsbench measures how weights reach many hosts over shaped
-// links, with the agents' own fetching and serving code.
+// Package weightsbench measures the distribution of weights to many hosts over
+// rate-limited links, with the fetch and serve code of the agents.
 package weightsbench
 
 import (
@@ -25,38 +25,40 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// Scale is the scaled-down burst: the origin's link carries four copies in
-// the time in which a host's carries two.
+// Scale holds the sizes and rates of a scaled-down burst. The link of the origin
+// has twice the rate of a host's link.
 type Scale struct {
-	// Size is the bytes of the model.
+	// Size is the size of the model in bytes.
 	Size int
-	// Chunk is the bytes of a chunk.
+	// Chunk is the size of a chunk in bytes.
 	Chunk int
-	// HostRate is what a host's link carries in a second, each way.
+	// HostRate is the rate of a host's link in bytes per second, in each direction.
 	HostRate float64
 }
 
-// DefaultScale takes two seconds for one copy over a host's link, so that this
-// machine's processors, which all hosts share, are not what is measured.
+// DefaultScale returns a scale in which one copy over a host's link takes two
+// seconds. At this rate the links and not the CPU, which all hosts share, are the
+// bottleneck.
 func DefaultScale() Scale {
 	return Scale{Size: 8 << 20, Chunk: 32 << 10, HostRate: 4 << 20}
 }
 
-// withDoubleRate returns the scale with links of twice the rate.
+// withDoubleRate returns the scale with twice the link rate.
 func (s Scale) withDoubleRate() Scale {
 	s.HostRate *= 2
 	return s
 }
 
-// originRateFactor is the origin's rate in host rates.
+// originRateFactor is the rate of the origin's link divided by that of a host.
 const originRateFactor = 2
 
-// Bound is the least time for any number of hosts: one copy over a link.
+// Bound returns the lower bound of the fetch time for any number of hosts: the
+// time for one copy over a host's link.
 func (s Scale) Bound() time.Duration {
 	return time.Duration(float64(s.Size) / s.HostRate * float64(time.Second))
 }
 
-// testbed is one burst's hosts and origin.
+// testbed holds the hosts and the origin of one burst.
 type testbed struct {
 	scale           Scale
 	data            []byte
@@ -69,12 +71,12 @@
 	peers           []distribution.Peer
 	byID            map[filbertlever.HostID]*benchHost
 	servers         []*http.Server
-	// corruptShare is the share of chunks that peers send corrupted.
+	// corruptShare is the share of responses from peers that are corrupted.
 	corruptShare float64
 	originBytes  atomic.Int64
 }
 
-// benchHost is one agent's weights part.
+// benchHost fetches and serves weights like one agent.
 type benchHost struct {
 	id                    filbertlever.HostID
 	site                  string
@@ -91,65 +93,67 @@
 
 const siteCount = 3
 
-func newTestbed(scale Scale, hosts int, strategy weights.FetchConfig) (*testbed, error) {
-	w := &testbed{scale: scale, data: make([]byte, scale.Size), byID: map[filbertlever.HostID]*benchHost{}}
+// newTestbed starts the origin and the hosts of a burst.
+func newTestbed(scale Scale, hosts int, config weights.FetchConfig) (*testbed, error) {
+	t := &testbed{scale: scale, data: make([]byte, scale.Size), byID: map[filbertlever.HostID]*benchHost{}}
 	source := rand.NewChaCha8([32]byte{1})
-	_, _ = source.Read(w.data)
-	manifest, err := bundle.NewManifest("model", bytes.NewReader(w.data), int64(scale.Chunk))
+	_, _ = source.Read(t.data)
+	manifest, err := bundle.NewManifest("model", bytes.NewReader(t.data), int64(scale.Chunk))
 	if err != nil {
 		return nil, err
 	}
-	w.manifest = manifest
-	if w.encodedManifest, err = manifest.Encode(); err != nil {
+	t.manifest = manifest
+	if t.encodedManifest, err = manifest.Encode(); err != nil {
 		return nil, err
 	}
-	w.digest = filbertlever.DigestOf(w.encodedManifest)
-	w.origin = links.New(originRateFactor * scale.HostRate)
-	if w.originURL, err = w.startServer(w.origin, http.HandlerFunc(w.serveOrigin)); err != nil {
+	t.digest = filbertlever.DigestOf(t.encodedManifest)
+	t.origin = links.New(originRateFactor * scale.HostRate)
+	if t.originURL, err = t.startServer(t.origin, http.HandlerFunc(t.serveOrigin)); err != nil {
 		return nil, err
 	}
 	for i := range hosts {
-		if err := w.addHost(i, strategy); err != nil {
+		if err := t.addHost(i, config); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return t, nil
 }
 
-func (w *testbed) addHost(i int, config weights.FetchConfig) error {
-	h := &benchHost{id: filbertlever.HostID(fmt.Sprint("model-", i)), site: fmt.Sprint("site-", i%siteCount), link: links.New(w.scale.HostRate)}
+// addHost starts host i.
+func (t *testbed) addHost(i int, config weights.FetchConfig) error {
+	h := &benchHost{id: filbertlever.HostID(fmt.Sprint("model-", i)), site: fmt.Sprint("site-", i%siteCount), link: links.New(t.scale.HostRate)}
 	h.sets = weights.NewLibrary(state.NewChunks())
-	h.sets.Add(w.digest, w.manifest, w.encodedManifest)
+	h.sets.Add(t.digest, t.manifest, t.encodedManifest)
 	h.client = &http.Client{Transport: &http.Transport{DialContext: h.link.DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true}}
 	mux := http.NewServeMux()
-	pace := distribution.Pace{Link: w.scale.HostRate, Share: distribution.DefaultShare}
+	pace := distribution.Pace{Link: t.scale.HostRate, Share: distribution.DefaultShare}
 	h.inLimiter, h.outLimiter = weights.NewLimiter(pace), weights.NewLimiter(pace)
 	server := weights.NewServer(h.sets, h.outLimiter)
-	server.Routes(mux, func(next http.Handler) http.Handler { return w.corruptResponses(next) })
+	server.Routes(mux, func(next http.Handler) http.Handler { return t.corruptResponses(next) })
 	mux.HandleFunc("GET /live", serveLive)
-	url, err := w.startServer(h.link, mux)
+	url, err := t.startServer(h.link, mux)
 	if err != nil {
 		return err
 	}
 	h.url = url
-	sources := &weights.HTTPSources{Peers: &peerResolver{world: w, host: h}, Origin: w.originURL, Client: h.client, Pacer: h.inLimiter}
+	sources := &weights.HTTPSources{Peers: &peerResolver{testbed: t, host: h}, Origin: t.originURL, Client: h.client, Pacer: h.inLimiter}
 	self := distribution.Peer{ID: h.id, Site: h.site}
 	h.fetcher = weights.NewFetcher(config, self, h.sets, sources, zap.NewNop())
-	w.hosts = append(w.hosts, h)
-	w.peers = append(w.peers, self)
-	w.byID[h.id] = h
+	t.hosts = append(t.hosts, h)
+	t.peers = append(t.peers, self)
+	t.byID[h.id] = h
 	return nil
 }
 
-// peerResolver finds the address of a peer.
+// peerResolver resolves the addresses of peers for one host.
 type peerResolver struct {
-	world *testbed
-	host  *benchHost
+	testbed *testbed
+	host    *benchHost
 }
 
-// Peer returns the client of this host and the peer's address.
+// Peer returns the HTTP client of this host and the URL of the peer.
 func (c *peerResolver) Peer(id filbertlever.HostID) (*http.Client, string, bool) {
-	peer, ok := c.world.byID[id]
+	peer, ok := c.testbed.byID[id]
 	if !ok {
 		return nil, "", false
 	}
@@ -159,13 +163,14 @@
 	return c.host.client, peer.url, true
 }
 
-func (w *testbed) startServer(link *links.Link, handler http.Handler) (string, error) {
+// startServer starts an HTTP server behind a link and returns its URL.
+func (t *testbed) startServer(link *links.Link, handler http.Handler) (string, error) {
 	listener, err := link.Listen("127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	server := &http.Server{Handler: handler}
-	w.servers = append(w.servers, server)
+	t.servers = append(t.servers, server)
 	s := httpServer{server: server, listener: listener}
 	go s.run()
 	return "http://" + listener.Addr().String(), nil
@@ -178,19 +183,19 @@
 
 func (s *httpServer) run() { _ = s.server.Serve(s.listener) }
 
-// serveOrigin serves ranges of the model.
-func (w *testbed) serveOrigin(out http.ResponseWriter, request *http.Request) {
+// serveOrigin serves byte ranges of the model.
+func (t *testbed) serveOrigin(out http.ResponseWriter, request *http.Request) {
 	var from, to int
-	if _, err := fmt.Sscanf(request.Header.Get("Range"), "bytes=%d-%d", &from, &to); err != nil || to >= len(w.data) {
+	if _, err := fmt.Sscanf(request.Header.Get("Range"), "bytes=%d-%d", &from, &to); err != nil || to >= len(t.data) {
 		out.WriteHeader(http.StatusRequestedRangeNotSatisfiable)
 		return
 	}
 	out.Header().Set("Content-Length", fmt.Sprint(to-from+1))
-	n, _ := out.Write(w.data[from : to+1])
-	w.originBytes.Add(int64(n))
+	n, _ := out.Write(t.data[from : to+1])
+	t.originBytes.Add(int64(n))
 }
 
-// serveLive stands for a live request: a short answer after a pause.
+// serveLive simulates a live request: a short answer after a delay.
 func serveLive(out http.ResponseWriter, _ *http.Request) {
 	time.Sleep(liveDelay)
 	_, _ = out.Write(make([]byte, liveBytes))
@@ -201,70 +206,72 @@
 	liveBytes = 512
 )
 
-// corruptResponses corrupts a share of the chunks that a host sends.
-func (w *testbed) corruptResponses(next http.Handler) http.Handler {
-	if w.corruptShare == 0 {
+// corruptResponses corrupts a share of the responses of a host.
+func (t *testbed) corruptResponses(next http.Handler) http.Handler {
+	if t.corruptShare == 0 {
 		return next
 	}
 	return http.HandlerFunc(func(out http.ResponseWriter, request *http.Request) {
-		if rand.Float64() < w.corruptShare {
+		if rand.Float64() < t.corruptShare {
 			out = &corruptWriter{ResponseWriter: out}
 		}
 		next.ServeHTTP(out, request)
 	})
 }
 
-// corruptWriter turns one bit of the body.
+// corruptWriter flips one bit of the body.
 type corruptWriter struct {
 	http.ResponseWriter
 	corrupted bool
 }
 
-// Write writes the spoiled bytes.
-func (s *corruptWriter) Write(b []byte) (int, error) {
-	if !s.corrupted && len(b) > 0 {
-		s.corrupted = true
+// Write writes b and flips a bit of the first block.
+func (c *corruptWriter) Write(b []byte) (int, error) {
+	if !c.corrupted && len(b) > 0 {
+		c.corrupted = true
 		b = slices.Clone(b)
 		b[0] ^= 1
 	}
-	return s.ResponseWriter.Write(b)
+	return c.ResponseWriter.Write(b)
 }
 
-// Unwrap gives http.ResponseController the writer below.
-func (s *corruptWriter) Unwrap() http.ResponseWriter { return s.ResponseWriter }
+// Unwrap returns the underlying writer for http.ResponseController.
+func (c *corruptWriter) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
-func (w *testbed) close() {
-	for _, server := range w.servers {
+// close stops all servers and links.
+func (t *testbed) close() {
+	for _, server := range t.servers {
 		_ = server.Close()
 	}
-	for _, h := range w.hosts {
+	for _, h := range t.hosts {
 		h.client.CloseIdleConnections()
 		h.link.Cut()
 	}
 }
 
-// fetchAll fetches on every host and returns once those not lost are done.
-func (w *testbed) fetchAll(ctx context.Context, favour bundle.Favour) error {
+// fetchAll fetches on every host. It returns once all hosts that are not expected
+// to fail have finished.
+func (t *testbed) fetchAll(ctx context.Context, favour bundle.Favour) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	start := time.Now()
-	var live, all sync.WaitGroup
-	errs := make([]error, len(w.hosts))
-	for i, h := range w.hosts {
+	var expected, all sync.WaitGroup
+	errs := make([]error, len(t.hosts))
+	for i, h := range t.hosts {
 		if !h.expectFailure {
-			live.Add(1)
+			expected.Add(1)
 		}
 		all.Go(func() {
-			errs[i] = h.fetcher.Fetch(ctx, w.digest, w.peers, favour)
+			errs[i] = h.fetcher.Fetch(ctx, t.digest, t.peers, favour)
 			h.fetchTime = time.Since(start)
 			if !h.expectFailure {
-				live.Done()
+				expected.Done()
 			}
 		})
 	}
-	live.Wait()
+	expected.Wait()
 	cancel()
-	for i, h := range w.hosts {
+	for i, h := range t.hosts {
 		if h.expectFailure {
 			errs[i] = nil
 		}
