--- a/internal/bench/controlbench/control.go
+++ b/internal/bench/controlbench/control.go
@@ -36,6 +36,7 @@
 
 // Fit is a least squares line through measured points.
 type Fit struct {
+	// Description names the fitted value and its unit.
 	What string
 	// Base is the intercept, and Slope the increase per unit.
 	Base, Slope float64
@@ -162,7 +163,7 @@
 }
 
 // fitLine returns the least squares line of y over x.
-func fitLine(what string, rows []Row, x, y func(Row) float64) Fit {
+func fitLine(description string, rows []Row, x, y func(Row) float64) Fit {
 	n := float64(len(rows))
 	var sx, sy, sxx, sxy float64
 	for _, row := range rows {
@@ -172,7 +173,7 @@
 		sxy += x(row) * y(row)
 	}
 	slope := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	f := Fit{What: what, Slope: slope, Base: (sy - slope*sx) / n}
+	f := Fit{What: description, Slope: slope, Base: (sy - slope*sx) / n}
 	for _, row := range rows {
 		residual := y(row) - f.Base - f.Slope*x(row)
 		f.Residual += residual * residual
--- a/internal/bench/experiment/entry.go
+++ b/internal/bench/experiment/entry.go
@@ -41,7 +41,7 @@
 	rng           *rand.Rand
 }
 
-// newEntry returns an entry that knows all engines of the simulation.
+// newEntry returns an entry that has all backends of the simulation.
 func newEntry(sim *simulation, host filbertlever.HostID, region string, regions map[string]string, rng *rand.Rand) *entry {
 	config := fleet.DefaultConfig()
 	config.Site, config.Region, config.Regions = region, region, regions
@@ -66,11 +66,11 @@
 	remaining := r.arrivedAt + r.spec.Limit - now
 	placement := e.chooseBackend(r)
 	if !placement.Found {
-		outageDelay := e.outage.Refused(now)
+		outageDuration := e.outage.Refused(now)
 		if placement.ReadyIn > 0 && placement.ReadyIn < admission.RoomWait && e.enterWaitingRoom(r, remaining) {
 			return
 		}
-		e.simulation.refuseAttempt(r, admission.ReturnWhenReady(placement.ReadyIn, remaining, outageDelay, e.rng))
+		e.simulation.refuseAttempt(r, admission.ReturnWhenReady(placement.ReadyIn, remaining, outageDuration, e.rng))
 		return
 	}
 	forecast := admission.Forecast{Ahead: placement.Ahead, Reading: placement.Reading, Predicted: placement.Predicted}
--- a/internal/bench/experiment/file.go
+++ b/internal/bench/experiment/file.go
@@ -1,6 +1,6 @@
-// Package experiment plays an installation in virtual time: the decisions of real entries against
-// modelled engines and callers. It compares policies on the same requests within seconds, without
-// sockets, goroutines or a clock, and is the same for the same file and seed.
+// Package experiment simulates an installation in virtual time. The decision code of real entries
+// runs against models of engines and callers. An experiment compares policies on the same requests
+// within seconds, without sockets, goroutines or a clock, and is deterministic for a file and seed.
 package experiment
 
 import (
@@ -13,9 +13,9 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/admission"
 )
 
-// Experiment is what is played, as its YAML file declares it.
+// Experiment is the declaration of an experiment in a YAML file.
 type Experiment struct {
-	// Length is how long requests come.
+	// Length is the time during which requests arrive.
 	Length  time.Duration `yaml:"Length"`
 	Seeds   []uint64      `yaml:"Seeds"`
 	Regions []Region      `yaml:"Regions"`
@@ -23,11 +23,11 @@
 	Kinds   []Kind        `yaml:"Kinds"`
 	Bursts  []Burst       `yaml:"Bursts"`
 	Outages []Outage      `yaml:"Outages"`
-	// Policies are compared; each is played with each seed.
+	// Policies are the policies to compare. Each one runs with each seed.
 	Policies []Policy `yaml:"Policies"`
 }
 
-// Region is a region with its hosts.
+// Region holds the numbers of hosts in a region.
 type Region struct {
 	Name    string `yaml:"Name"`
 	Entries int    `yaml:"Entries"`
@@ -36,61 +36,63 @@
 
 // Engine describes each model server.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int `yaml:"Slots"`
-	// Step is the time that one token of each running request takes, and Stride how many steps
-	// lie between two events.
+	// Step is the time to generate one token for each running request, and Stride the number of
+	// steps between two events.
 	Step   time.Duration `yaml:"Step"`
 	Stride int           `yaml:"Stride"`
-	// PromptsPerSecond is how many tokens of prompts are read in a second.
+	// PromptsPerSecond is the number of prompt tokens that are processed per second.
 	PromptsPerSecond int `yaml:"PromptsPerSecond"`
-	// Load is how long it takes to load weights.
+	// Load is the time to load weights.
 	Load time.Duration `yaml:"Load"`
 }
 
-// Kind is a kind of request.
+// Kind declares requests of one kind.
 type Kind struct {
-	Name      string  `yaml:"Name"`
+	Name string `yaml:"Name"`
+	// PerSecond is the mean arrival rate.
 	PerSecond float64 `yaml:"PerSecond"`
 	// Prompt and Answer are mean sizes in tokens.
 	Prompt int `yaml:"Prompt"`
 	Answer int `yaml:"Answer"`
-	// Goal is the time to the first token from which an answer is late, and Limit when the
-	// caller leaves.
+	// Goal is the time to the first token after which an answer counts as late, and Limit the
+	// time after which the caller disconnects.
 	Goal  time.Duration `yaml:"Goal"`
 	Limit time.Duration `yaml:"Limit"`
-	// Retries is how often a caller comes back.
+	// Retries is the number of retries of a caller.
 	Retries int `yaml:"Retries"`
 }
 
-// Burst is a time in which more is asked.
+// Burst is an interval in which the arrival rate is multiplied by Factor.
 type Burst struct {
 	At     time.Duration `yaml:"At"`
 	For    time.Duration `yaml:"For"`
 	Factor float64       `yaml:"Factor"`
-	// Kind is the kind that is asked for more; empty for all.
+	// Kind is the kind of the additional requests. Empty means all kinds.
 	Kind string `yaml:"Kind"`
 }
 
-// Outage is a time from whose begin all servers are down; after it they load their weights.
+// Outage is an interval in which all servers are down. Afterwards they load their weights.
 type Outage struct {
 	At  time.Duration `yaml:"At"`
 	For time.Duration `yaml:"For"`
 }
 
-// Policy is what differs between the plays that are compared. What is absent is as in production.
+// Policy overrides parameters of the entries and callers. Absent fields have the production values.
 type Policy struct {
 	Name string `yaml:"Name"`
-	// Waiting, Reading and LateShare take the place of the gate's bounds.
+	// Waiting, Reading and LateShare override the limits of the admission gate.
 	Waiting   *int           `yaml:"Waiting"`
 	Reading   *time.Duration `yaml:"Reading"`
 	LateShare *float64       `yaml:"LateShare"`
-	// ReturnLeast is the least time after which refused callers come back, and ReturnSpread what
-	// is added to it at random.
+	// ReturnLeast is the minimum retry delay of refused callers, and ReturnSpread the maximum of the
+	// random delay that is added to it.
 	ReturnLeast  time.Duration `yaml:"ReturnLeast"`
 	ReturnSpread time.Duration `yaml:"ReturnSpread"`
 }
 
+// admissionGate returns the admission gate with the overrides of the policy.
 func (p *Policy) admissionGate() admission.EntryGate {
 	gate := admission.DefaultEntryGate()
 	if p.Waiting != nil {
@@ -105,7 +107,7 @@
 	return gate
 }
 
-// Parse reads an experiment. An error names the field that is wrong.
+// Parse decodes and validates an experiment. Errors contain the name of the invalid field.
 func Parse(data []byte) (*Experiment, error) {
 	var e Experiment
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
@@ -119,25 +121,27 @@
 	return &e, nil
 }
 
-// Bounds of an experiment: what a developer waits for.
+// Limits of an experiment, so that it ends while a developer waits for it.
 const (
 	maxLength   = 10 * time.Minute
 	maxRequests = 5_000_000
 )
 
-// FieldError is a field of an experiment that cannot be.
+// FieldError reports an invalid field of an experiment.
 type FieldError struct {
 	Field string
-	// Problem is what it is, and what is expected.
+	// Problem contains the value and the expected values.
 	Problem string
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
+// fieldError returns a FieldError with a formatted problem.
 func fieldError(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
+// validate returns an error for the first invalid field.
 func (e *Experiment) validate() error {
 	entries, servers, requests := 0, 0, 0.0
 	for _, r := range e.Regions {
@@ -148,7 +152,7 @@
 	}
 	for _, k := range e.Kinds {
 		if k.PerSecond <= 0 || k.Prompt <= 0 || k.Answer <= 0 || k.Goal <= 0 || k.Limit <= 0 || k.Retries < 0 {
-			return fieldError("Kinds", "%s: expected figures above 0, and Retries of 0 or more", k.Name)
+			return fieldError("Kinds", "%s: expected values above 0, and Retries of 0 or more", k.Name)
 		}
 		requests += k.PerSecond * e.Length.Seconds()
 	}
@@ -165,7 +169,7 @@
 	}
 	switch {
 	case e.Length <= 0 || e.Length > maxLength:
-		return fieldError("Length", "%v: expected a time up to %v", e.Length, maxLength)
+		return fieldError("Length", "%v: expected a duration up to %v", e.Length, maxLength)
 	case len(e.Seeds) == 0:
 		return fieldError("Seeds", "expected one or more")
 	case entries == 0 || servers == 0:
@@ -175,7 +179,7 @@
 	case len(e.Policies) == 0:
 		return fieldError("Policies", "expected one or more")
 	case e.Engine.Slots <= 0 || e.Engine.Step <= 0 || e.Engine.Stride <= 0 || e.Engine.PromptsPerSecond <= 0:
-		return fieldError("Engine", "%+v: expected figures above 0", e.Engine)
+		return fieldError("Engine", "%+v: expected values above 0", e.Engine)
 	case requests > maxRequests:
 		return fieldError("Kinds", "%.0f requests: expected %d or less", requests, maxRequests)
 	}
--- a/internal/bench/experiment/outcome.go
+++ b/internal/bench/experiment/outcome.go
@@ -9,27 +9,28 @@
 	"time"
 )
 
-// Second is what became of the requests that were first asked in a second.
+// Second counts the requests that arrived in one second, by their results.
 type Second struct {
-	Asked int
-	// InTime and Late are answers by their first token.
+	// Requests is the number of requests.
+	Requests int
+	// InTime and Late count answers by the time to their first token.
 	InTime int
 	Late   int
-	// Refused are requests that ended with a refusal, and Tries all refused tries.
+	// Refused counts requests that ended with a refusal, and RefusedAttempts all refused attempts.
 	Refused         int
 	RefusedAttempts int
-	// Broken are answers that ended before they were whole; they count as InTime or Late too.
+	// Broken counts incomplete answers. They also count as InTime or Late.
 	Broken int
 }
 
-// Outcome is what callers got in one play.
+// Outcome holds the results of the requests in one run.
 type Outcome struct {
 	Seconds []Second
-	// FirstTokens are the times to the first token, from the caller's first try on.
+	// FirstTokens are the times from the first attempt to the first token.
 	FirstTokens []time.Duration
 }
 
-// Total adds up the seconds.
+// Total returns the sum over all seconds.
 func (o *Outcome) Total() Second {
 	var t Second
 	for _, s := range o.Seconds {
@@ -38,23 +39,24 @@
 	return t
 }
 
-func (s Second) add(more Second) Second {
-	return Second{s.Asked + more.Asked, s.InTime + more.InTime, s.Late + more.Late, s.Refused + more.Refused, s.RefusedAttempts + more.RefusedAttempts, s.Broken + more.Broken}
+// add returns the sum of two counts.
+func (s Second) add(other Second) Second {
+	return Second{s.Requests + other.Requests, s.InTime + other.InTime, s.Late + other.Late, s.Refused + other.Refused, s.RefusedAttempts + other.RefusedAttempts, s.Broken + other.Broken}
 }
 
-// inTimeShare returns the share of a second's requests that were answered in time.
-func (s Second) inTimeShare() float64 { return float64(s.InTime) / float64(max(s.Asked, 1)) }
+// inTimeShare returns the share of the requests that were answered in time.
+func (s Second) inTimeShare() float64 { return float64(s.InTime) / float64(max(s.Requests, 1)) }
 
-// WorstTwoSeconds returns the least share in time of two seconds in a row.
+// WorstTwoSeconds returns the smallest in-time share of two consecutive seconds.
 func (o *Outcome) WorstTwoSeconds() float64 {
-	worst := 1.0
+	lowest := 1.0
 	for i := range len(o.Seconds) - 1 {
-		worst = min(worst, o.Seconds[i].add(o.Seconds[i+1]).inTimeShare())
+		lowest = min(lowest, o.Seconds[i].add(o.Seconds[i+1]).inTimeShare())
 	}
-	return worst
+	return lowest
 }
 
-// Quantile returns the time within which a share of the first tokens came.
+// Quantile returns a quantile of the time to the first token. share is between 0 and 1.
 func (o *Outcome) Quantile(share float64) time.Duration {
 	if len(o.FirstTokens) == 0 {
 		return 0
@@ -63,13 +65,13 @@
 	return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Row is one policy's outcomes, one for each seed.
+// Row holds the outcomes of one policy, one for each seed.
 type Row struct {
 	Policy   string
 	Outcomes []Outcome
 }
 
-// Run plays each policy with each seed; progress is called before each play.
+// Run simulates each policy with each seed. It calls progress before each run.
 func (e *Experiment) Run(progress func(policy string, seed uint64)) []Row {
 	var rows []Row
 	for i := range e.Policies {
@@ -83,23 +85,23 @@
 	return rows
 }
 
-// formatSpread formats the middle, least and most of a figure over a row's outcomes.
-func (r *Row) formatSpread(format string, figure func(o *Outcome) float64) string {
-	var all []float64
+// formatSpread formats the median, minimum and maximum of a metric over the outcomes of a row.
+func (r *Row) formatSpread(format string, metric func(o *Outcome) float64) string {
+	var values []float64
 	for i := range r.Outcomes {
-		all = append(all, figure(&r.Outcomes[i]))
+		values = append(values, metric(&r.Outcomes[i]))
 	}
-	slices.SortFunc(all, cmp.Compare[float64])
-	return fmt.Sprintf(format+" ("+format+"-"+format+")", all[len(all)/2], all[0], all[len(all)-1])
+	slices.SortFunc(values, cmp.Compare[float64])
+	return fmt.Sprintf(format+" ("+format+"-"+format+")", values[len(values)/2], values[0], values[len(values)-1])
 }
 
-// Print writes a table: the middle, least and most over the seeds.
+// Print writes a table with the median, minimum and maximum of each metric over the seeds.
 func Print(w io.Writer, rows []Row) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	share := func(part func(s Second) int) func(o *Outcome) float64 {
+	share := func(count func(s Second) int) func(o *Outcome) float64 {
 		return func(o *Outcome) float64 {
 			total := o.Total()
-			return float64(part(total)) / float64(max(total.Asked, 1))
+			return float64(count(total)) / float64(max(total.Requests, 1))
 		}
 	}
 	_, _ = fmt.Fprintln(table, "Policy\tInTime\tLate\tRefused\tRefusedTries\tBroken\tWorstTwoSeconds\tFirstTokenHalf\tFirstToken95")
--- a/internal/bench/experiment/simulation.go
+++ b/internal/bench/experiment/simulation.go
@@ -65,7 +65,8 @@
 	outcome  Outcome
 }
 
-// warmUpDuration is the time before the first request. Entries receive reports of all servers in it.
+// warmUpDuration is the time before the first request. By then, entries have received reports of all
+// servers.
 const warmUpDuration = time.Second
 
 // Simulate runs the experiment with one policy and seed.
@@ -176,7 +177,7 @@
 		return
 	}
 	r := &request{spec: k, promptTokens: sim.randomSize(k.Prompt), answerTokens: sim.randomSize(k.Answer), arrivedAt: sim.now}
-	sim.secondOf(r).Asked++
+	sim.secondOf(r).Requests++
 	sim.startAttempt(r)
 	sim.after(sim.nextInterval(k, elapsed), func() { sim.createRequest(k) })
 }
--- a/internal/bench/links/links.go
+++ b/internal/bench/links/links.go
@@ -43,8 +43,8 @@
 }
 
 func newLimiter(bytesPerSecond float64) *rate.Limiter {
-	// The burst compensates for timers that fire late, which would otherwise
-	// reduce the rate of the link.
+	// The burst is the amount that may be sent ahead of schedule. It limits how
+	// much timers that fire late reduce the rate of the link.
 	burst := max(int(bytesPerSecond/200), 2*maxTransfer)
 	limiter := rate.NewLimiter(rate.Limit(bytesPerSecond), burst)
 	limiter.AllowN(time.Now(), burst)
--- a/internal/bench/requestsbench/measure.go
+++ b/internal/bench/requestsbench/measure.go
@@ -45,7 +45,7 @@
 	answerTokens   = 10
 	promptCount    = 96
 	// cachedPrompts is the size of an engine's prefix cache. All engines together
-	// can cache slightly more prompts than exist, if each is cached only once.
+	// can cache more prompts than exist, if each is cached only once.
 	cachedPrompts   = 12
 	requestDeadline = 2 * time.Second
 	loadDuration    = 3 * time.Second
--- a/internal/proof/matrix.go
+++ b/internal/proof/matrix.go
@@ -20,7 +20,8 @@
 	Promises []Promise `yaml:"Promises"`
 }
 
-// Promise is a guarantee that the system gives to its users.
+// Promise is one guarantee of the system, with the steps at which it must hold and the rules for its
+// cells.
 type Promise struct {
 	Name        string   `yaml:"Name"`
 	Description string   `yaml:"Says"`
--- a/internal/proof/soak.go
+++ b/internal/proof/soak.go
@@ -56,11 +56,11 @@
 type Soak struct {
 	// Program is the path of the soak test binary.
 	Program string
-	// First is the first seed, and Seeds the maximum number of seeds for each
+	// FirstSeed is the first seed, and Seeds the maximum number of seeds for each
 	// removal.
 	First uint64
 	Seeds int
-	// Length is the duration of each run.
+	// Duration is the duration of each run.
 	Length time.Duration
 	// Parallel is the number of removals that are tested concurrently. Each run
 	// starts about 25 processes.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -27,7 +27,7 @@
 	ChecksFencing bool
 	// Slots is the number of requests that run concurrently. Further requests queue.
 	Slots int
-	// Prefill is the time to the first token, and Token the time between two tokens.
+	// PrefillTime is the time to the first token, and TokenTime the time between two tokens.
 	Prefill time.Duration
 	Token   time.Duration
 	// CachedPrompts is the capacity of the prefix cache, in prompts. A request
@@ -80,7 +80,7 @@
 	return &Engine{config: config, slots: make(chan struct{}, max(config.Slots, 1)), loaded: map[string]*enginev1.LoadedWeights{}}
 }
 
-// Piece returns token i of the answer to a prompt by the given weights.
+// AnswerToken returns token i of the answer to a prompt by the given weights.
 func Piece(weights filbertlever.Digest, prompt string, i int) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s|%s|%d", weights, prompt, i))
 	return fmt.Sprintf("%x ", sum[:3])
@@ -203,8 +203,8 @@
 	if i >= int(message.MaxTokens) {
 		return &enginev1.GenerateResponse{Offset: uint32(i), VersionDigest: message.VersionDigest, Done: true}
 	}
-	piece := Piece(filbertlever.Digest(message.VersionDigest), message.Prompt, i)
-	return &enginev1.GenerateResponse{Offset: uint32(i), Pieces: []string{piece}, VersionDigest: message.VersionDigest}
+	token := Piece(filbertlever.Digest(message.VersionDigest), message.Prompt, i)
+	return &enginev1.GenerateResponse{Offset: uint32(i), Pieces: []string{token}, VersionDigest: message.VersionDigest}
 }
 
 func (e *Engine) acquireSlot(ctx context.Context) error {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -16,7 +16,7 @@
 
 // Service is a stand-in for a plain service. It counts the runs of each order.
 type Service struct {
-	// Pause is the duration of a call.
+	// CallDuration is the duration of a call.
 	Pause time.Duration
 
 	mu        sync.Mutex
@@ -24,8 +24,8 @@
 }
 
 // NewService returns a service whose calls take the given time.
-func NewService(pause time.Duration) *Service {
-	return &Service{Pause: pause, runCounts: map[string]int{}}
+func NewService(callDuration time.Duration) *Service {
+	return &Service{Pause: callDuration, runCounts: map[string]int{}}
 }
 
 // Call runs a call. It ignores cancellation, like a service that does not
