--- a/internal/bench/experiment/entry.go
+++ b/internal/bench/experiment/entry.go
@@ -74,8 +74,8 @@
 		return
 	}
 	forecast := admission.Forecast{Ahead: placement.Ahead, Reading: placement.Reading, Predicted: placement.Predicted}
-	ok, retry := e.admissionGate.Admit(forecast, admission.Caller{Left: remaining, Goal: r.spec.Goal}, e.rng)
-	if ok {
+	admitted, retryAfter := e.admissionGate.Admit(forecast, admission.Caller{Left: remaining, Goal: r.spec.Goal}, e.rng)
+	if admitted {
 		e.place(r, &placement)
 		return
 	}
@@ -84,9 +84,9 @@
 		return
 	}
 	if p := e.simulation.policy; p.ReturnLeast > 0 || p.ReturnSpread > 0 {
-		retry = max(retry, p.ReturnLeast) + time.Duration(e.rng.Float64()*float64(p.ReturnSpread))
+		retryAfter = max(retryAfter, p.ReturnLeast) + time.Duration(e.rng.Float64()*float64(p.ReturnSpread))
 	}
-	e.simulation.refuseAttempt(r, retry)
+	e.simulation.refuseAttempt(r, retryAfter)
 }
 
 // chooseBackend chooses a backend server and reserves a slot there.
--- a/internal/bench/experiment/file.go
+++ b/internal/bench/experiment/file.go
@@ -69,7 +69,7 @@
 	At     time.Duration `yaml:"At"`
 	For    time.Duration `yaml:"For"`
 	Factor float64       `yaml:"Factor"`
-	// Kind is the kind of the additional requests. Empty means all kinds.
+	// Kind is the kind of request whose rate changes. Empty means all kinds.
 	Kind string `yaml:"Kind"`
 }
 
--- a/internal/bench/experiment/simulation.go
+++ b/internal/bench/experiment/simulation.go
@@ -88,7 +88,7 @@
 	return sim.outcome
 }
 
-// after schedules a function.
+// after schedules a function to run after a delay.
 func (sim *simulation) after(d time.Duration, run func()) {
 	sim.nextOrder++
 	heap.Push(&sim.events, event{sim.now + d, sim.nextOrder, run})
@@ -146,8 +146,8 @@
 	return time.Duration(sim.rng.Float64() * float64(limit))
 }
 
-// nextInterval returns the time to the next request of a kind. elapsed is the time since the first
-// requests.
+// nextInterval returns the time to the next request of a kind. elapsed is the time since the end
+// of the warm-up.
 func (sim *simulation) nextInterval(k *Kind, elapsed time.Duration) time.Duration {
 	rate := k.PerSecond
 	for _, b := range sim.Bursts {
--- a/internal/bench/weightsbench/live.go
+++ b/internal/bench/weightsbench/live.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return Live{}, err
 	}
-	defer t.close()
+	defer t.stop()
 	for _, h := range t.hosts {
 		h.inLimiter.SetLive(1)
 		h.outLimiter.SetLive(1)
--- a/internal/bench/weightsbench/measure.go
+++ b/internal/bench/weightsbench/measure.go
@@ -27,7 +27,7 @@
 // host from the time that follows from the link rate.
 const maxShapingError = 0.1
 
-// measureTimeout bounds the whole measurement.
+// measureTimeout limits the duration of the whole measurement.
 const measureTimeout = 100 * time.Second
 
 // Measure measures all bursts, live requests and rolls.
@@ -117,7 +117,7 @@
 	}
 }
 
-// memorySampler samples the process's memory.
+// memorySampler records the peak memory use of the process.
 type memorySampler struct {
 	before uint64
 	peak   uint64
@@ -152,7 +152,8 @@
 	}
 }
 
-// mibPerAgent returns the mebibytes of one agent, less the chunks that it holds.
+// mibPerAgent stops sampling and returns the peak memory per agent in MiB,
+// without the cached chunks.
 func (m *memorySampler) mibPerAgent(hosts int, scale Scale) float64 {
 	close(m.stop)
 	m.done.Wait()
@@ -161,7 +162,7 @@
 	return max(total, 0) / float64(hosts) / mib
 }
 
-// findRow returns the row of a way at a number of hosts.
+// findRow returns the row of a strategy with a number of hosts.
 func (r *Result) findRow(strategy string, hosts int) Row {
 	for _, row := range r.Rows {
 		if row.Way == strategy && row.Hosts == hosts {
--- a/internal/bench/weightsbench/rows.go
+++ b/internal/bench/weightsbench/rows.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return Row{}, err
 	}
-	defer t.close()
+	defer t.stop()
 	if strategy == StrategySiteUnaware {
 		for i := range t.peers {
 			t.peers[i].Site = ""
--- a/internal/bench/weightsbench/testbed.go
+++ b/internal/bench/weightsbench/testbed.go
@@ -82,7 +82,7 @@
 	site                  string
 	link                  *links.Link
 	url                   string
-	sets                  *weights.Library
+	library               *weights.Library
 	fetcher               *weights.Fetcher
 	client                *http.Client
 	inLimiter, outLimiter *weights.Limiter
@@ -122,13 +122,13 @@
 // addHost starts host i.
 func (t *testbed) addHost(i int, config weights.FetchConfig) error {
 	h := &benchHost{id: filbertlever.HostID(fmt.Sprint("model-", i)), site: fmt.Sprint("site-", i%siteCount), link: links.New(t.scale.HostRate)}
-	h.sets = weights.NewLibrary(state.NewChunks())
-	h.sets.Add(t.digest, t.manifest, t.encodedManifest)
+	h.library = weights.NewLibrary(state.NewChunks())
+	h.library.Add(t.digest, t.manifest, t.encodedManifest)
 	h.client = &http.Client{Transport: &http.Transport{DialContext: h.link.DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true}}
 	mux := http.NewServeMux()
 	pace := distribution.Pace{Link: t.scale.HostRate, Share: distribution.DefaultShare}
 	h.inLimiter, h.outLimiter = weights.NewLimiter(pace), weights.NewLimiter(pace)
-	server := weights.NewServer(h.sets, h.outLimiter)
+	server := weights.NewServer(h.library, h.outLimiter)
 	server.Routes(mux, func(next http.Handler) http.Handler { return t.corruptResponses(next) })
 	mux.HandleFunc("GET /live", serveLive)
 	url, err := t.startServer(h.link, mux)
@@ -138,7 +138,7 @@
 	h.url = url
 	sources := &weights.HTTPSources{Peers: &peerResolver{testbed: t, host: h}, Origin: t.originURL, Client: h.client, Pacer: h.inLimiter}
 	self := distribution.Peer{ID: h.id, Site: h.site}
-	h.fetcher = weights.NewFetcher(config, self, h.sets, sources, zap.NewNop())
+	h.fetcher = weights.NewFetcher(config, self, h.library, sources, zap.NewNop())
 	t.hosts = append(t.hosts, h)
 	t.peers = append(t.peers, self)
 	t.byID[h.id] = h
@@ -152,15 +152,15 @@
 }
 
 // Peer returns the HTTP client of this host and the URL of the peer.
-func (c *peerResolver) Peer(id filbertlever.HostID) (*http.Client, string, bool) {
-	peer, ok := c.testbed.byID[id]
+func (r *peerResolver) Peer(id filbertlever.HostID) (*http.Client, string, bool) {
+	peer, ok := r.testbed.byID[id]
 	if !ok {
 		return nil, "", false
 	}
-	if peer.site != c.host.site {
-		c.host.crossSiteRequests.Add(1)
+	if peer.site != r.host.site {
+		r.host.crossSiteRequests.Add(1)
 	}
-	return c.host.client, peer.url, true
+	return r.host.client, peer.url, true
 }
 
 // startServer starts an HTTP server behind a link and returns its URL.
@@ -238,8 +238,8 @@
 // Unwrap returns the underlying writer for http.ResponseController.
 func (c *corruptWriter) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
-// close stops all servers and links.
-func (t *testbed) close() {
+// stop stops all servers and links.
+func (t *testbed) stop() {
 	for _, server := range t.servers {
 		_ = server.Close()
 	}
--- a/internal/proof/guards.go
+++ b/internal/proof/guards.go
@@ -32,7 +32,7 @@
 	Guard Guard
 	// Caught is true if the test failed without the guard.
 	Caught bool
-	// Problem says why the guard could not be removed or the test did not run.
+	// Problem explains why the guard could not be removed or the test did not run.
 	Problem string
 }
 
--- a/internal/proof/soak.go
+++ b/internal/proof/soak.go
@@ -35,7 +35,7 @@
 	Seed    uint64
 	Promise string
 	Runs    int
-	// Problem says why the removal could not be tested.
+	// Problem explains why the removal could not be tested.
 	Problem string
 }
 
