--- a/internal/bench/weightsbench/rolls.go
+++ b/internal/bench/weightsbench/rolls.go
@@ -26,40 +26,42 @@
 	"github.com/filbertlever/filbertlever/pkg/bundle"
 )
 
-// Rolls is the time from the start of a roll until the bundle is in force on
+// Rolls holds the times from the start of a roll until the bundle is active on
 // every process.
 type Rolls struct {
 	Processes, Rolls int
-	// In milliseconds.
+	// P50 and P99 are in milliseconds.
 	P50, P99 float64
-	// The same with the platform down right after the acceptance.
+	// DownP50 and DownP99 are measured with a platform outage immediately after the
+	// platform has accepted the bundle.
 	DownP50, DownP99 float64
-	// Unheard is the P99 where no entry is told by the operator's command and
-	// all depends on the watchers.
-	UnheardP99 float64
+	// WatchersOnlyP99 is the P99 when the operator's command does not announce the
+	// bundle to the entries, so that they depend on the watchers.
+	WatchersOnlyP99 float64 `json:"UnheardP99"`
 }
 
-// fleet is the common part of many processes in this one.
+// fleet runs the control part of many hosts in this process.
 type fleet struct {
-	dir      operator.KeyDir
-	public   string
-	platform *standin.Platform
-	desk     *platform.Client
-	settings *settings.Settings
-	parent   bundle.Parent
-	nodes    []*node.Node
-	servers  []*http.Server
-	clean    []func()
-	// adopted gets the version each time that a node puts one in force.
+	keyDir         operator.KeyDir
+	operatorKey    string
+	platform       *standin.Platform
+	platformClient *platform.Client
+	settings       *settings.Settings
+	parent         bundle.Parent
+	nodes          []*node.Node
+	servers        []*http.Server
+	cleanups       []func()
+	// adopted receives the version of each bundle that a node activates.
 	adopted chan uint64
 }
 
 const fleetBasePort = 17400
 
-// tcp is the loopback network of the fleet.
-var tcp = network.TCP{DialTimeout: time.Second}
+// loopback is the network of the fleet.
+var loopback = network.TCP{DialTimeout: time.Second}
 
-// MeasureRolls measures so many rolls of each kind on 8 entries and 24 agents.
+// MeasureRolls measures the given number of rolls of each kind on 8 entries and
+// 24 agents.
 func MeasureRolls(ctx context.Context, rolls int) (Rolls, error) {
 	const entries, agents = 8, 24
 	f, err := newFleet(ctx, entries, agents)
@@ -68,46 +70,47 @@
 	}
 	defer f.close()
 	result := Rolls{Processes: entries + agents, Rolls: rolls}
-	if _, err := f.roll(ctx, true, false); err != nil {
+	if _, err := f.measureRoll(ctx, true, false); err != nil {
 		return Rolls{}, err
 	}
 	kinds := []struct {
-		told, down bool
-		p50, p99   *float64
+		announce, platformDown bool
+		p50, p99               *float64
 	}{
 		{true, false, &result.P50, &result.P99},
 		{true, true, &result.DownP50, &result.DownP99},
-		{false, false, new(float64), &result.UnheardP99},
+		{false, false, new(float64), &result.WatchersOnlyP99},
 	}
 	for _, kind := range kinds {
-		var took []time.Duration
+		var durations []time.Duration
 		for range rolls {
-			d, err := f.roll(ctx, kind.told, kind.down)
+			d, err := f.measureRoll(ctx, kind.announce, kind.platformDown)
 			if err != nil {
 				return Rolls{}, err
 			}
-			took = append(took, d)
+			durations = append(durations, d)
 		}
-		slices.Sort(took)
-		*kind.p50 = milliseconds(took[len(took)/2])
-		*kind.p99 = milliseconds(took[len(took)*99/100])
+		slices.Sort(durations)
+		*kind.p50 = milliseconds(durations[len(durations)/2])
+		*kind.p99 = milliseconds(durations[len(durations)*99/100])
 	}
 	return result, nil
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
+// newFleet starts the stand-in platform and a node for each host.
 func newFleet(ctx context.Context, entries, agents int) (*fleet, error) {
 	path, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{dir: operator.KeyDir{Path: path}, platform: standin.NewPlatform(), adopted: make(chan uint64, 4096)}
-	f.clean = append(f.clean, func() { _ = os.RemoveAll(path) })
-	if _, err := f.dir.NewHost("ana", peer.RoleOperator, nil); err != nil {
+	f := &fleet{keyDir: operator.KeyDir{Path: path}, platform: standin.NewPlatform(), adopted: make(chan uint64, 4096)}
+	f.cleanups = append(f.cleanups, func() { _ = os.RemoveAll(path) })
+	if _, err := f.keyDir.NewHost("ana", peer.RoleOperator, nil); err != nil {
 		return nil, err
 	}
-	if f.public, err = f.dir.NewOperator("ana"); err != nil {
+	if f.operatorKey, err = f.keyDir.NewOperator("ana"); err != nil {
 		return nil, err
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -116,10 +119,10 @@
 	}
 	server := &http.Server{Handler: f.platform.Handler()}
 	f.servers = append(f.servers, server)
-	s := serving{server: server, listener: listener}
+	s := httpServer{server: server, listener: listener}
 	go s.run()
-	f.desk = platform.New("http://"+listener.Addr().String(), time.Second, tcp)
-	f.settings = &settings.Settings{TLS: settings.TLS{Authority: f.dir.Authority(), Certificate: path + "/ana.pem", Key: path + "/ana.key"}}
+	f.platformClient = platform.New("http://"+listener.Addr().String(), time.Second, loopback)
+	f.settings = &settings.Settings{TLS: settings.TLS{Authority: f.keyDir.Authority(), Certificate: path + "/ana.pem", Key: path + "/ana.key"}}
 	var hosts []filbertlever.Host
 	for i := range entries + agents {
 		h := filbertlever.Host{ID: filbertlever.HostID(fmt.Sprint("process-", i)), Role: filbertlever.RoleAgent, PeerAddress: fmt.Sprintf("127.0.0.1:%d", fleetBasePort+i)}
@@ -131,23 +134,23 @@
 	}
 	f.platform.SetHosts(hosts)
 	for _, h := range hosts {
-		if err := f.start(ctx, h); err != nil {
+		if err := f.startNode(ctx, h); err != nil {
 			return nil, err
 		}
 	}
-	return f, f.settle(hosts)
+	return f, f.awaitMembership(hosts)
 }
 
-// settle waits until every node knows all hosts.
-func (f *fleet) settle(hosts []filbertlever.Host) error {
+// awaitMembership waits until every node has discovered all hosts.
+func (f *fleet) awaitMembership(hosts []filbertlever.Host) error {
 	deadline := time.Now().Add(20 * time.Second)
 	for _, n := range f.nodes {
-		for known := 0; known < len(hosts); {
+		for discovered := 0; discovered < len(hosts); {
 			n.Read(func(base *knowledge.Base) {
-				known = len(base.Members.Hosts(filbertlever.RoleEntry)) + len(base.Members.Hosts(filbertlever.RoleAgent))
+				discovered = len(base.Members.Hosts(filbertlever.RoleEntry)) + len(base.Members.Hosts(filbertlever.RoleAgent))
 			})
 			if time.Now().After(deadline) {
-				return fmt.Errorf("processes did not find each other: %d of %d known", known, len(hosts))
+				return fmt.Errorf("nodes did not discover each other within 20s: %d of %d hosts discovered", discovered, len(hosts))
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -155,16 +158,17 @@
 	return nil
 }
 
-func (f *fleet) start(ctx context.Context, h filbertlever.Host) error {
-	files, err := f.dir.NewHost(string(h.ID), string(h.Role), net.IPv4(127, 0, 0, 1))
+// startNode starts the node and the control server of a host.
+func (f *fleet) startNode(ctx context.Context, h filbertlever.Host) error {
+	files, err := f.keyDir.NewHost(string(h.ID), string(h.Role), net.IPv4(127, 0, 0, 1))
 	if err != nil {
 		return err
 	}
-	keys, err := peer.LoadKeys(peer.Files{Authority: f.dir.Authority(), Certificate: files.Certificate, Key: files.Key})
+	keys, err := peer.LoadKeys(peer.Files{Authority: f.keyDir.Authority(), Certificate: files.Certificate, Key: files.Key})
 	if err != nil {
 		return err
 	}
-	public, err := bundle.ParsePublicKey(f.public)
+	public, err := bundle.ParsePublicKey(f.operatorKey)
 	if err != nil {
 		return err
 	}
@@ -172,43 +176,43 @@
 	for _, seed := range f.settings.Seeds {
 		seeds[seed.Host] = seed.PeerAddress
 	}
-	n, clean := node.New(node.Config{
+	n, cleanup := node.New(node.Config{
 		Host: h, Incarnation: node.NewIncarnation(h.ID), Operators: bundle.Operators{"ana": public}, SignOffs: 1,
 		Poll: 500 * time.Millisecond, Seeds: seeds, Stop: drain.DefaultConfig(),
-	}, f.desk, keys, tcp, zap.NewNop())
+	}, f.platformClient, keys, loopback, zap.NewNop())
 	n.OnAdopted(func(current *state.Current) { f.adopted <- current.Head.Version })
 	mux := http.NewServeMux()
 	mux.Handle(peer.ControlPath, n.Control())
-	listener, err := tcp.Listen(h.PeerAddress)
+	listener, err := loopback.Listen(h.PeerAddress)
 	if err != nil {
 		return err
 	}
 	server := &http.Server{Handler: mux, TLSConfig: keys.ServerConfig()}
-	s := servingTLS{server: server, listener: listener}
+	s := tlsServer{server: server, listener: listener}
 	go s.run()
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	group.Go(func() { n.Run(ctx) })
 	f.nodes = append(f.nodes, n)
 	f.servers = append(f.servers, server)
-	f.clean = append(f.clean, func() {
+	f.cleanups = append(f.cleanups, func() {
 		cancel()
-		clean()
+		cleanup()
 		group.Wait()
 	})
 	return nil
 }
 
-type servingTLS struct {
+type tlsServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-func (s *servingTLS) run() { _ = s.server.ServeTLS(s.listener, "", "") }
+func (s *tlsServer) run() { _ = s.server.ServeTLS(s.listener, "", "") }
 
-// roll rolls the next bundle and returns the time until the last process has
-// it in force.
-func (f *fleet) roll(ctx context.Context, told, down bool) (time.Duration, error) {
+// measureRoll rolls out the next bundle and returns the time until it is active on
+// the last process.
+func (f *fleet) measureRoll(ctx context.Context, announce, platformDown bool) (time.Duration, error) {
 	b := bundle.Example()
 	b.Models = nil
 	b.Version = f.parent.Version + 1
@@ -217,49 +221,50 @@
 	if err != nil {
 		return 0, err
 	}
-	key, err := operator.ReadSigningKey(f.dir.SigningKey("ana"))
+	key, err := operator.ReadSigningKey(f.keyDir.SigningKey("ana"))
 	if err != nil {
 		return 0, err
 	}
 	signed := &bundle.Signed{Body: body}
 	signed.Sign("ana", key)
-	public, err := bundle.ParsePublicKey(f.public)
+	public, err := bundle.ParsePublicKey(f.operatorKey)
 	if err != nil {
 		return 0, err
 	}
 	start := time.Now()
-	head, err := operator.Roll(ctx, f.desk, signed, bundle.Operators{"ana": public}, 1)
+	head, err := operator.Roll(ctx, f.platformClient, signed, bundle.Operators{"ana": public}, 1)
 	if err != nil {
 		return 0, err
 	}
-	f.platform.SetFaults(standin.Faults{Down: down})
+	f.platform.SetFaults(standin.Faults{Down: platformDown})
 	defer f.platform.SetFaults(standin.Faults{})
 	f.parent = bundle.Parent{Version: head.Version, Digest: head.Digest}
-	if told {
-		if _, err := operator.Announce(ctx, f.settings, tcp, head, signed); err != nil {
+	if announce {
+		if _, err := operator.Announce(ctx, f.settings, loopback, head, signed); err != nil {
 			return 0, err
 		}
 	}
-	limit := time.After(10 * time.Second)
-	for left := len(f.nodes); left > 0; {
+	timeout := time.After(10 * time.Second)
+	for pending := len(f.nodes); pending > 0; {
 		select {
 		case version := <-f.adopted:
 			if version == head.Version {
-				left--
+				pending--
 			}
-		case <-limit:
-			return 0, fmt.Errorf("bundle %d is not in force on %d of %d processes after 10s", head.Version, left, len(f.nodes))
+		case <-timeout:
+			return 0, fmt.Errorf("bundle %d is not active on %d of %d processes after 10s", head.Version, pending, len(f.nodes))
 		}
 	}
 	return time.Since(start), nil
 }
 
+// close stops all nodes and servers.
 func (f *fleet) close() {
-	for _, c := range f.clean {
-		c()
+	for _, cleanup := range f.cleanups {
+		cleanup()
 	}
 	for _, server := range f.servers {
 		_ = server.Close()
 	}
-	f.desk.Close()
+	f.platformClient.Close()
 }
