--- a/cmd/filbertlever-bench/control.go
+++ b/cmd/filbertlever-bench/control.go
@@ -27,7 +27,7 @@
 		return err
 	}
 	for _, f := range result.Fits {
-		fmt.Printf("%s: %.4g + %.4g x, residual %.3g\n", f.What, f.Base, f.Slope, f.Residual)
+		fmt.Printf("%s: %.4g + %.4g x, residual %.3g\n", f.Description, f.Base, f.Slope, f.Residual)
 	}
 	for _, row := range result.Rows {
 		printRow("Size", row)
--- a/cmd/filbertlever-bench/weights.go
+++ b/cmd/filbertlever-bench/weights.go
@@ -24,7 +24,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "method\thosts\tlast s\tmedian s\tbound s\tover bound\torigin copies\tsite copies\t")
 	for _, row := range result.Rows {
-		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t\n", row.Way, row.Hosts, row.Last, row.Median, row.Bound, row.OverBound, row.OriginCopies, row.SiteCopies)
+		fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t\n", row.Strategy, row.Hosts, row.Last, row.Median, row.Bound, row.OverBound, row.OriginCopies, row.SiteCopies)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/cmd/filbertlever-logs/read.go
+++ b/cmd/filbertlever-logs/read.go
@@ -27,7 +27,7 @@
 // readDirectory reads all files below a directory. A file may hold the lines of
 // several entries. The lines of each entry must be in order.
 func readDirectory(directory string, goal time.Duration) ([]outcome.Row, readCounts, error) {
-	var day outcome.Day
+	var day outcome.Totals
 	var counts readCounts
 	err := filepath.WalkDir(directory, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || !entry.Type().IsRegular() {
@@ -104,6 +104,6 @@
 	if json.Unmarshal(data[start:], &line) != nil || line.Time.IsZero() || line.Message == "" {
 		return false
 	}
-	tally.Take(&line)
+	tally.Add(&line)
 	return true
 }
--- a/cmd/filbertlever-logs/table.go
+++ b/cmd/filbertlever-logs/table.go
@@ -17,7 +17,7 @@
 )
 
 // columns are the kinds of outcomes in the order of the table's columns.
-var columns = []outcome.Kind{outcome.KindInTime, outcome.KindLate, outcome.KindRefused, outcome.KindRefusedAgain, outcome.KindBroken, outcome.KindFault, outcome.KindLeft}
+var columns = []outcome.Kind{outcome.KindInTime, outcome.KindLate, outcome.KindRefused, outcome.KindRefusedAgain, outcome.KindBroken, outcome.KindCallerError, outcome.KindCallerDisconnected}
 
 // secondCounts counts the requests that arrived within one second, by outcome
 // and cause.
--- a/cmd/filbertlever-proof/main.go
+++ b/cmd/filbertlever-proof/main.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	caught, missed := 0, 0
-	soak := proof.Soak{Program: c.Program, First: c.First, Seeds: c.Seeds, Length: c.Length, Parallel: c.Parallel}
+	soak := proof.Soak{Program: c.Program, FirstSeed: c.First, Seeds: c.Seeds, Duration: c.Length, Parallel: c.Parallel}
 	soak.Run(ctx, removals, func(r proof.RemovalResult) {
 		if r.Promise == "" {
 			missed++
--- a/cmd/filbertlever-soak/main.go
+++ b/cmd/filbertlever-soak/main.go
@@ -87,20 +87,20 @@
 	if err := os.MkdirAll(logs, 0o755); err != nil {
 		return false, err
 	}
-	result, err := soak.Run(ctx, soak.Config{Seed: seed, Length: c.Length, Entries: c.Entries, Agents: c.Agents, Plain: c.Plain,
-		Callers: c.Callers, Binary: binary, Logs: logs, Gap: c.Gap})
+	result, err := soak.Run(ctx, soak.Config{Seed: seed, Duration: c.Length, Entries: c.Entries, Agents: c.Agents, PlainServers: c.Plain,
+		Callers: c.Callers, Binary: binary, LogDir: logs, MaxFaultGap: c.Gap})
 	if err != nil {
 		return false, err
 	}
 	fmt.Printf("seed=%d faults=%d requests=%d served=%d refused=%d broken=%d\n",
-		seed, result.Faults, result.Requests, result.Served, result.Refused, len(result.Broken))
-	for i, b := range result.Broken {
+		seed, result.Faults, result.Requests, result.Served, result.Refused, len(result.Violations))
+	for i, b := range result.Violations {
 		if i == 8 {
 			break
 		}
-		fmt.Printf("  %s: %s\n", b.Promise, b.What)
+		fmt.Printf("  %s: %s\n", b.Guarantee, b.Detail)
 	}
-	if len(result.Broken) == 0 {
+	if len(result.Violations) == 0 {
 		return true, os.RemoveAll(logs)
 	}
 	return false, nil
--- a/cmd/filbertlever-standin/installation.go
+++ b/cmd/filbertlever-standin/installation.go
@@ -41,14 +41,14 @@
 	var backends []*standin.Server
 	for i, address := range c.Models {
 		server := standin.NewServer(fmt.Sprintf("model-%d", i+1))
-		server.Events, server.Pause = 20, 40*time.Millisecond
-		servers = append(servers, &http.Server{Addr: address, Handler: server, ConnState: server.Channel})
+		server.EventCount, server.EventInterval = 20, 40*time.Millisecond
+		servers = append(servers, &http.Server{Addr: address, Handler: server, ConnState: server.TrackConnection})
 		backends = append(backends, server)
 		go (&standin.Heartbeat{Store: store, Server: server, Service: "models", Address: address}).Run(ctx)
 	}
 	for i, address := range c.Plain {
 		server := standin.NewServer(fmt.Sprintf("plain-%d", i+1))
-		servers = append(servers, &http.Server{Addr: address, Handler: server, ConnState: server.Channel})
+		servers = append(servers, &http.Server{Addr: address, Handler: server, ConnState: server.TrackConnection})
 		backends = append(backends, server)
 		go (&standin.Heartbeat{Store: store, Server: server, Service: "orders", Address: address}).Run(ctx)
 	}
--- a/cmd/filbertlever-standin/main.go
+++ b/cmd/filbertlever-standin/main.go
@@ -53,7 +53,7 @@
 
 // Run runs the engine until ctx is done.
 func (c *engineCommand) Run(ctx context.Context) error {
-	engine := standin.NewEngine(standin.EngineConfig{ChecksFencing: c.ChecksFencing, Slots: c.Slots, Prefill: c.Prefill, Token: c.Token})
+	engine := standin.NewEngine(standin.EngineConfig{ChecksFencing: c.ChecksFencing, Slots: c.Slots, PrefillTime: c.Prefill, TokenTime: c.Token})
 	return c.serve(ctx, engine.Handler(), engine.AdminHandler())
 }
 
--- a/cmd/filbertlever/bundle.go
+++ b/cmd/filbertlever/bundle.go
@@ -333,7 +333,7 @@
 	var rows [][]string
 	for _, host := range status.Hosts {
 		for _, w := range host.Weights {
-			rows = append(rows, []string{string(host.Host.ID), w.Model, w.Version, string(w.Stage), fmt.Sprintf("%d/%d", w.Held, w.Chunks), strconv.Itoa(w.Failures), w.Reason})
+			rows = append(rows, []string{string(host.Host.ID), w.Model, w.Version, string(w.Stage), fmt.Sprintf("%d/%d", w.HeldChunks, w.Chunks), strconv.Itoa(w.Failures), w.Reason})
 		}
 	}
 	return c.print([]string{"HOST", "MODEL", "VERSION", "STAGE", "CHUNKS", "FAILURES", "REASON"}, rows, status)
--- a/cmd/filbertlever/hosts.go
+++ b/cmd/filbertlever/hosts.go
@@ -59,7 +59,7 @@
 		}
 		rows = append(rows, []string{
 			string(host.Host.ID), string(host.Host.Role), host.Host.Site, host.Host.Pool, hostState,
-			strconv.FormatUint(host.InForce, 10), strconv.Itoa(host.Load.Running), strconv.Itoa(host.Load.Queued),
+			strconv.FormatUint(host.ActiveVersion, 10), strconv.Itoa(host.Load.Running), strconv.Itoa(host.Load.Queued),
 		})
 	}
 	return c.print([]string{"HOST", "ROLE", "SITE", "POOL", "STATE", "BUNDLE", "RUNNING", "QUEUED"}, rows, status.Hosts)
--- a/cmd/filbertlever/installation.go
+++ b/cmd/filbertlever/installation.go
@@ -24,12 +24,12 @@
 }
 
 // load reads the settings and returns the file that is reloaded on SIGHUP.
-func (f *installationFile) load(use settings.Use) (*settings.Installation, installation.File, error) {
+func (f *installationFile) load(use settings.Use) (*settings.Installation, installation.SettingsFile, error) {
 	s, err := settings.LoadInstallation(f.Settings, use)
 	if err != nil {
-		return nil, installation.File{}, fmt.Errorf("%w: %w", errUsage, err)
+		return nil, installation.SettingsFile{}, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	return s, installation.File{Path: f.Settings, Reload: hangup.Received()}, nil
+	return s, installation.SettingsFile{Path: f.Settings, Reload: hangup.Received()}, nil
 }
 
 type installationEntryCommand struct {
@@ -48,7 +48,7 @@
 	defer closeOrigin()
 	pool, closePool := channel.New()
 	defer closePool()
-	return installation.RunEntry(ctx, s, file, installation.EntryPorts{
+	return installation.RunEntry(ctx, s, file, installation.EntryDependencies{
 		Store: store, Codec: platform.Codec{}, Sender: platform.NewSender(pool), Origin: origin, Routes: platform.Routes,
 	})
 }
@@ -67,7 +67,7 @@
 	defer closeStore()
 	engine, closeEngine := platform.NewEngine(s.ModelServer.Address)
 	defer closeEngine()
-	return installation.RunAgent(ctx, s, file, installation.AgentPorts{Engine: engine, Entries: store})
+	return installation.RunAgent(ctx, s, file, installation.AgentDependencies{Engine: engine, Entries: store})
 }
 
 type installationCheckCommand struct {
--- a/internal/bench/cluster/cluster.go
+++ b/internal/bench/cluster/cluster.go
@@ -197,7 +197,7 @@
 	}
 	log := zap.NewNop()
 	if host.Role == filbertlever.RoleEntry {
-		c.group.Go(func() { _ = process.RunEntryWith(ctx, &s, config.Routing, hostNetwork, log) })
+		c.group.Go(func() { _ = process.RunEntryWithRouting(ctx, &s, config.Routing, hostNetwork, log) })
 		return nil
 	}
 	engine := standin.NewEngine(config.Engine)
--- a/internal/bench/controlbench/control.go
+++ b/internal/bench/controlbench/control.go
@@ -37,7 +37,7 @@
 // Fit is a least squares line through measured points.
 type Fit struct {
 	// Description names the fitted value and its unit.
-	What string
+	Description string
 	// Base is the intercept, and Slope the increase per unit.
 	Base, Slope float64
 	// Residual is the root mean square of the residuals.
@@ -173,7 +173,7 @@
 		sxy += x(row) * y(row)
 	}
 	slope := (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	f := Fit{What: description, Slope: slope, Base: (sy - slope*sx) / n}
+	f := Fit{Description: description, Slope: slope, Base: (sy - slope*sx) / n}
 	for _, row := range rows {
 		residual := y(row) - f.Base - f.Slope*x(row)
 		f.Residual += residual * residual
--- a/internal/bench/experiment/entry.go
+++ b/internal/bench/experiment/entry.go
@@ -35,7 +35,7 @@
 	region        string
 	fleet         *fleet.Fleet
 	admissionGate admission.EntryGate
-	waitingRoom   *admission.Room
+	waitingRoom   *admission.EntryQueue
 	waiting       map[uint64]*request
 	outage        admission.Outage
 	rng           *rand.Rand
@@ -46,10 +46,10 @@
 	config := fleet.DefaultConfig()
 	config.Site, config.Region, config.Regions = region, region, regions
 	e := &entry{simulation: sim, host: host, region: region, fleet: fleet.New(config, rng), admissionGate: sim.policy.admissionGate(),
-		waitingRoom: admission.NewRoom(), waiting: map[uint64]*request{}, rng: rng}
+		waitingRoom: admission.NewEntryQueue(), waiting: map[uint64]*request{}, rng: rng}
 	promptTokens, answerTokens := sim.meanSizes()
-	engine := &catalog.Engine{Slots: sim.Engine.Slots, Step: sim.Engine.Step, Stride: sim.Engine.Stride,
-		PromptToken: time.Second / time.Duration(sim.Engine.PromptsPerSecond), UsualPrompt: promptTokens, UsualAnswer: answerTokens,
+	engine := &catalog.Engine{Slots: sim.Engine.Slots, StepTime: sim.Engine.Step, StepsPerEvent: sim.Engine.Stride,
+		PromptTokenTime: time.Second / time.Duration(sim.Engine.PromptsPerSecond), MeanPromptTokens: promptTokens, MeanAnswerTokens: answerTokens,
 		ReportLag: reportDelay, Models: []string{modelName}}
 	e.fleet.SetState(catalog.New(1, nil, []catalog.Service{{Name: serviceName, Engine: engine}}, nil, catalog.Limits{}), sim.now)
 	var backends []catalog.Backend
@@ -66,21 +66,21 @@
 	remaining := r.arrivedAt + r.spec.Limit - now
 	placement := e.chooseBackend(r)
 	if !placement.Found {
-		outageDuration := e.outage.Refused(now)
-		if placement.ReadyIn > 0 && placement.ReadyIn < admission.RoomWait && e.enterWaitingRoom(r, remaining) {
+		outageDuration := e.outage.RecordRefusal(now)
+		if placement.ReadyIn > 0 && placement.ReadyIn < admission.EntryQueueTimeout && e.enterWaitingRoom(r, remaining) {
 			return
 		}
-		e.simulation.refuseAttempt(r, admission.ReturnWhenReady(placement.ReadyIn, remaining, outageDuration, e.rng))
+		e.simulation.refuseAttempt(r, admission.RetryAfterOutage(placement.ReadyIn, remaining, outageDuration, e.rng))
 		return
 	}
-	forecast := admission.Forecast{Ahead: placement.Ahead, Reading: placement.Reading, Predicted: placement.Predicted}
-	admitted, retryAfter := e.admissionGate.Admit(forecast, admission.Caller{Left: remaining, Goal: r.spec.Goal}, e.rng)
+	forecast := admission.Forecast{QueuePosition: placement.QueuePosition, PrefillWait: placement.PrefillWait, Predicted: placement.PredictedLatency}
+	admitted, retryAfter := e.admissionGate.Admit(forecast, admission.Caller{Remaining: remaining, Goal: r.spec.Goal}, e.rng)
 	if admitted {
 		e.place(r, &placement)
 		return
 	}
-	e.fleet.Ended(placement.Backend.ID)
-	if now-r.arrivedAt > r.spec.Goal && e.outage.Ended(now) < admission.Recovery && e.enterWaitingRoom(r, remaining) {
+	e.fleet.Release(placement.Backend.ID)
+	if now-r.arrivedAt > r.spec.Goal && e.outage.SinceLastRefusal(now) < admission.RecoveryPeriod && e.enterWaitingRoom(r, remaining) {
 		return
 	}
 	if p := e.simulation.policy; p.ReturnLeast > 0 || p.ReturnSpread > 0 {
@@ -97,11 +97,11 @@
 // place sends a request to the chosen engine, or refuses it if the engine has no weights.
 func (e *entry) place(r *request, p *fleet.Placement) {
 	s := e.simulation.byID[p.Backend.ID]
-	r.current = &attempt{entry: e, request: r, server: s, placedAt: e.simulation.now, predictedDelay: p.Predicted, remainingTokens: r.answerTokens}
+	r.current = &attempt{entry: e, request: r, server: s, placedAt: e.simulation.now, predictedDelay: p.PredictedLatency, remainingTokens: r.answerTokens}
 	if s.loadedVersion == 0 {
-		e.fleet.NoteModelMissing(s.id, e.simulation.now)
-		e.fleet.Ended(s.id)
-		e.simulation.refuseAttempt(r, admission.ReturnTime(0, e.rng))
+		e.fleet.RecordModelMissing(s.id, e.simulation.now)
+		e.fleet.Release(s.id)
+		e.simulation.refuseAttempt(r, admission.RetryAfter(0, e.rng))
 		return
 	}
 	s.enqueue(r.current)
@@ -109,7 +109,7 @@
 
 // enterWaitingRoom lets a request wait for a free slot. It returns false if the room is full.
 func (e *entry) enterWaitingRoom(r *request, remaining time.Duration) bool {
-	id, ok := e.waitingRoom.Enter(serviceName, e.simulation.now+min(admission.RoomWait, remaining/2))
+	id, ok := e.waitingRoom.Add(serviceName, e.simulation.now+min(admission.EntryQueueTimeout, remaining/2))
 	if !ok {
 		return false
 	}
@@ -123,15 +123,15 @@
 // placeWaiting places waiting requests on free slots and refuses expired ones. It repeats while
 // requests wait.
 func (e *entry) placeWaiting() {
-	expired := e.waitingRoom.Scan(e.simulation.now, func(id uint64) bool {
+	expired := e.waitingRoom.Dispatch(e.simulation.now, func(id uint64) bool {
 		r := e.waiting[id]
 		p := e.chooseBackend(r)
 		if !p.Found {
 			return false
 		}
-		forecast := admission.Forecast{Ahead: p.Ahead, Reading: p.Reading, Predicted: p.Predicted}
-		if !e.admissionGate.AdmitWaiting(forecast, r.spec.Goal) {
-			e.fleet.Ended(p.Backend.ID)
+		forecast := admission.Forecast{QueuePosition: p.QueuePosition, PrefillWait: p.PrefillWait, Predicted: p.PredictedLatency}
+		if !e.admissionGate.AdmitQueued(forecast, r.spec.Goal) {
+			e.fleet.Release(p.Backend.ID)
 			return false
 		}
 		delete(e.waiting, id)
@@ -141,7 +141,7 @@
 	for _, id := range expired {
 		r := e.waiting[id]
 		delete(e.waiting, id)
-		e.simulation.refuseAttempt(r, admission.ReturnTime(0, e.rng))
+		e.simulation.refuseAttempt(r, admission.RetryAfter(0, e.rng))
 	}
 	if len(e.waiting) > 0 {
 		e.simulation.after(waitingRoomInterval, e.placeWaiting)
@@ -151,10 +151,10 @@
 // gossip periodically sends this entry's counts to the other entries of its region, or to those of
 // other regions.
 func (e *entry) gossip(local bool, interval time.Duration) {
-	counts := e.fleet.Counts()
+	counts := e.fleet.InFlightCounts()
 	for _, other := range e.simulation.entries {
 		if other != e && (other.region == e.region) == local {
-			other.fleet.SetCounts(e.host, counts, e.simulation.now)
+			other.fleet.SetPeerCounts(e.host, counts, e.simulation.now)
 		}
 	}
 	e.simulation.after(interval, func() { e.gossip(local, interval) })
--- a/internal/bench/experiment/file.go
+++ b/internal/bench/experiment/file.go
@@ -96,13 +96,13 @@
 func (p *Policy) admissionGate() admission.EntryGate {
 	gate := admission.DefaultEntryGate()
 	if p.Waiting != nil {
-		gate.Waiting = *p.Waiting
+		gate.MaxQueuePosition = *p.Waiting
 	}
 	if p.Reading != nil {
-		gate.Reading = *p.Reading
+		gate.MaxPrefillWait = *p.Reading
 	}
 	if p.LateShare != nil {
-		gate.LateShare = *p.LateShare
+		gate.MaxRemainingShare = *p.LateShare
 	}
 	return gate
 }
--- a/internal/bench/experiment/simulation.go
+++ b/internal/bench/experiment/simulation.go
@@ -208,13 +208,13 @@
 // report sends a server's load and loaded weights to all entries. It arrives after reportDelay.
 func (sim *simulation) report(s *engine) {
 	s.sequence++
-	load := fleet.Load{Address: s.address, Sequence: s.sequence, Running: len(s.running), Queued: len(s.queued), LoadedIn: max(s.loadEnd-sim.now, 0)}
+	load := fleet.Report{Address: s.address, Sequence: s.sequence, Running: len(s.running), Queued: len(s.queued), LoadedIn: max(s.loadEnd-sim.now, 0)}
 	if s.loadedVersion > 0 {
 		load.Models = []catalog.Model{{Name: modelName, Version: s.loadedVersion}}
 	}
 	sim.after(reportDelay, func() {
 		for _, e := range sim.entries {
-			e.fleet.Report(load, sim.now)
+			e.fleet.ApplyReport(load, sim.now)
 		}
 	})
 }
@@ -234,23 +234,23 @@
 	} else {
 		sim.secondOf(r).Late++
 	}
-	a.entry.fleet.Progress(a.server.id, sim.now)
-	a.entry.fleet.Observe(a.server.id, a.predictedDelay, sim.now-a.placedAt, sim.now)
+	a.entry.fleet.RecordProgress(a.server.id, sim.now)
+	a.entry.fleet.RecordLatency(a.server.id, a.predictedDelay, sim.now-a.placedAt, sim.now)
 }
 
 // completeAttempt ends an attempt whose answer is complete.
 func (sim *simulation) completeAttempt(a *attempt) {
 	a.ended = true
-	a.entry.fleet.Answered(a.server.id, sim.now)
-	a.entry.fleet.Ended(a.server.id)
+	a.entry.fleet.RecordSuccess(a.server.id, sim.now)
+	a.entry.fleet.Release(a.server.id)
 }
 
 // failAttempt ends an attempt whose server has stopped. Unless the answer has begun, the caller may
 // retry immediately.
 func (sim *simulation) failAttempt(a *attempt) {
 	a.ended = true
-	a.entry.fleet.Ended(a.server.id)
-	a.entry.fleet.NoteModelMissing(a.server.id, sim.now)
+	a.entry.fleet.Release(a.server.id)
+	a.entry.fleet.RecordModelMissing(a.server.id, sim.now)
 	if a.prefilled {
 		s := sim.secondOf(a.request)
 		s.Broken++
--- a/internal/bench/requestsbench/cost.go
+++ b/internal/bench/requestsbench/cost.go
@@ -37,7 +37,7 @@
 		for i := range hosts {
 			id := filbertlever.HostID(fmt.Sprint("model-", i))
 			r.SetHost(filbertlever.Host{ID: id, Site: "site", Region: "region"}, true)
-			r.SetLoaded(id, []routing.Target{"drafter"})
+			r.SetTargets(id, []routing.Target{"drafter"})
 			r.Report(id, routing.Load{Sequence: 1, Concurrency: 8, Incarnation: "life"})
 		}
 		request := &routing.Request{Target: "drafter", PromptTokens: 500}
--- a/internal/bench/requestsbench/measure.go
+++ b/internal/bench/requestsbench/measure.go
@@ -17,7 +17,7 @@
 	Name   string
 	Policy string
 	// LoadFactor is the offered load divided by the capacity.
-	Times float64 `json:"Times"`
+	LoadFactor float64 `json:"Times"`
 	Outcome
 	// Hits is the share of generations with a cached prefix.
 	Hits float64
@@ -68,11 +68,11 @@
 func startCluster(ctx context.Context, policy routing.Policy) (*cluster.Cluster, func(), error) {
 	config := routing.DefaultConfig()
 	config.Policy = policy
-	config.Service = prefillTime + answerTokens*tokenTime
-	config.PrefillToken = prefillTime / (promptBytes / 4)
+	config.ServiceTime = prefillTime + answerTokens*tokenTime
+	config.PrefillPerToken = prefillTime / (promptBytes / 4)
 	return cluster.New(ctx, cluster.Config{
 		Entries: entryCount, Agents: engineCount, Concurrency: slotsPerEngine, Queue: 32, Routing: config,
-		Engine:        standin.EngineConfig{ChecksFencing: true, Slots: slotsPerEngine + slotsPerEngine/4, Prefill: prefillTime, Token: tokenTime, CachedPrompts: cachedPrompts},
+		Engine:        standin.EngineConfig{ChecksFencing: true, Slots: slotsPerEngine + slotsPerEngine/4, PrefillTime: prefillTime, TokenTime: tokenTime, CachedPrompts: cachedPrompts},
 		Organisations: []filbertlever.OrganisationID{largeOrganisation, smallOrganisation},
 	})
 }
@@ -89,7 +89,7 @@
 	before := b.engineCounts()
 	load := Load{Organisation: largeOrganisation, PerSecond: loadFactor * capacity(), Duration: loadDuration, Deadline: requestDeadline, Tokens: answerTokens, Prompts: promptCount, Seed: 1}
 	outcome := b.callers.offerLoad(ctx, load)
-	row := Row{Name: name, Policy: string(b.policy), Times: loadFactor, Outcome: outcome}
+	row := Row{Name: name, Policy: string(b.policy), LoadFactor: loadFactor, Outcome: outcome}
 	if row.Policy == "" {
 		row.Policy = "Predicted"
 	}
@@ -102,7 +102,7 @@
 func (b *clusterBench) engineCounts() engineCounts {
 	var c engineCounts
 	for _, engine := range b.cluster.Engines {
-		generates, hits := engine.Generates()
+		generates, hits := engine.GenerateCounts()
 		c.generates = append(c.generates, generates)
 		c.hits = append(c.hits, hits)
 	}
@@ -204,14 +204,14 @@
 	duringBurst := b.callers.offerLoad(ctx, steady)
 	group.Wait()
 	return []Row{
-		{Name: "small alone", Policy: "Predicted", Times: 0.1, Outcome: alone},
-		{Name: "small beside a burst of 3x", Policy: "Predicted", Times: 0.1, Outcome: duringBurst},
+		{Name: "small alone", Policy: "Predicted", LoadFactor: 0.1, Outcome: alone},
+		{Name: "small beside a burst of 3x", Policy: "Predicted", LoadFactor: 0.1, Outcome: duringBurst},
 	}
 }
 
 func (r *Result) findRow(name, policy string, loadFactor float64) Row {
 	for _, row := range r.Rows {
-		if row.Name == name && row.Policy == policy && row.Times == loadFactor {
+		if row.Name == name && row.Policy == policy && row.LoadFactor == loadFactor {
 			return row
 		}
 	}
--- a/internal/bench/weightsbench/live.go
+++ b/internal/bench/weightsbench/live.go
@@ -41,8 +41,8 @@
 	}
 	defer t.stop()
 	for _, h := range t.hosts {
-		h.inLimiter.SetLive(1)
-		h.outLimiter.SetLive(1)
+		h.inLimiter.SetLiveRequests(1)
+		h.outLimiter.SetLiveRequests(1)
 	}
 	caller := &liveCaller{testbed: t, client: &http.Client{Transport: &http.Transport{DialContext: links.New(1 << 30).DialContext, MaxIdleConnsPerHost: 8}}}
 	defer caller.client.CloseIdleConnections()
--- a/internal/bench/weightsbench/measure.go
+++ b/internal/bench/weightsbench/measure.go
@@ -165,7 +165,7 @@
 // findRow returns the row of a strategy with a number of hosts.
 func (r *Result) findRow(strategy string, hosts int) Row {
 	for _, row := range r.Rows {
-		if row.Way == strategy && row.Hosts == hosts {
+		if row.Strategy == strategy && row.Hosts == hosts {
 			return row
 		}
 	}
--- a/internal/bench/weightsbench/plot.go
+++ b/internal/bench/weightsbench/plot.go
@@ -20,7 +20,7 @@
 	for _, strategy := range []string{StrategyOrigin, StrategyTrees, StrategyTime} {
 		times, copies := plotter.XYs{}, plotter.XYs{}
 		for _, row := range rows {
-			if row.Way == strategy {
+			if row.Strategy == strategy {
 				times = append(times, plotter.XY{X: float64(row.Hosts), Y: row.OverBound})
 				copies = append(copies, plotter.XY{X: float64(row.Hosts), Y: row.OriginCopies})
 			}
--- a/internal/bench/weightsbench/rolls.go
+++ b/internal/bench/weightsbench/rolls.go
@@ -178,9 +178,9 @@
 	}
 	n, cleanup := node.New(node.Config{
 		Host: h, Incarnation: node.NewIncarnation(h.ID), Operators: bundle.Operators{"ana": public}, SignOffs: 1,
-		Poll: 500 * time.Millisecond, Seeds: seeds, Stop: drain.DefaultConfig(),
+		PollInterval: 500 * time.Millisecond, Seeds: seeds, Stop: drain.DefaultConfig(),
 	}, f.platformClient, keys, loopback, zap.NewNop())
-	n.OnAdopted(func(current *state.Current) { f.adopted <- current.Head.Version })
+	n.OnAdopted(func(current *state.ActiveBundle) { f.adopted <- current.Head.Version })
 	mux := http.NewServeMux()
 	mux.Handle(peer.ControlPath, n.Control())
 	listener, err := loopback.Listen(h.PeerAddress)
--- a/internal/bench/weightsbench/rows.go
+++ b/internal/bench/weightsbench/rows.go
@@ -13,8 +13,8 @@
 // Row is the result of one measured burst.
 type Row struct {
 	// Strategy is the way in which the hosts fetched from each other.
-	Way   string `json:"Way"`
-	Hosts int
+	Strategy string `json:"Way"`
+	Hosts    int
 	// Last and Median are the fetch times of the slowest and the median host, and
 	// Bound is the lower bound, all in seconds.
 	Last, Median, Bound float64
@@ -44,10 +44,10 @@
 // burst.
 func fetchConfig() weights.FetchConfig {
 	c := weights.DefaultFetchConfig()
-	c.Planner.Takeover = 500 * time.Millisecond
-	c.Planner.Avoid = 500 * time.Millisecond
-	c.Stall = 250 * time.Millisecond
-	c.Wait = 250 * time.Millisecond
+	c.Planner.TakeoverTimeout = 500 * time.Millisecond
+	c.Planner.Backoff = 500 * time.Millisecond
+	c.StallTimeout = 250 * time.Millisecond
+	c.PeerWait = 250 * time.Millisecond
 	return c
 }
 
@@ -57,7 +57,7 @@
 	c.Planner.Shape = treeShapes[strategy]
 	if strategy == StrategyOrigin {
 		// All hosts share the origin's link, so a chunk takes seconds.
-		c.Stall, c.Planner.Takeover = originBurstTimeout, originBurstTimeout
+		c.StallTimeout, c.Planner.TakeoverTimeout = originBurstTimeout, originBurstTimeout
 	}
 	t, err := newTestbed(scale, hosts, c)
 	if err != nil {
@@ -107,7 +107,7 @@
 	bound := t.scale.Bound().Seconds()
 	slowest := times[len(times)-1]
 	return Row{
-		Way: strategy, Hosts: len(t.hosts), Last: slowest, Median: times[len(times)/2], Bound: bound, OverBound: slowest / bound,
+		Strategy: strategy, Hosts: len(t.hosts), Last: slowest, Median: times[len(times)/2], Bound: bound, OverBound: slowest / bound,
 		OriginCopies: float64(t.originBytes.Load()) / float64(t.scale.Size),
 		SiteCopies:   float64(crossSite) / float64(len(t.manifest.Chunks)),
 	}
--- a/internal/bench/weightsbench/testbed.go
+++ b/internal/bench/weightsbench/testbed.go
@@ -122,11 +122,11 @@
 // addHost starts host i.
 func (t *testbed) addHost(i int, config weights.FetchConfig) error {
 	h := &benchHost{id: filbertlever.HostID(fmt.Sprint("model-", i)), site: fmt.Sprint("site-", i%siteCount), link: links.New(t.scale.HostRate)}
-	h.library = weights.NewLibrary(state.NewChunks())
+	h.library = weights.NewLibrary(state.NewChunkStore())
 	h.library.Add(t.digest, t.manifest, t.encodedManifest)
 	h.client = &http.Client{Transport: &http.Transport{DialContext: h.link.DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true}}
 	mux := http.NewServeMux()
-	pace := distribution.Pace{Link: t.scale.HostRate, Share: distribution.DefaultShare}
+	pace := distribution.BandwidthLimit{Capacity: t.scale.HostRate, Share: distribution.DefaultBandwidthShare}
 	h.inLimiter, h.outLimiter = weights.NewLimiter(pace), weights.NewLimiter(pace)
 	server := weights.NewServer(h.library, h.outLimiter)
 	server.Routes(mux, func(next http.Handler) http.Handler { return t.corruptResponses(next) })
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -137,8 +137,8 @@
 	q := admission.NewQueue(1, 10)
 	q.Offer(item(1, "a"), epoch)
 	q.Offer(item(2, "a"), epoch)
-	c.Assert(q.Withdraw(2), qt.IsTrue)
-	c.Assert(q.Withdraw(2), qt.IsFalse)
+	c.Assert(q.Cancel(2), qt.IsTrue)
+	c.Assert(q.Cancel(2), qt.IsFalse)
 	c.Assert(q.Done(1, epoch), qt.HasLen, 0)
 	c.Assert(q.Running()+q.Waiting(), qt.Equals, 0)
 }
@@ -197,11 +197,11 @@
 	now := epoch
 	for range 100 {
 		now = now.Add(2 * time.Second)
-		l.FirstToken(3*time.Second, now)
+		l.RecordFirstToken(3*time.Second, now)
 	}
 	c.Assert(l.Value(), qt.Equals, 5)
 	for range 1000 {
-		l.FirstToken(time.Millisecond, now)
+		l.RecordFirstToken(time.Millisecond, now)
 	}
 	c.Assert(l.Value(), qt.Equals, 20)
 }
--- a/internal/coordination/admission/entry.go
+++ b/internal/coordination/admission/entry.go
@@ -12,20 +12,20 @@
 type EntryGate struct {
 	// MaxQueuePosition is how many requests may wait at a server. It is the same for all kinds of
 	// requests, so that those with a short goal are not the ones refused.
-	Waiting int
+	MaxQueuePosition int
 	// MaxPrefillWait is the longest prefill backlog of a server that gets a request. A longer one
 	// delays all requests of the server, including earlier ones.
-	Reading time.Duration
+	MaxPrefillWait time.Duration
 	// MaxRemainingShare is the largest fraction of the caller's remaining time that the predicted
 	// first token may take.
-	LateShare float64
+	MaxRemainingShare float64
 }
 
 // DefaultEntryGate returns the bounds used in production. Entries observe each other's requests with
 // a delay: a slot that one entry counts as free is often taken, so a request admitted to a queue waits
 // behind more requests than were counted.
 func DefaultEntryGate() EntryGate {
-	return EntryGate{Waiting: 0, Reading: 100 * time.Millisecond, LateShare: 0.3}
+	return EntryGate{MaxQueuePosition: 0, MaxPrefillWait: 100 * time.Millisecond, MaxRemainingShare: 0.3}
 }
 
 // Bounds of the retry delay of requests that an EntryGate refuses.
@@ -50,9 +50,9 @@
 type Forecast struct {
 	// QueuePosition is how many requests the server would have above its concurrency, this one
 	// included. It is 0 or less if the request need not wait.
-	Ahead int
+	QueuePosition int
 	// PrefillWait is how long the server still prefills earlier prompts.
-	Reading time.Duration
+	PrefillWait time.Duration
 	// Predicted is the predicted time to first token.
 	Predicted time.Duration
 }
@@ -60,7 +60,7 @@
 // Caller holds the time limits of a request's caller.
 type Caller struct {
 	// Remaining is the time until the deadline.
-	Left time.Duration
+	Remaining time.Duration
 	// Goal is the time to first token that the caller expects; 0 if there is none.
 	Goal time.Duration
 }
@@ -71,19 +71,19 @@
 // It is unknown when a slot becomes free, so callers retry while they can still be answered in time.
 // The end of a prefill backlog is predicted, so callers wait for it.
 func (g EntryGate) Admit(f Forecast, c Caller, rng *rand.Rand) (bool, time.Duration) {
-	if f.Ahead <= g.Waiting && f.Reading <= g.Reading && f.Predicted <= time.Duration(g.LateShare*float64(c.Left)) {
+	if f.QueuePosition <= g.MaxQueuePosition && f.PrefillWait <= g.MaxPrefillWait && f.Predicted <= time.Duration(g.MaxRemainingShare*float64(c.Remaining)) {
 		return true, 0
 	}
-	slotDelay := time.Duration(f.Ahead-g.Waiting-1) * retryAfterPerSlot
+	slotDelay := time.Duration(f.QueuePosition-g.MaxQueuePosition-1) * retryAfterPerSlot
 	if c.Goal > 0 {
 		slotDelay = min(slotDelay, time.Duration(retryAfterGoalShare*float64(c.Goal)))
 	}
-	return false, ReturnTime(max(slotDelay, f.Reading-g.Reading), rng)
+	return false, RetryAfter(max(slotDelay, f.PrefillWait-g.MaxPrefillWait), rng)
 }
 
 // RetryAfter returns the retry delay of a caller that was refused because a queue exceeds its bound
 // by excess.
-func ReturnTime(excess time.Duration, rng *rand.Rand) time.Duration {
+func RetryAfter(excess time.Duration, rng *rand.Rand) time.Duration {
 	base := min(max(excess, gateMinRetryAfter), gateMaxRetryAfter)
 	return base + time.Duration(retryAfterJitter*rng.Float64()*float64(base))
 }
@@ -115,7 +115,7 @@
 
 // RecordRefusal records that a request was refused because no server can take it, and returns how
 // long the outage has lasted.
-func (o *Outage) Refused(now time.Duration) time.Duration {
+func (o *Outage) RecordRefusal(now time.Duration) time.Duration {
 	if o.lastRefusal == 0 || now-o.lastRefusal > outageMaxRefusalGap {
 		o.start = now
 	}
@@ -125,7 +125,7 @@
 
 // SinceLastRefusal returns the time since the last refusal, or the longest duration if there was
 // none.
-func (o *Outage) Ended(now time.Duration) time.Duration {
+func (o *Outage) SinceLastRefusal(now time.Duration) time.Duration {
 	if o.lastRefusal == 0 {
 		return math.MaxInt64
 	}
@@ -134,7 +134,7 @@
 
 // RecoveryPeriod is the time after an outage in which refused callers still retry and the servers
 // work off their requests.
-const Recovery = 4 * time.Second
+const RecoveryPeriod = 4 * time.Second
 
 // RetryAfterOutage returns the retry delay of a caller that was refused because no server holds the
 // weights that it needs. The time until a server is ready is readyIn, 0 if unknown; remaining is the
@@ -143,7 +143,7 @@
 // A caller retries once or twice. If it is unknown when a server will be ready, the caller gets nearly
 // the longest delay that it can wait, so that its last retry does not come too early. Otherwise the
 // retries are spread over as long a period as the outage has lasted.
-func ReturnWhenReady(readyIn, remaining, outage time.Duration, rng *rand.Rand) time.Duration {
+func RetryAfterOutage(readyIn, remaining, outage time.Duration, rng *rand.Rand) time.Duration {
 	latest := time.Duration(outageRemainingShare * float64(remaining))
 	spread := min(outage, latest-readyIn)
 	if readyIn <= 0 {
--- a/internal/coordination/admission/entry_queue.go
+++ b/internal/coordination/admission/entry_queue.go
@@ -12,7 +12,7 @@
 // New requests do not wait here: in a long overload every queued request is late and takes a slot
 // from one that would be in time. Queued requests only get slots that are free anyway, and the
 // capacity shrinks when few of them are served. It is not safe for concurrent use.
-type Room struct {
+type EntryQueue struct {
 	// capacity is how many requests may wait.
 	capacity float64
 	waiting  []queuedRequest
@@ -50,13 +50,13 @@
 
 // EntryQueueTimeout is how long a request waits in an EntryQueue. Its prompt still has to be read
 // before its caller disconnects.
-const RoomWait = 1200 * time.Millisecond
+const EntryQueueTimeout = 1200 * time.Millisecond
 
 // NewEntryQueue returns an empty queue.
-func NewRoom() *Room { return &Room{capacity: initialCapacity} }
+func NewEntryQueue() *EntryQueue { return &EntryQueue{capacity: initialCapacity} }
 
 // Add queues a request of a service until a timeout. It returns false if the queue is full.
-func (q *Room) Enter(service string, timeout time.Duration) (id uint64, ok bool) {
+func (q *EntryQueue) Add(service string, timeout time.Duration) (id uint64, ok bool) {
 	if len(q.waiting) >= int(q.capacity) {
 		return 0, false
 	}
@@ -66,16 +66,16 @@
 }
 
 // Remove removes a request whose caller has disconnected.
-func (q *Room) Leave(id uint64) {
+func (q *EntryQueue) Remove(id uint64) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(r queuedRequest) bool { return r.id == id })
 }
 
 // Empty reports whether no request waits.
-func (q *Room) Empty() bool { return len(q.waiting) == 0 }
+func (q *EntryQueue) Empty() bool { return len(q.waiting) == 0 }
 
 // Dispatch offers slots to the queued requests in the order of arrival. Once take refuses a request,
 // no further ones of its service are offered. Dispatch returns the requests that timed out.
-func (q *Room) Scan(now time.Duration, take func(id uint64) bool) (expired []uint64) {
+func (q *EntryQueue) Dispatch(now time.Duration, take func(id uint64) bool) (expired []uint64) {
 	full := map[string]bool{}
 	q.waiting = slices.DeleteFunc(q.waiting, func(r queuedRequest) bool {
 		if !full[r.service] && take(r.id) {
@@ -95,6 +95,6 @@
 
 // AdmitQueued reports whether a queued request is sent to a server: only if enough slots are free
 // and the prefill backlog is short.
-func (g EntryGate) AdmitWaiting(f Forecast, goal time.Duration) bool {
-	return f.Ahead <= -queuedReservedSlots && f.Reading <= queuedMaxPrefillWait && f.Predicted <= time.Duration(queuedMaxGoalShare*float64(goal))
+func (g EntryGate) AdmitQueued(f Forecast, goal time.Duration) bool {
+	return f.QueuePosition <= -queuedReservedSlots && f.PrefillWait <= queuedMaxPrefillWait && f.Predicted <= time.Duration(queuedMaxGoalShare*float64(goal))
 }
--- a/internal/coordination/admission/entry_queue_test.go
+++ b/internal/coordination/admission/entry_queue_test.go
@@ -11,20 +11,20 @@
 // timeout goes unnoticed.
 func TestEntryQueueIsFIFOPerService(t *testing.T) {
 	c := qt.New(t)
-	q := NewRoom()
-	first, _ := q.Enter("models", time.Second)
-	second, _ := q.Enter("models", time.Second)
-	other, _ := q.Enter("others", 2*time.Second)
+	q := NewEntryQueue()
+	first, _ := q.Add("models", time.Second)
+	second, _ := q.Add("models", time.Second)
+	other, _ := q.Add("others", 2*time.Second)
 	var asked []uint64
-	expired := q.Scan(0, func(id uint64) bool { asked = append(asked, id); return false })
+	expired := q.Dispatch(0, func(id uint64) bool { asked = append(asked, id); return false })
 	c.Assert(expired, qt.HasLen, 0)
 	c.Assert(asked, qt.DeepEquals, []uint64{first, other})
-	expired = q.Scan(0, func(id uint64) bool { return id == first })
+	expired = q.Dispatch(0, func(id uint64) bool { return id == first })
 	c.Assert(expired, qt.HasLen, 0)
-	expired = q.Scan(time.Second, func(uint64) bool { return false })
+	expired = q.Dispatch(time.Second, func(uint64) bool { return false })
 	c.Assert(expired, qt.DeepEquals, []uint64{second})
 	c.Assert(q.Empty(), qt.IsFalse)
-	q.Leave(other)
+	q.Remove(other)
 	c.Assert(q.Empty(), qt.IsTrue)
 }
 
@@ -32,18 +32,18 @@
 // may wait then.
 func TestEntryQueueShrinksWhenRequestsTimeOut(t *testing.T) {
 	c := qt.New(t)
-	q := NewRoom()
+	q := NewEntryQueue()
 	waited := 0
 	for now := time.Duration(0); now < 30*time.Second; now += 20 * time.Millisecond {
-		if _, ok := q.Enter("models", now+RoomWait); ok && now > 10*time.Second {
+		if _, ok := q.Add("models", now+EntryQueueTimeout); ok && now > 10*time.Second {
 			waited++
 		}
-		q.Scan(now, func(uint64) bool { return false })
+		q.Dispatch(now, func(uint64) bool { return false })
 	}
 	c.Assert(waited <= 20*minCapacity, qt.IsTrue, qt.Commentf("%d waited until their timeout in 20 s", waited))
 	for range 200 {
-		q.Enter("models", time.Hour)
-		q.Scan(0, func(uint64) bool { return true })
+		q.Add("models", time.Hour)
+		q.Dispatch(0, func(uint64) bool { return true })
 	}
 	c.Assert(int(q.capacity), qt.Equals, maxCapacity)
 }
@@ -106,7 +106,7 @@
 
 // simulateOutage runs 11 engines for 12 s at three fifths of their capacity. An outage of all engines
 // begins after 2 s and lasts 2.3 s.
-func simulateOutage(queues []*Room) answerCounts {
+func simulateOutage(queues []*EntryQueue) answerCounts {
 	const step, perSecond, goal, timeout = 5 * time.Millisecond, 80, 400 * time.Millisecond, 6 * time.Second
 	const outageStart, outageEnd = 2 * time.Second, 4300 * time.Millisecond
 	rng, gate, outage := newRng(), DefaultEntryGate(), Outage{}
@@ -140,12 +140,12 @@
 		for _, r := range arrivals {
 			remaining := timeout - (now - r.arrived)
 			if unavailable {
-				refuse(r, now, ReturnWhenReady(0, remaining, outage.Refused(now), rng))
+				refuse(r, now, RetryAfterOutage(0, remaining, outage.RecordRefusal(now), rng))
 				continue
 			}
 			best, position, prefillWait := e.best(now)
 			firstToken := predictFirstToken(position, prefillWait)
-			ok, retryAfter := gate.Admit(Forecast{Ahead: position, Reading: prefillWait, Predicted: firstToken}, Caller{Left: remaining, Goal: goal}, rng)
+			ok, retryAfter := gate.Admit(Forecast{QueuePosition: position, PrefillWait: prefillWait, Predicted: firstToken}, Caller{Remaining: remaining, Goal: goal}, rng)
 			if ok {
 				e.start(best, now, firstToken)
 				recordAnswer(r, now, firstToken)
@@ -153,7 +153,7 @@
 			}
 			if len(queues) > 0 && now-r.arrived > goal {
 				queue := rng.IntN(len(queues))
-				if id, ok := queues[queue].Enter("models", now+RoomWait); ok {
+				if id, ok := queues[queue].Add("models", now+EntryQueueTimeout); ok {
 					waiting[ticket{queue, id}] = r
 					continue
 				}
@@ -164,10 +164,10 @@
 			continue
 		}
 		for n, queue := range queues {
-			expired := queue.Scan(now, func(id uint64) bool {
+			expired := queue.Dispatch(now, func(id uint64) bool {
 				best, position, prefillWait := e.best(now)
 				firstToken := predictFirstToken(position, prefillWait)
-				if !gate.AdmitWaiting(Forecast{Ahead: position, Reading: prefillWait, Predicted: firstToken}, goal) {
+				if !gate.AdmitQueued(Forecast{QueuePosition: position, PrefillWait: prefillWait, Predicted: firstToken}, goal) {
 					return false
 				}
 				e.start(best, now, firstToken)
@@ -187,9 +187,9 @@
 // that can be answered in time must not suffer from the queue.
 func TestEntryQueueServesLateCallersAfterOutage(t *testing.T) {
 	c := qt.New(t)
-	var queues []*Room
+	var queues []*EntryQueue
 	for range 6 {
-		queues = append(queues, NewRoom())
+		queues = append(queues, NewEntryQueue())
 	}
 	without, with := simulateOutage(nil), simulateOutage(queues)
 	t.Logf("without %+v, with %+v", without, with)
--- a/internal/coordination/admission/entry_test.go
+++ b/internal/coordination/admission/entry_test.go
@@ -16,9 +16,9 @@
 	c := qt.New(t)
 	gate := DefaultEntryGate()
 	for _, predicted := range []time.Duration{90 * time.Millisecond, 250 * time.Millisecond} {
-		admitted, _ := gate.Admit(Forecast{Ahead: gate.Waiting, Predicted: predicted}, Caller{Left: 6 * time.Second}, newRng())
+		admitted, _ := gate.Admit(Forecast{QueuePosition: gate.MaxQueuePosition, Predicted: predicted}, Caller{Remaining: 6 * time.Second}, newRng())
 		c.Assert(admitted, qt.IsTrue)
-		admitted, _ = gate.Admit(Forecast{Ahead: gate.Waiting + 1, Predicted: predicted}, Caller{Left: 6 * time.Second}, newRng())
+		admitted, _ = gate.Admit(Forecast{QueuePosition: gate.MaxQueuePosition + 1, Predicted: predicted}, Caller{Remaining: 6 * time.Second}, newRng())
 		c.Assert(admitted, qt.IsFalse)
 	}
 }
@@ -26,7 +26,7 @@
 // A request is sent to a free slot although it cannot be answered in its
 // remaining time.
 func TestGateRefusesIfDeadlineCannotBeMet(t *testing.T) {
-	admitted, retryAfter := DefaultEntryGate().Admit(Forecast{Ahead: -5, Predicted: time.Second}, Caller{Left: time.Second}, newRng())
+	admitted, retryAfter := DefaultEntryGate().Admit(Forecast{QueuePosition: -5, Predicted: time.Second}, Caller{Remaining: time.Second}, newRng())
 	qt.Assert(t, admitted, qt.IsFalse)
 	qt.Assert(t, retryAfter > 0, qt.IsTrue)
 }
@@ -38,7 +38,7 @@
 	rng := newRng()
 	seen := map[time.Duration]bool{}
 	for range 50 {
-		_, retryAfter := DefaultEntryGate().Admit(Forecast{Ahead: 2, Predicted: 200 * time.Millisecond}, Caller{Left: 6 * time.Second}, rng)
+		_, retryAfter := DefaultEntryGate().Admit(Forecast{QueuePosition: 2, Predicted: 200 * time.Millisecond}, Caller{Remaining: 6 * time.Second}, rng)
 		c.Assert(retryAfter >= gateMinRetryAfter && retryAfter <= 2*gateMinRetryAfter, qt.IsTrue)
 		seen[retryAfter] = true
 	}
@@ -51,10 +51,10 @@
 	c := qt.New(t)
 	rng := newRng()
 	for range 50 {
-		retryAfter := ReturnWhenReady(1800*time.Millisecond, 6*time.Second, 3*time.Second, rng)
+		retryAfter := RetryAfterOutage(1800*time.Millisecond, 6*time.Second, 3*time.Second, rng)
 		c.Assert(retryAfter >= 1800*time.Millisecond && retryAfter <= 1800*time.Millisecond+outageMinJitter, qt.IsTrue)
 	}
-	c.Assert(ReturnWhenReady(0, 6*time.Second, 0, rng) >= outageMinRetryAfter, qt.IsTrue)
+	c.Assert(RetryAfterOutage(0, 6*time.Second, 0, rng) >= outageMinRetryAfter, qt.IsTrue)
 }
 
 // All servers become ready together after an outage, and callers retry once. With a delay of just
@@ -76,7 +76,7 @@
 		if now-time.Second >= predictedFrom {
 			readyIn = time.Second + outage - now
 		}
-		retryAt := now + ReturnWhenReady(readyIn, remaining, o.Refused(now), rng)
+		retryAt := now + RetryAfterOutage(readyIn, remaining, o.RecordRefusal(now), rng)
 		if retryAt < time.Second+outage {
 			early++
 		}
@@ -116,7 +116,7 @@
 			}
 			position := fewest + 1 - slots
 			wait := time.Duration(max(position, 0)) * serviceTime / slots
-			if ok, _ := gate.Admit(Forecast{Ahead: position, Predicted: 130*time.Millisecond + wait}, Caller{Left: 6 * time.Second}, rng); !ok {
+			if ok, _ := gate.Admit(Forecast{QueuePosition: position, Predicted: 130*time.Millisecond + wait}, Caller{Remaining: 6 * time.Second}, rng); !ok {
 				continue
 			}
 			duration := time.Duration(rng.ExpFloat64() * float64(serviceTime))
@@ -130,7 +130,7 @@
 		return inTime, late
 	}
 	inTime, late := run(DefaultEntryGate())
-	ungatedInTime, ungatedLate := run(EntryGate{Waiting: 1 << 20, LateShare: 1})
+	ungatedInTime, ungatedLate := run(EntryGate{MaxQueuePosition: 1 << 20, MaxRemainingShare: 1})
 	t.Logf("with the gate %d in time, %d late; without %d and %d", inTime, late, ungatedInTime, ungatedLate)
 	c.Assert(late, qt.Equals, 0)
 	c.Assert(inTime > 5*ungatedInTime, qt.IsTrue)
@@ -143,9 +143,9 @@
 func TestGateRefusesIfPrefillBacklogIsTooLong(t *testing.T) {
 	c := qt.New(t)
 	gate := DefaultEntryGate()
-	admitted, _ := gate.Admit(Forecast{Ahead: -8, Reading: gate.Reading, Predicted: 300 * time.Millisecond}, Caller{Left: 6 * time.Second}, newRng())
+	admitted, _ := gate.Admit(Forecast{QueuePosition: -8, PrefillWait: gate.MaxPrefillWait, Predicted: 300 * time.Millisecond}, Caller{Remaining: 6 * time.Second}, newRng())
 	c.Assert(admitted, qt.IsTrue)
-	admitted, retryAfter := gate.Admit(Forecast{Ahead: -8, Reading: gate.Reading + 150*time.Millisecond, Predicted: 450 * time.Millisecond}, Caller{Left: 6 * time.Second}, newRng())
+	admitted, retryAfter := gate.Admit(Forecast{QueuePosition: -8, PrefillWait: gate.MaxPrefillWait + 150*time.Millisecond, Predicted: 450 * time.Millisecond}, Caller{Remaining: 6 * time.Second}, newRng())
 	c.Assert(admitted, qt.IsFalse)
 	c.Assert(retryAfter >= 150*time.Millisecond, qt.IsTrue)
 }
--- a/internal/coordination/admission/limit.go
+++ b/internal/coordination/admission/limit.go
@@ -32,7 +32,7 @@
 func (l *Limit) Value() int { return int(l.value) }
 
 // RecordFirstToken records the time to first token of a request.
-func (l *Limit) FirstToken(took time.Duration, now time.Time) {
+func (l *Limit) RecordFirstToken(took time.Duration, now time.Time) {
 	if took <= l.target {
 		l.value = min(l.value+1/l.value, l.maximum)
 		return
@@ -41,7 +41,7 @@
 }
 
 // RecordFailure records that the server failed a request.
-func (l *Limit) Failed(now time.Time) { l.decrease(now) }
+func (l *Limit) RecordFailure(now time.Time) { l.decrease(now) }
 
 func (l *Limit) decrease(now time.Time) {
 	if !l.decreasedAt.IsZero() && now.Sub(l.decreasedAt) < l.target {
--- a/internal/coordination/admission/overload_test.go
+++ b/internal/coordination/admission/overload_test.go
@@ -24,7 +24,7 @@
 		for _, r := range arrivals {
 			best, position, prefillWait := e.best(now)
 			firstToken := predictFirstToken(position, prefillWait)
-			ok, retryAfter := gate.Admit(Forecast{Ahead: position, Reading: prefillWait, Predicted: firstToken}, Caller{Left: timeout - (now - r.arrived), Goal: goal}, rng)
+			ok, retryAfter := gate.Admit(Forecast{QueuePosition: position, PrefillWait: prefillWait, Predicted: firstToken}, Caller{Remaining: timeout - (now - r.arrived), Goal: goal}, rng)
 			switch {
 			case ok:
 				e.start(best, now, firstToken)
@@ -66,16 +66,16 @@
 		goal     time.Duration
 		min, max time.Duration
 	}{
-		{"one slot is missing", Forecast{Ahead: 1}, goal, gateMinRetryAfter, 2 * gateMinRetryAfter},
-		{"three slots are missing", Forecast{Ahead: 4}, goal, 3 * retryAfterPerSlot, 5 * retryAfterPerSlot},
-		{"many slots are missing", Forecast{Ahead: 40}, goal, goal / 4, goal / 2},
-		{"many slots are missing, without a goal", Forecast{Ahead: 40}, 0, 39 * retryAfterPerSlot, 2 * 39 * retryAfterPerSlot},
-		{"short prefill backlog", Forecast{Reading: gate.Reading + 300*time.Millisecond}, goal, 300 * time.Millisecond, 450 * time.Millisecond},
-		{"long prefill backlog", Forecast{Reading: time.Minute}, goal, gateMaxRetryAfter, 2 * gateMaxRetryAfter},
+		{"one slot is missing", Forecast{QueuePosition: 1}, goal, gateMinRetryAfter, 2 * gateMinRetryAfter},
+		{"three slots are missing", Forecast{QueuePosition: 4}, goal, 3 * retryAfterPerSlot, 5 * retryAfterPerSlot},
+		{"many slots are missing", Forecast{QueuePosition: 40}, goal, goal / 4, goal / 2},
+		{"many slots are missing, without a goal", Forecast{QueuePosition: 40}, 0, 39 * retryAfterPerSlot, 2 * 39 * retryAfterPerSlot},
+		{"short prefill backlog", Forecast{PrefillWait: gate.MaxPrefillWait + 300*time.Millisecond}, goal, 300 * time.Millisecond, 450 * time.Millisecond},
+		{"long prefill backlog", Forecast{PrefillWait: time.Minute}, goal, gateMaxRetryAfter, 2 * gateMaxRetryAfter},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			_, retryAfter := gate.Admit(test.forecast, Caller{Left: 6 * time.Second, Goal: test.goal}, newRng())
+			_, retryAfter := gate.Admit(test.forecast, Caller{Remaining: 6 * time.Second, Goal: test.goal}, newRng())
 			qt.Assert(t, retryAfter >= test.min && retryAfter <= test.max, qt.IsTrue, qt.Commentf("%v", retryAfter))
 		})
 	}
--- a/internal/coordination/admission/propagation_test.go
+++ b/internal/coordination/admission/propagation_test.go
@@ -51,7 +51,7 @@
 				best, fewest = e, observed
 			}
 		}
-		if ok, _ := gate.Admit(Forecast{Ahead: fewest + 1 - s.slots, Predicted: firstToken}, Caller{Left: 6 * time.Second}, rng); !ok {
+		if ok, _ := gate.Admit(Forecast{QueuePosition: fewest + 1 - s.slots, Predicted: firstToken}, Caller{Remaining: 6 * time.Second}, rng); !ok {
 			continue
 		}
 		waiting := max(len(engines[best])+1-s.slots, 0)
@@ -74,7 +74,7 @@
 	for seed := range uint64(5) {
 		run := func(gate EntryGate) (int, int) { return s.run(gate, 20*time.Second, rand.New(rand.NewPCG(seed, 1))) }
 		queueing := DefaultEntryGate()
-		queueing.Waiting++
+		queueing.MaxQueuePosition++
 		inTime, late := run(DefaultEntryGate())
 		inTimeQueueing, lateQueueing := run(queueing)
 		c.Logf("%d in time, %d late; with a queue %d and %d", inTime, late, inTimeQueueing, lateQueueing)
--- a/internal/coordination/admission/queue.go
+++ b/internal/coordination/admission/queue.go
@@ -142,7 +142,7 @@
 func (q *Queue) Sequence() uint64 { return q.sequence }
 
 // PredictedWait predicts how long a new item waits before it starts.
-func (q *Queue) Wait() time.Duration {
+func (q *Queue) PredictedWait() time.Duration {
 	if len(q.running) < q.concurrency && q.waiting == 0 {
 		return 0
 	}
@@ -200,7 +200,7 @@
 
 // Cancel removes a waiting item whose caller has disconnected, and reports
 // whether it was waiting.
-func (q *Queue) Withdraw(id uint64) bool {
+func (q *Queue) Cancel(id uint64) bool {
 	for _, f := range q.flows {
 		for i := range f.items {
 			if f.items[i].ID != id {
@@ -349,7 +349,7 @@
 }
 
 func (q *Queue) refuse(id uint64, reason string) Decision {
-	return Decision{ID: id, Verdict: VerdictRefuse, Reason: reason, RetryAfter: min(max(q.Wait(), queueMinRetryAfter), queueMaxRetryAfter)}
+	return Decision{ID: id, Verdict: VerdictRefuse, Reason: reason, RetryAfter: min(max(q.PredictedWait(), queueMinRetryAfter), queueMaxRetryAfter)}
 }
 
 // flowFor returns the flow of an item's organisation and updates its weight.
--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -20,9 +20,9 @@
 // The kinds.
 const (
 	// KindNonIdempotent requests may run at most once.
-	KindOnce Kind = iota
+	KindNonIdempotent Kind = iota
 	// KindIdempotent requests may run more than once.
-	KindRepeatable
+	KindIdempotent
 	// KindStream requests are answered by a series of events. They may run at most
 	// once, unless the route is resumable.
 	KindStream
@@ -43,15 +43,15 @@
 	// Timeout limits the total time of a request. 0 means no limit.
 	Timeout time.Duration
 	// FirstByteGoal is the latency objective for the first byte of an answer.
-	Goal time.Duration
+	FirstByteGoal time.Duration
 	// MaxEventGap is the longest gap between events that callers accept. 0 means
 	// unknown.
-	Pause time.Duration
+	MaxEventGap time.Duration
 	// Priority is the priority of the requests. 0 is the most urgent.
 	Priority int
 	// MaxAttempts is the number of servers to which one request may be sent, at
 	// least 1.
-	Attempts int
+	MaxAttempts int
 	// Anonymous is true if requests need no key.
 	Anonymous bool
 	// Resumable is true if an interrupted stream may continue at another server.
@@ -61,8 +61,8 @@
 }
 
 // Retryable reports whether a request of the route may run again.
-func (r *Route) Repeatable() bool {
-	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resumable
+func (r *Route) Retryable() bool {
+	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
 // Engine describes the model servers of a service.
@@ -71,20 +71,20 @@
 	Slots int
 	// StepTime is the duration of one decoding step of a full batch, which generates
 	// one token per request.
-	Step time.Duration
+	StepTime time.Duration
 	// StepsPerEvent is the number of steps that a server runs between two events.
-	Stride int
+	StepsPerEvent int
 	// PromptTokenTime is the prefill time of one prompt token.
-	PromptToken time.Duration
+	PromptTokenTime time.Duration
 	// PrefillChunk is the maximum number of prompt tokens that are prefilled within
 	// one step. 0 means unknown.
-	Chunk int
+	PrefillChunk int
 	// AttentionTime is the additional prefill time per million pairs of a prompt
 	// token and an earlier token.
-	MillionPairs time.Duration
+	AttentionTime time.Duration
 	// MeanPromptTokens and MeanAnswerTokens are the mean sizes of prompts and answers.
-	UsualPrompt int
-	UsualAnswer int
+	MeanPromptTokens int
+	MeanAnswerTokens int
 	// ReportLag is the age of a load report when it is read.
 	ReportLag time.Duration
 	// Models are the models that the service's servers may hold.
@@ -103,14 +103,14 @@
 // new requests. It assumes that each step of such a pass prefills a whole chunk of
 // prompt tokens. If the size of the chunk is unknown, it assumes that the pass
 // prefills the prompts of a whole batch.
-func (e *Engine) LongestPass() time.Duration {
-	steps := time.Duration(e.Stride) * e.Step
-	if e.Chunk == 0 {
-		return steps + time.Duration(e.Slots*e.UsualPrompt)*e.PromptToken
+func (e *Engine) MaxPassTime() time.Duration {
+	steps := time.Duration(e.StepsPerEvent) * e.StepTime
+	if e.PrefillChunk == 0 {
+		return steps + time.Duration(e.Slots*e.MeanPromptTokens)*e.PromptTokenTime
 	}
-	pairs := float64(e.Chunk) * float64(longPromptFactor*e.UsualPrompt) / 1e6
-	prefill := time.Duration(e.Chunk)*e.PromptToken + time.Duration(pairs*float64(e.MillionPairs))
-	return steps + time.Duration(e.Stride)*prefill
+	pairs := float64(e.PrefillChunk) * float64(longPromptFactor*e.MeanPromptTokens) / 1e6
+	prefill := time.Duration(e.PrefillChunk)*e.PromptTokenTime + time.Duration(pairs*float64(e.AttentionTime))
+	return steps + time.Duration(e.StepsPerEvent)*prefill
 }
 
 // Service is a group of interchangeable servers.
@@ -119,7 +119,7 @@
 	// Engine is nil if the servers are not model servers.
 	Engine *Engine
 	// MaxConnections limits the connections to one server from all callers together.
-	Channels int
+	MaxConnections int
 	// Origin is the address of the origin of weights, if the service is one.
 	Origin     string
 	OriginSite string
@@ -129,12 +129,12 @@
 
 // Limits limits what a caller may send. Zero means no limit.
 type Limits struct {
-	Header int
-	Body   int64
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
 	// HeaderTimeout limits the time until the header of a request has arrived, and
 	// IdleTimeout the time for which a connection may be idle.
-	HeaderTime time.Duration
-	IdleTime   time.Duration
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Organisation is an organisation with its keys.
@@ -151,7 +151,7 @@
 	Services map[string]Service
 	Limits   Limits
 	// RequireKeys is true if requests need a key.
-	Keyed bool
+	RequireKeys bool
 
 	routes map[string][]Route
 	keys   map[string]Organisation
@@ -166,7 +166,7 @@
 		Version:        version,
 		Services:       make(map[string]Service, len(services)),
 		Limits:         limits,
-		Keyed:          len(organisations) > 0,
+		RequireKeys:    len(organisations) > 0,
 		routes:         map[string][]Route{},
 		keys:           map[string]Organisation{},
 		maxPassByModel: map[string]time.Duration{},
@@ -183,7 +183,7 @@
 			continue
 		}
 		for _, model := range service.Engine.Models {
-			s.maxPassByModel[model] = max(s.maxPassByModel[model], service.Engine.LongestPass())
+			s.maxPassByModel[model] = max(s.maxPassByModel[model], service.Engine.MaxPassTime())
 		}
 	}
 	for _, organisation := range organisations {
@@ -213,7 +213,7 @@
 
 // PickService picks the service for a request in proportion to the route's
 // weights. It hashes the request's id, so the same id always gets the same service.
-func (r *Route) Service(id string) string {
+func (r *Route) PickService(id string) string {
 	total := 0
 	for _, share := range r.Shares {
 		total += share.Weight
@@ -233,7 +233,7 @@
 
 // MaxPassTime returns the longest pass of any engine that may hold a model. If no
 // engine lists the model, it returns the longest pass of all engines.
-func (s *State) LongestPass(model string) time.Duration {
+func (s *State) MaxPassTime(model string) time.Duration {
 	if pass, ok := s.maxPassByModel[model]; ok {
 		return pass
 	}
@@ -276,12 +276,12 @@
 	Address  string
 	Site     string
 	Slots    int
-	Leaving  bool
+	Draining bool
 	Models   []Model
 }
 
 // ModelVersion identifies a version of a model's weights.
-type NamedVersion struct {
+type ModelVersion struct {
 	Model   string
 	Version uint64
 }
--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -64,8 +64,8 @@
 	counts := map[string]int{}
 	for i := range 10000 {
 		id := fmt.Sprint("request ", i)
-		service := route.Service(id)
-		c.Assert(route.Service(id), qt.Equals, service)
+		service := route.PickService(id)
+		c.Assert(route.PickService(id), qt.Equals, service)
 		counts[service]++
 	}
 	c.Assert(counts["two"] > 900 && counts["two"] < 1100, qt.IsTrue, qt.Commentf("%v", counts))
@@ -74,9 +74,9 @@
 // A stream may run again only if its route is resumable.
 func TestRepeatable(t *testing.T) {
 	c := qt.New(t)
-	c.Assert((&Route{Kind: KindOnce}).Repeatable(), qt.IsFalse)
-	c.Assert((&Route{Kind: KindOnce, Resumable: true}).Repeatable(), qt.IsFalse)
-	c.Assert((&Route{Kind: KindRepeatable}).Repeatable(), qt.IsTrue)
-	c.Assert((&Route{Kind: KindStream}).Repeatable(), qt.IsFalse)
-	c.Assert((&Route{Kind: KindStream, Resumable: true}).Repeatable(), qt.IsTrue)
+	c.Assert((&Route{Kind: KindNonIdempotent}).Retryable(), qt.IsFalse)
+	c.Assert((&Route{Kind: KindNonIdempotent, Resumable: true}).Retryable(), qt.IsFalse)
+	c.Assert((&Route{Kind: KindIdempotent}).Retryable(), qt.IsTrue)
+	c.Assert((&Route{Kind: KindStream}).Retryable(), qt.IsFalse)
+	c.Assert((&Route{Kind: KindStream, Resumable: true}).Retryable(), qt.IsTrue)
 }
--- a/internal/coordination/distribution/bandwidth.go
+++ b/internal/coordination/distribution/bandwidth.go
@@ -3,9 +3,9 @@
 import "math"
 
 // BandwidthLimit limits the rate of weight transfers on a host's link.
-type Pace struct {
+type BandwidthLimit struct {
 	// Capacity is the capacity of the link in bytes per second, or 0 if unknown.
-	Link float64
+	Capacity float64
 	// Share is the fraction of the capacity available to weights while live
 	// requests run.
 	Share float64
@@ -13,16 +13,16 @@
 
 // DefaultBandwidthShare leaves live requests enough of a link that they hardly
 // queue.
-const DefaultShare = 0.85
+const DefaultBandwidthShare = 0.85
 
 // Rate returns the bytes per second that weight transfers may use while the
 // given number of live requests run. It is infinite if no limit applies.
 //
 // A transfer at full speed fills every queue on the link and delays the first
 // token of each live request. A link below its capacity has no queues.
-func (l Pace) Rate(live int) float64 {
-	if l.Link == 0 || live == 0 {
+func (l BandwidthLimit) Rate(live int) float64 {
+	if l.Capacity == 0 || live == 0 {
 		return math.Inf(1)
 	}
-	return l.Link * l.Share
+	return l.Capacity * l.Share
 }
--- a/internal/coordination/distribution/distribution_test.go
+++ b/internal/coordination/distribution/distribution_test.go
@@ -98,7 +98,7 @@
 	c := qt.New(t)
 	s := newSwarm(2, 1, chunks)
 	slow := s.hosts[0]
-	slow.planner.Heard(chunks-1, s.now)
+	slow.planner.ObserveHighest(chunks-1, s.now)
 	for i := 0; ; i++ {
 		fetch, ok, _ := slow.planner.Next(s.now)
 		if !ok {
@@ -135,7 +135,7 @@
 	host := s.hosts[0]
 	fetches := 0
 	for range chunks {
-		s.now = s.now.Add(s.config.Takeover)
+		s.now = s.now.Add(s.config.TakeoverTimeout)
 		if _, ok, _ := host.planner.Next(s.now); ok {
 			fetches++
 		}
@@ -158,10 +158,10 @@
 // A transfer at full link speed delays the first tokens of live requests.
 func TestBandwidthLimitDuringLiveRequests(t *testing.T) {
 	c := qt.New(t)
-	limit := distribution.Pace{Link: 1000, Share: distribution.DefaultShare}
+	limit := distribution.BandwidthLimit{Capacity: 1000, Share: distribution.DefaultBandwidthShare}
 	c.Assert(limit.Rate(3) < 1000, qt.IsTrue)
 	c.Assert(math.IsInf(limit.Rate(0), 1), qt.IsTrue)
-	c.Assert(math.IsInf(distribution.Pace{}.Rate(3), 1), qt.IsTrue)
+	c.Assert(math.IsInf(distribution.BandwidthLimit{}.Rate(3), 1), qt.IsTrue)
 }
 
 // A site that is cut off during a transfer must not block the hosts that fetch
--- a/internal/coordination/distribution/planner.go
+++ b/internal/coordination/distribution/planner.go
@@ -37,7 +37,7 @@
 	// Descendants is the approximate number of hosts below this one in the
 	// chunk's tree. A host that serves several peers serves those with more
 	// descendants first.
-	Below int
+	Descendants int
 	// Probe is true if the peer must answer immediately whether it has the
 	// chunk.
 	Probe bool
@@ -63,7 +63,7 @@
 // The kinds of failures.
 const (
 	// FailureNotAvailable means that a live peer does not have the chunk yet.
-	FailureNotYet Failure = iota + 1
+	FailureNotAvailable Failure = iota + 1
 	// FailureError is a refused or broken connection or an error response.
 	FailureError
 	// FailureStalled means that no byte arrived within the stall timeout.
@@ -87,25 +87,25 @@
 	// TakeoverTimeout is the minimum time for which a requested chunk may make
 	// no progress before the next host in its tree fetches it from the origin
 	// too.
-	Takeover time.Duration
+	TakeoverTimeout time.Duration
 	// Backoff is the initial backoff of a failed source. The backoff of a peer
 	// that sent a corrupt chunk is CorruptBackoff.
-	Avoid          time.Duration
+	Backoff        time.Duration
 	CorruptBackoff time.Duration
 	// FetchStragglersFromOrigin lets a host fetch the last few chunks from the
 	// origin if they make no progress. It saves time at the cost of more bytes
 	// from the origin.
-	Stragglers bool
+	FetchStragglersFromOrigin bool
 }
 
 // DefaultConfig returns the limits used in production.
 func DefaultConfig() Config {
 	return Config{
-		Window:         24,
-		OriginWindow:   16,
-		Takeover:       2 * time.Second,
-		Avoid:          time.Second,
-		CorruptBackoff: time.Minute,
+		Window:          24,
+		OriginWindow:    16,
+		TakeoverTimeout: 2 * time.Second,
+		Backoff:         time.Second,
+		CorruptBackoff:  time.Minute,
 	}
 }
 
@@ -198,7 +198,7 @@
 
 // MarkHeld records a chunk that is already available locally, such as one
 // shared by two versions.
-func (p *Planner) Have(i int) {
+func (p *Planner) MarkHeld(i int) {
 	c := &p.chunks[i]
 	if c.held {
 		return
@@ -212,7 +212,7 @@
 
 // ObserveHighest records that chunk i exists outside the origin, as reported by
 // a peer.
-func (p *Planner) Heard(i int, now time.Time) {
+func (p *Planner) ObserveHighest(i int, now time.Time) {
 	if i > p.highest {
 		p.highest = min(i, len(p.chunks)-1)
 		p.highestAt = now
@@ -225,7 +225,7 @@
 
 // Next returns a fetch to start now, or how long to wait before the next call.
 func (p *Planner) Next(now time.Time) (fetch Fetch, ok bool, wait time.Duration) {
-	wait = p.config.Takeover / idlePollsPerTimeout
+	wait = p.config.TakeoverTimeout / idlePollsPerTimeout
 	if p.missingCount == 0 {
 		return Fetch{}, false, wait
 	}
@@ -304,11 +304,11 @@
 		p.originInFlight++
 	}
 	return Fetch{
-		Chunk:  i,
-		Source: source,
-		Below:  p.tree.descendants(p.self, i),
-		Probe:  source.Kind == SourcePeer && p.tree.nodeOf(p.self, i).isRoot(),
-		Reason: reason,
+		Chunk:       i,
+		Source:      source,
+		Descendants: p.tree.descendants(p.self, i),
+		Probe:       source.Kind == SourcePeer && p.tree.nodeOf(p.self, i).isRoot(),
+		Reason:      reason,
 	}
 }
 
@@ -322,11 +322,11 @@
 	// The wait for one lost chunk does not reflect the speed of the links.
 	// Counted in full, it would lengthen the progress timeout and with it the
 	// wait for the next chunk.
-	sample := min(now.Sub(p.lastArrival), max(p.config.Takeover/time.Duration(p.config.Window), 2*p.arrivalInterval))
+	sample := min(now.Sub(p.lastArrival), max(p.config.TakeoverTimeout/time.Duration(p.config.Window), 2*p.arrivalInterval))
 	p.arrivalInterval += (sample - p.arrivalInterval) / intervalSmoothingFactor
 	p.lastArrival = now
-	p.Have(i)
-	p.Heard(i, now)
+	p.MarkHeld(i)
+	p.ObserveHighest(i, now)
 }
 
 // intervalSmoothingFactor divides the weight of a new sample in the smoothed
@@ -338,7 +338,7 @@
 	source := p.chunks[i].source
 	p.finish(i)
 	c := &p.chunks[i]
-	if failure == FailureNotYet {
+	if failure == FailureNotAvailable {
 		return
 	}
 	state, ok := p.sources[source]
@@ -346,7 +346,7 @@
 		state = &sourceState{}
 		p.sources[source] = state
 	}
-	backoff := p.config.Avoid << min(state.failures, 4)
+	backoff := p.config.Backoff << min(state.failures, 4)
 	if failure == FailureCorrupt && source.Kind == SourcePeer {
 		// A peer that sends corrupt chunks costs one transfer each time. The
 		// backoff covers the rest of a typical transfer of a set.
@@ -358,7 +358,7 @@
 		// All hosts share the origin's link, so fetches from it are delayed and
 		// not redirected. A root that cannot reach the origin probes a peer
 		// next, since other hosts take over its chunks.
-		c.retryAt = now.Add(min(backoff, p.config.Takeover/4))
+		c.retryAt = now.Add(min(backoff, p.config.TakeoverTimeout/4))
 		c.probePeer = p.tree.nodeOf(p.self, i).isRoot()
 	}
 }
--- a/internal/coordination/distribution/sources.go
+++ b/internal/coordination/distribution/sources.go
@@ -65,13 +65,13 @@
 // Chunks of a full window arrive one after the other, so the timeout grows with
 // the interval between them.
 func (p *Planner) progressTimeout() time.Duration {
-	return max(p.config.Takeover, 2*time.Duration(p.config.Window)*p.arrivalInterval)
+	return max(p.config.TakeoverTimeout, 2*time.Duration(p.config.Window)*p.arrivalInterval)
 }
 
 // isStraggling reports whether only the last few chunks are missing and may be
 // fetched from the origin.
 func (p *Planner) isStraggling() bool {
-	return p.config.Stragglers && p.missingCount <= max(1, len(p.chunks)/stragglerDivisor)
+	return p.config.FetchStragglersFromOrigin && p.missingCount <= max(1, len(p.chunks)/stragglerDivisor)
 }
 
 // originSource returns the origin or, after repeated failures, the store.
--- a/internal/coordination/distribution/swarm_test.go
+++ b/internal/coordination/distribution/swarm_test.go
@@ -63,8 +63,8 @@
 // newSwarm returns hosts spread evenly over sites, none of which holds a chunk.
 func newSwarm(hosts, sites, chunks int) *swarm {
 	config := distribution.DefaultConfig()
-	config.Takeover = 20 * tick
-	config.Avoid = 50 * tick
+	config.TakeoverTimeout = 20 * tick
+	config.Backoff = 50 * tick
 	s := &swarm{config: config, chunks: chunks, now: epoch, byID: map[filbertlever.HostID]*member{}}
 	for i := range hosts {
 		s.order = append(s.order, distribution.Peer{ID: filbertlever.HostID(fmt.Sprint("model-", i)), Site: fmt.Sprint("site-", i%sites)})
@@ -143,7 +143,7 @@
 			m.planner.Failed(fetch.Chunk, distribution.FailureError, s.now)
 			continue
 		}
-		m.planner.Heard(source.planner.Highest(), s.now)
+		m.planner.ObserveHighest(source.planner.Highest(), s.now)
 		source.queue = append(source.queue, r)
 	}
 }
@@ -167,12 +167,12 @@
 
 // serve sends at most one chunk from a host to a peer.
 func (s *swarm) serve(m *member, received map[*member]bool) {
-	uploads := distribution.Uploads{}
+	uploads := distribution.UploadQueue{}
 	ready := map[uint64]*request{}
 	for i, r := range m.queue {
 		if m.holds[r.fetch.Chunk] && !received[r.from] && !r.from.dead {
 			ready[uint64(i)] = r
-			uploads.Offer(distribution.Upload{ID: uint64(i), Chunk: r.fetch.Chunk, Below: r.fetch.Below})
+			uploads.Submit(distribution.Upload{ID: uint64(i), Chunk: r.fetch.Chunk, Descendants: r.fetch.Descendants})
 		}
 	}
 	next, ok := uploads.Done()
@@ -184,7 +184,7 @@
 	if m.peer.Site != r.from.peer.Site {
 		s.crossSite++
 	}
-	r.from.planner.Heard(m.planner.Highest(), s.now)
+	r.from.planner.ObserveHighest(m.planner.Highest(), s.now)
 	m.queue = slices.Delete(m.queue, int(next.ID), int(next.ID)+1)
 	s.deliver(r, m.corrupt)
 }
@@ -215,8 +215,8 @@
 		case m.silent && s.ticks-r.start > longPoll:
 			r.from.planner.Failed(r.fetch.Chunk, distribution.FailureStalled, s.now)
 		case !m.silent && s.ticks-r.start > longPoll && !m.holds[r.fetch.Chunk]:
-			r.from.planner.Heard(m.planner.Highest(), s.now)
-			r.from.planner.Failed(r.fetch.Chunk, distribution.FailureNotYet, s.now)
+			r.from.planner.ObserveHighest(m.planner.Highest(), s.now)
+			r.from.planner.Failed(r.fetch.Chunk, distribution.FailureNotAvailable, s.now)
 		default:
 			remaining = append(remaining, r)
 		}
--- a/internal/coordination/distribution/uploads.go
+++ b/internal/coordination/distribution/uploads.go
@@ -7,15 +7,15 @@
 	// ID is unique among the uploads of a host.
 	ID uint64
 	// Chunk and Descendants are those of the peer's Fetch.
-	Chunk int
-	Below int
+	Chunk       int
+	Descendants int
 }
 
 // sendsBefore reports whether a is sent before b. Chunks are sent in their
 // order, but each descendant of the peer in the chunk's tree moves the chunk
 // one position forward. A peer that many other hosts depend on is served first.
 func sendsBefore(a, b Upload) bool {
-	if x, y := a.Chunk-a.Below, b.Chunk-b.Below; x != y {
+	if x, y := a.Chunk-a.Descendants, b.Chunk-b.Descendants; x != y {
 		return x < y
 	}
 	return a.ID < b.ID
@@ -25,7 +25,7 @@
 // peer that asks would split the link and delay all of them. With few uploads
 // at a time, the peers that pass the chunk on receive it sooner. It is not safe
 // for concurrent use.
-type Uploads struct {
+type UploadQueue struct {
 	// Slots is how many chunks are sent at once.
 	Slots   int
 	sending int
@@ -33,7 +33,7 @@
 }
 
 // Submit adds an upload and reports whether it may start now.
-func (u *Uploads) Offer(upload Upload) bool {
+func (u *UploadQueue) Submit(upload Upload) bool {
 	if u.sending < u.Slots {
 		u.sending++
 		return true
@@ -43,7 +43,7 @@
 }
 
 // Done records the end of a started upload and returns the one to start next.
-func (u *Uploads) Done() (next Upload, ok bool) {
+func (u *UploadQueue) Done() (next Upload, ok bool) {
 	if len(u.waiting) == 0 {
 		u.sending--
 		return Upload{}, false
@@ -60,7 +60,7 @@
 }
 
 // Cancel removes a waiting upload and reports whether it was waiting.
-func (u *Uploads) Withdraw(id uint64) bool {
+func (u *UploadQueue) Cancel(id uint64) bool {
 	i := slices.IndexFunc(u.waiting, func(w Upload) bool { return w.ID == id })
 	if i < 0 {
 		return false
--- a/internal/coordination/drain/closedetector.go
+++ b/internal/coordination/drain/closedetector.go
@@ -4,7 +4,7 @@
 // it shuts down gracefully. Such a server closes the connection after each response. Other
 // servers close it occasionally, or always. The zero value is a server that has not responded
 // yet.
-type Closing struct {
+type CloseDetector struct {
 	// keptAlive is true once the server has kept a connection open.
 	keptAlive bool
 	// consecutive is the number of latest responses in a row that closed their connection.
@@ -15,7 +15,7 @@
 const minConsecutiveCloses = 3
 
 // Observe records whether the next response closed its connection.
-func (c *Closing) Observe(closes bool) {
+func (c *CloseDetector) Observe(closes bool) {
 	if !closes {
 		c.keptAlive, c.consecutive = true, 0
 		return
@@ -24,4 +24,4 @@
 }
 
 // Leaving reports whether the server is leaving.
-func (c *Closing) Leaving() bool { return c.keptAlive && c.consecutive >= minConsecutiveCloses }
+func (c *CloseDetector) Leaving() bool { return c.keptAlive && c.consecutive >= minConsecutiveCloses }
--- a/internal/coordination/drain/closedetector_test.go
+++ b/internal/coordination/drain/closedetector_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			var detector Closing
+			var detector CloseDetector
 			for _, closes := range test.closes {
 				detector.Observe(closes)
 			}
--- a/internal/coordination/drain/drain.go
+++ b/internal/coordination/drain/drain.go
@@ -9,15 +9,15 @@
 // Config holds the timing settings of a planned stop.
 type Config struct {
 	// GracePeriod is how long new work is accepted after the announcement.
-	Grace time.Duration
+	GracePeriod time.Duration
 	// MoveStreamsAfter is the time from the announcement to moving running
 	// streams to other hosts. Orders are never moved.
-	Move time.Duration
+	MoveStreamsAfter time.Duration
 }
 
 // DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
-	return Config{Grace: 2 * time.Second, Move: 30 * time.Second}
+	return Config{GracePeriod: 2 * time.Second, MoveStreamsAfter: 30 * time.Second}
 }
 
 // Phase is the progress of a planned stop.
@@ -68,10 +68,10 @@
 		return s.phase
 	}
 	elapsed := now.Sub(s.announcedAt)
-	if s.phase == PhaseAnnounced && elapsed >= s.config.Grace {
+	if s.phase == PhaseAnnounced && elapsed >= s.config.GracePeriod {
 		s.phase = PhaseRefusing
 	}
-	if s.phase == PhaseRefusing && elapsed >= s.config.Move {
+	if s.phase == PhaseRefusing && elapsed >= s.config.MoveStreamsAfter {
 		s.phase = PhaseMoving
 	}
 	if s.phase >= PhaseRefusing && inFlight == 0 {
@@ -81,7 +81,7 @@
 }
 
 // Announced reports whether the stop has been announced.
-func (s *Stop) Leaving() bool { return s.phase != PhaseLive }
+func (s *Stop) Announced() bool { return s.phase != PhaseLive }
 
 // Accepts reports whether new work is accepted.
 func (s *Stop) Accepts() bool { return s.phase <= PhaseAnnounced }
--- a/internal/coordination/fleet/announcements.go
+++ b/internal/coordination/fleet/announcements.go
@@ -32,7 +32,7 @@
 //
 // An outdated row does not revoke the announcement. It ends only with another process at the
 // address or under the ID.
-func (f *Fleet) NoteDraining(b catalog.Backend, now time.Duration) bool {
+func (f *Fleet) RecordDraining(b catalog.Backend, now time.Duration) bool {
 	a := f.announcementFor(b, now)
 	if a == nil || a.draining {
 		return false
@@ -46,7 +46,7 @@
 // RecordConnectionClose records that a process closes the connection after an answer. Healthy
 // processes do so occasionally, but a server whose row is missing then counts as removed until it
 // is listed again. It returns true if this is new.
-func (f *Fleet) NoteConnectionClose(b catalog.Backend, now time.Duration) bool {
+func (f *Fleet) RecordConnectionClose(b catalog.Backend, now time.Duration) bool {
 	s, ok := f.servers[b.ID]
 	if !ok || s.missingSince == 0 || s.closesConnections {
 		return false
@@ -61,7 +61,7 @@
 //
 // Requests keep an overloaded server from recovering. The latest time that the process asked for
 // applies.
-func (f *Fleet) NoteRetryAfter(b catalog.Backend, retryAfter, now time.Duration) bool {
+func (f *Fleet) RecordRetryAfter(b catalog.Backend, retryAfter, now time.Duration) bool {
 	a := f.announcementFor(b, now)
 	if a == nil {
 		return false
@@ -85,7 +85,7 @@
 // process has replaced it.
 func (f *Fleet) announcementFor(b catalog.Backend, now time.Duration) *announcement {
 	s, ok := f.servers[b.ID]
-	if !ok || f.Followed(b) {
+	if !ok || f.Superseded(b) {
 		return nil
 	}
 	a, ok := f.announcements[b.ID]
@@ -116,7 +116,7 @@
 // draining reports whether a process is draining according to its row, its answers or its agent.
 func (f *Fleet) draining(b catalog.Backend) bool {
 	s, ok := f.servers[b.ID]
-	return b.Leaving || f.announcedDraining(b) || ok && s.report.Leaving
+	return b.Draining || f.announcedDraining(b) || ok && s.report.Leaving
 }
 
 // Accepts reports whether a request may still be sent to the process that it was placed at. The
--- a/internal/coordination/fleet/announcements_test.go
+++ b/internal/coordination/fleet/announcements_test.go
@@ -29,7 +29,7 @@
 		if !p.Found {
 			continue
 		}
-		f.Ended(p.Backend.ID)
+		f.Release(p.Backend.ID)
 		ids[p.Backend.ID] = true
 	}
 	return ids
@@ -53,9 +53,9 @@
 			pickedServers(f, 9*time.Second)
 			f.Apply(all, nil, true, 9*time.Second)
 		}, other},
-		{"it answers correctly", func(f *Fleet, all []catalog.Backend) { f.Answered("o1", time.Second) }, other},
-		{"the other server fails", func(f *Fleet, all []catalog.Backend) { f.Failed("o2", 10*time.Second) }, other},
-		{"the other server drains too", func(f *Fleet, all []catalog.Backend) { f.NoteDraining(all[1], time.Second) }, map[string]bool{}},
+		{"it answers correctly", func(f *Fleet, all []catalog.Backend) { f.RecordSuccess("o1", time.Second) }, other},
+		{"the other server fails", func(f *Fleet, all []catalog.Backend) { f.RecordFailure("o2", 10*time.Second) }, other},
+		{"the other server drains too", func(f *Fleet, all []catalog.Backend) { f.RecordDraining(all[1], time.Second) }, map[string]bool{}},
 		{"it restarts under its ID", func(f *Fleet, all []catalog.Backend) {
 			first, second := all[0], all[0]
 			first.Boot, second.Boot = 1764723093000, 1764723099000
@@ -63,7 +63,7 @@
 			qt.Assert(t, pickedServers(f, time.Second), qt.DeepEquals, other)
 			f.Apply([]catalog.Backend{second}, nil, false, time.Second)
 			// A late announcement of the old process does not apply to the new process.
-			f.NoteDraining(first, 2*time.Second)
+			f.RecordDraining(first, 2*time.Second)
 		}, both},
 		{"another server takes its address", func(f *Fleet, all []catalog.Backend) {
 			next := all[0]
@@ -74,8 +74,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f, all := newFleetWithTwoServers()
-			qt.Assert(t, f.NoteDraining(all[0], 0), qt.IsTrue)
-			qt.Assert(t, f.NoteDraining(all[0], 0), qt.IsFalse)
+			qt.Assert(t, f.RecordDraining(all[0], 0), qt.IsTrue)
+			qt.Assert(t, f.RecordDraining(all[0], 0), qt.IsFalse)
 			qt.Assert(t, f.Accepts(all[0], 0), qt.IsFalse)
 			test.action(f, all)
 			qt.Assert(t, pickedServers(f, 10*time.Second), qt.DeepEquals, test.want)
@@ -96,10 +96,10 @@
 	}{
 		{"nothing happens", func(*Fleet, []catalog.Backend) {}, other},
 		{"its row is written again", func(f *Fleet, all []catalog.Backend) { f.Apply(all, nil, true, time.Second) }, other},
-		{"it sends a shorter time", func(f *Fleet, all []catalog.Backend) { f.NoteRetryAfter(all[0], time.Millisecond, time.Second) }, other},
-		{"it answers a request sent before", func(f *Fleet, all []catalog.Backend) { f.Answered("o1", time.Second) }, other},
-		{"the other server fails", func(f *Fleet, all []catalog.Backend) { f.Failed("o2", retryAfter-100*time.Millisecond) }, other},
-		{"the other server sends a retry time too", func(f *Fleet, all []catalog.Backend) { f.NoteRetryAfter(all[1], retryAfter, time.Second) }, map[string]bool{}},
+		{"it sends a shorter time", func(f *Fleet, all []catalog.Backend) { f.RecordRetryAfter(all[0], time.Millisecond, time.Second) }, other},
+		{"it answers a request sent before", func(f *Fleet, all []catalog.Backend) { f.RecordSuccess("o1", time.Second) }, other},
+		{"the other server fails", func(f *Fleet, all []catalog.Backend) { f.RecordFailure("o2", retryAfter-100*time.Millisecond) }, other},
+		{"the other server sends a retry time too", func(f *Fleet, all []catalog.Backend) { f.RecordRetryAfter(all[1], retryAfter, time.Second) }, map[string]bool{}},
 		{"another server takes its address", func(f *Fleet, all []catalog.Backend) {
 			next := all[0]
 			next.ID, next.Revision = "o3", 1
@@ -109,8 +109,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f, all := newFleetWithTwoServers()
-			qt.Assert(t, f.NoteRetryAfter(all[0], retryAfter, 0), qt.IsTrue)
-			qt.Assert(t, f.NoteRetryAfter(all[0], retryAfter, 0), qt.IsFalse)
+			qt.Assert(t, f.RecordRetryAfter(all[0], retryAfter, 0), qt.IsTrue)
+			qt.Assert(t, f.RecordRetryAfter(all[0], retryAfter, 0), qt.IsFalse)
 			test.action(f, all)
 			qt.Assert(t, f.Accepts(all[0], retryAfter-time.Millisecond), qt.IsFalse)
 			qt.Assert(t, pickedServers(f, retryAfter-time.Millisecond), qt.DeepEquals, test.want)
@@ -118,7 +118,7 @@
 				qt.Assert(t, f.ReadyIn(plainService, retryAfter-time.Millisecond), qt.Equals, time.Millisecond)
 			}
 			f, all = newFleetWithTwoServers()
-			f.NoteRetryAfter(all[0], retryAfter, 0)
+			f.RecordRetryAfter(all[0], retryAfter, 0)
 			qt.Assert(t, f.Accepts(all[0], retryAfter), qt.IsTrue)
 			qt.Assert(t, pickedServers(f, retryAfter+healthCheckInterval), qt.DeepEquals, both)
 		})
@@ -134,7 +134,7 @@
 	}{
 		{"nothing happens", func(*Fleet, catalog.Backend) {}, true},
 		{"its row says that it is draining", func(f *Fleet, server catalog.Backend) {
-			server.Leaving, server.Revision = true, 9
+			server.Draining, server.Revision = true, 9
 			f.Apply([]catalog.Backend{server}, nil, false, time.Second)
 		}, false},
 		{"its row is removed", func(f *Fleet, server catalog.Backend) { f.Apply(nil, []string{server.ID}, false, time.Second) }, false},
@@ -162,12 +162,12 @@
 func TestMissingServerThatClosesConnectionsIsRemoved(t *testing.T) {
 	c := qt.New(t)
 	f, all := newFleetWithTwoServers()
-	c.Assert(f.NoteConnectionClose(all[0], 0), qt.IsFalse)
+	c.Assert(f.RecordConnectionClose(all[0], 0), qt.IsFalse)
 	f.SetOutageEnd(time.Second, true, time.Second)
 	f.Apply(nil, []string{all[0].ID}, false, time.Second)
 	request := Request{Service: plainService, Avoid: []filbertlever.HostID{"o2"}}
 	c.Assert(f.Choose(request, 1500*time.Millisecond).Found, qt.IsTrue)
-	c.Assert(f.NoteConnectionClose(all[0], 1500*time.Millisecond), qt.IsTrue)
+	c.Assert(f.RecordConnectionClose(all[0], 1500*time.Millisecond), qt.IsTrue)
 	c.Assert(f.Choose(request, 1500*time.Millisecond).Found, qt.IsFalse)
 	// The row is written again, so it had only expired.
 	all[0].Revision++
@@ -182,14 +182,14 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
-	report := Load{Address: "10.0.0.1:1", Sequence: 1, Models: []catalog.Model{{Name: model, Version: 1}}, Leaving: true}
-	f.Report(report, time.Second)
+	report := Report{Address: "10.0.0.1:1", Sequence: 1, Models: []catalog.Model{{Name: model, Version: 1}}, Leaving: true}
+	f.ApplyReport(report, time.Second)
 	for range 20 {
 		c.Assert(f.Choose(Request{Service: modelService, Model: model}, time.Second).Backend.ID, qt.Equals, "m2")
 	}
 	c.Assert(f.Choose(Request{Service: modelService, Model: model, Avoid: []filbertlever.HostID{"m2"}}, time.Second).Found, qt.IsFalse)
 	report.Leaving, report.Sequence = false, 2
-	f.Report(report, 2*time.Second)
+	f.ApplyReport(report, 2*time.Second)
 	c.Assert(f.Choose(Request{Service: modelService, Model: model, Avoid: []filbertlever.HostID{"m2"}}, 2*time.Second).Found, qt.IsTrue)
 }
 
@@ -206,8 +206,8 @@
 			at := rapid.IntRange(0, 1).Draw(t, "server")
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				f.NoteDraining(all[at], now)
-				if f.Known(all[at].ID) {
+				f.RecordDraining(all[at], now)
+				if f.Contains(all[at].ID) {
 					draining[fmt.Sprint(all[at].ID, all[at].Boot)] = true
 				}
 			case 1:
@@ -215,9 +215,9 @@
 			case 2:
 				f.Apply(all[:1], nil, true, now)
 			case 3:
-				f.Failed(all[at].ID, now)
+				f.RecordFailure(all[at].ID, now)
 			case 5:
-				f.NoteRetryAfter(all[at], time.Duration(rapid.IntRange(0, 5000).Draw(t, "retryAfter"))*time.Millisecond, now)
+				f.RecordRetryAfter(all[at], time.Duration(rapid.IntRange(0, 5000).Draw(t, "retryAfter"))*time.Millisecond, now)
 			case 4:
 				if all[at].Boot == 0 {
 					all[at].Boot, draining[fmt.Sprint(all[at].ID, boots[0])] = boots[0], draining[fmt.Sprint(all[at].ID, 0)]
--- a/internal/coordination/fleet/boots.go
+++ b/internal/coordination/fleet/boots.go
@@ -22,13 +22,13 @@
 	Backend string
 	Source  Source
 	// OldBoot is the boot of the replaced process and NewBoot that of the current one.
-	Before, After catalog.Boot
+	OldBoot, NewBoot catalog.Boot
 	// OldModels are the models that the replaced process was assumed to hold, and NewModels those
 	// of the current one.
-	Held, Holds []catalog.Model
+	OldModels, NewModels []catalog.Model
 	// InFlight is the number of requests that this entry had in flight at the replaced process. It
 	// is unknown whether they were executed.
-	UnderWay int
+	InFlight int
 }
 
 // process identifies one process of a server.
@@ -91,7 +91,7 @@
 }
 
 // acceptReport does the same as acceptRow for a report of the server's agent.
-func (f *Fleet) acceptReport(s *server, report *Load, now time.Duration) bool {
+func (f *Fleet) acceptReport(s *server, report *Report, now time.Duration) bool {
 	current := s.backend.Boot
 	switch {
 	case report.Boot == 0 || report.Boot == current:
@@ -99,14 +99,14 @@
 	case current == 0:
 		s.backend.Boot = report.Boot
 		return true
-	case slices.Contains(report.Before, current):
+	case slices.Contains(report.PreviousBoots, current):
 		// The agent observed that this process replaced the current one.
 	case report.Boot == s.lastRow.boot && !f.hasFreshReport(s, now):
 		// The current boot came from a late datagram, and its process sends no more reports.
 	case report.Boot < current || f.hasEnded(process{s.backend.ID, report.Boot}, now):
 		return false
 	}
-	for _, boot := range report.Before {
+	for _, boot := range report.PreviousBoots {
 		f.recordEnded(process{s.backend.ID, boot}, now)
 	}
 	f.applyRestart(s, SourceReport, report.Boot, report.Models, now)
@@ -125,12 +125,12 @@
 func (f *Fleet) applyRestart(s *server, source Source, boot catalog.Boot, models []catalog.Model, now time.Duration) {
 	old := s.backend
 	f.recordReplaced(old)
-	f.restarts = append(f.restarts, Restart{Backend: old.ID, Source: source, Before: old.Boot, After: boot,
-		Held: f.heldModels(s, now), Holds: models, UnderWay: s.ownRequests})
+	f.restarts = append(f.restarts, Restart{Backend: old.ID, Source: source, OldBoot: old.Boot, NewBoot: boot,
+		OldModels: f.heldModels(s, now), NewModels: models, InFlight: s.ownRequests})
 	f.recordEnded(process{old.ID, old.Boot}, now)
 	delete(f.endedProcesses, process{old.ID, boot})
 	backend := old
-	backend.Boot, backend.Models, backend.Leaving = boot, nil, false
+	backend.Boot, backend.Models, backend.Draining = boot, nil, false
 	delete(f.busy, old.ID)
 	delete(f.announcements, old.ID)
 	f.removeFromReportOrder(s)
@@ -147,9 +147,9 @@
 func (f *Fleet) clearProcessState(b catalog.Backend) {
 	id := filbertlever.HostID(b.ID)
 	if router := f.router(b.Service); router != nil {
-		router.Forget(id)
+		router.ResetHost(id)
 	}
-	f.members.Restarted(id)
+	f.members.RecordRestart(id)
 }
 
 func (f *Fleet) recordEnded(p process, now time.Duration) {
@@ -167,7 +167,7 @@
 }
 
 // TakeRestarts returns the restarts detected since the last call.
-func (f *Fleet) Restarts() []Restart {
+func (f *Fleet) TakeRestarts() []Restart {
 	restarts := f.restarts
 	f.restarts = nil
 	return restarts
@@ -184,7 +184,7 @@
 
 // TakeReplaced returns the processes that were found to have been replaced since the last call, in
 // their last known state.
-func (f *Fleet) Replacements() []catalog.Backend {
+func (f *Fleet) TakeReplaced() []catalog.Backend {
 	replaced := f.replaced
 	f.replaced = nil
 	return replaced
@@ -194,7 +194,7 @@
 // process of the server. The outcome of the request then says nothing about the current process. It
 // returns false if the boot of the placement is unknown, or if the server is only missing from the
 // list and may still run.
-func (f *Fleet) Followed(b catalog.Backend) bool {
+func (f *Fleet) Superseded(b catalog.Backend) bool {
 	s, ok := f.servers[b.ID]
 	return ok && b.Boot != 0 && s.backend.Boot != b.Boot
 }
@@ -204,10 +204,10 @@
 //
 // A server that has restarted since is left out. Where a service has few servers, the one that
 // interrupted an answer may be the only one that can resume it after its restart.
-func (f *Fleet) Avoid(visited []catalog.Backend) []filbertlever.HostID {
+func (f *Fleet) ServersToAvoid(visited []catalog.Backend) []filbertlever.HostID {
 	var avoid []filbertlever.HostID
 	for _, b := range visited {
-		if !f.Followed(b) {
+		if !f.Superseded(b) {
 			avoid = append(avoid, filbertlever.HostID(b.ID))
 		}
 	}
@@ -224,7 +224,7 @@
 //
 // Entries observe a restart seconds apart. Requests at the old process must not count at the new
 // one, which would appear to be full or silent.
-func (f *Fleet) IsCurrent(id string, boot catalog.Boot, now time.Duration) bool {
+func (f *Fleet) IsCurrentBoot(id string, boot catalog.Boot, now time.Duration) bool {
 	s, ok := f.servers[id]
 	if !ok || s.restartedAt == 0 {
 		return true
@@ -234,7 +234,7 @@
 
 // RecentBoots returns the current boot of those servers that restarted recently, to be sent with
 // the gossip about them.
-func (f *Fleet) Boots(ids []string, now time.Duration) map[string]catalog.Boot {
+func (f *Fleet) RecentBoots(ids []string, now time.Duration) map[string]catalog.Boot {
 	var boots map[string]catalog.Boot
 	for _, id := range ids {
 		s, ok := f.servers[id]
@@ -254,8 +254,8 @@
 //
 // Requests at an ended process may end late. If they were subtracted from the count of the new
 // process, it would appear to be idle while it is full.
-func (f *Fleet) EndedAt(b catalog.Backend) {
-	if !f.Followed(b) {
-		f.Ended(b.ID)
+func (f *Fleet) ReleaseIfCurrent(b catalog.Backend) {
+	if !f.Superseded(b) {
+		f.Release(b.ID)
 	}
 }
--- a/internal/coordination/fleet/boots_property_test.go
+++ b/internal/coordination/fleet/boots_property_test.go
@@ -61,18 +61,18 @@
 	} else {
 		report := newReport(sim.boots[u.boot], version)
 		if sim.agentSawRestarts || rapid.Bool().Draw(sim.t, "seen") {
-			report.Before = slices.Clone(sim.boots[:u.boot])
+			report.PreviousBoots = slices.Clone(sim.boots[:u.boot])
 		}
-		sim.fleet.Report(report, sim.now)
+		sim.fleet.ApplyReport(report, sim.now)
 	}
-	if u.row || sim.fleet.Known("m1") {
+	if u.row || sim.fleet.Contains("m1") {
 		sim.newest = max(sim.newest, u.boot)
 	}
 }
 
 // check verifies that the fleet uses the state of the latest observed process only.
 func (sim *restartSimulation) check() {
-	if !sim.fleet.Known("m1") {
+	if !sim.fleet.Contains("m1") {
 		return
 	}
 	s := sim.fleet.servers["m1"]
@@ -86,11 +86,11 @@
 	}
 	inFlight := 0
 	for _, backend := range sim.placed {
-		if !sim.fleet.Followed(backend) {
+		if !sim.fleet.Superseded(backend) {
 			inFlight++
 		}
 	}
-	if got := sim.fleet.Counts()["m1"]; got != inFlight {
+	if got := sim.fleet.InFlightCounts()["m1"]; got != inFlight {
 		sim.t.Fatalf("%d requests are counted, %d are in flight", got, inFlight)
 	}
 }
@@ -109,7 +109,7 @@
 			}
 			if len(sim.placed) > 0 && rapid.Bool().Draw(t, "ends") {
 				i := rapid.IntRange(0, len(sim.placed)-1).Draw(t, "which")
-				sim.fleet.EndedAt(sim.placed[i])
+				sim.fleet.ReleaseIfCurrent(sim.placed[i])
 				sim.placed = slices.Delete(sim.placed, i, i+1)
 			}
 			sim.check()
--- a/internal/coordination/fleet/boots_test.go
+++ b/internal/coordination/fleet/boots_test.go
@@ -19,8 +19,8 @@
 }
 
 // newReport returns a report of a server with a boot.
-func newReport(boot catalog.Boot, version uint64) Load {
-	report := Load{Address: address, Agent: "10.0.0.1:9", Boot: boot}
+func newReport(boot catalog.Boot, version uint64) Report {
+	report := Report{Address: address, AgentAddress: "10.0.0.1:9", Boot: boot}
 	if version > 0 {
 		report.Models = []catalog.Model{{Name: model, Version: version}}
 	}
@@ -42,13 +42,13 @@
 func TestRestartWithinHeartbeatIntervalClearsModels(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
-	f.Report(newReport(1000, 1), time.Second)
+	f.ApplyReport(newReport(1000, 1), time.Second)
 	c.Assert(f.Choose(wanted, time.Second).Found, qt.IsTrue)
-	f.Report(newReport(2000, 0), 1200*time.Millisecond)
+	f.ApplyReport(newReport(2000, 0), 1200*time.Millisecond)
 	c.Assert(f.Choose(wanted, 1200*time.Millisecond).Found, qt.IsFalse)
 	f.SetState(testState(), 20*time.Second)
 	c.Assert(f.Choose(wanted, 20*time.Second).Found, qt.IsFalse, qt.Commentf("the row of the old process was applied"))
-	f.Report(newReport(2000, 1), 21*time.Second)
+	f.ApplyReport(newReport(2000, 1), 21*time.Second)
 	placement := f.Choose(wanted, 21*time.Second)
 	c.Assert(placement.Found, qt.IsTrue)
 	c.Assert(placement.Backend.Boot, qt.Equals, catalog.Boot(2000))
@@ -59,7 +59,7 @@
 func TestRestartInRowOverridesReportOfOldProcess(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
-	f.Report(newReport(1000, 1), time.Second)
+	f.ApplyReport(newReport(1000, 1), time.Second)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 2000, 2, 0)}, nil, false, 1100*time.Millisecond)
 	c.Assert(f.Choose(wanted, 1100*time.Millisecond).Found, qt.IsFalse)
 	c.Assert(f.Holders(model, 1, 1100*time.Millisecond), qt.HasLen, 0)
@@ -69,7 +69,7 @@
 // arrived after the restart had been detected.
 func TestLateUpdatesOfOldProcessAreIgnored(t *testing.T) {
 	for name, late := range map[string]func(f *Fleet){
-		"a report": func(f *Fleet) { f.Report(newReport(1000, 1), 2*time.Second) },
+		"a report": func(f *Fleet) { f.ApplyReport(newReport(1000, 1), 2*time.Second) },
 		"an older row": func(f *Fleet) {
 			f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 1000, 1, 1)}, nil, false, 2*time.Second)
 		},
@@ -81,7 +81,7 @@
 		},
 	} {
 		for source, restart := range map[string]func(f *Fleet){
-			"its report": func(f *Fleet) { f.Report(newReport(2000, 0), time.Second) },
+			"its report": func(f *Fleet) { f.ApplyReport(newReport(2000, 0), time.Second) },
 			"its row": func(f *Fleet) {
 				f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 2000, 5, 0)}, nil, false, time.Second)
 			},
@@ -92,7 +92,7 @@
 				restart(f)
 				late(f)
 				c.Assert(f.Choose(wanted, 2*time.Second).Found, qt.IsFalse)
-				f.Report(newReport(2000, 1), 3*time.Second)
+				f.ApplyReport(newReport(2000, 1), 3*time.Second)
 				c.Assert(f.Choose(wanted, 3*time.Second).Backend.Boot, qt.Equals, catalog.Boot(2000))
 			})
 		}
@@ -105,22 +105,22 @@
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
 	f.Apply([]catalog.Backend{newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, false, 0)
-	f.SetCounts("entry-2", map[string]int{"m2": 15}, 0)
+	f.SetPeerCounts("entry-2", map[string]int{"m2": 15}, 0)
 	switching := newReport(1000, 1)
 	switching.Switching, switching.LeavesIn, switching.LoadedIn = true, time.Second, 2*time.Second
 	placed := f.Choose(wanted, time.Second)
-	f.Report(switching, time.Second)
+	f.ApplyReport(switching, time.Second)
 	for range 5 {
-		f.Failed("m1", time.Second)
-		f.Observe("m1", 0, 2*time.Second, time.Second)
+		f.RecordFailure("m1", time.Second)
+		f.RecordLatency("m1", 0, 2*time.Second, time.Second)
 	}
-	f.Report(newReport(2000, 1), 1200*time.Millisecond)
+	f.ApplyReport(newReport(2000, 1), 1200*time.Millisecond)
 	placement := f.Choose(wanted, 1200*time.Millisecond)
 	c.Assert(placement.Backend.ID, qt.Equals, "m1")
-	c.Assert(placement.Cut, qt.IsFalse)
-	c.Assert(placement.Predicted < 200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", placement.Predicted))
-	c.Assert(f.Followed(placed.Backend), qt.IsTrue)
-	c.Assert(f.Followed(placement.Backend), qt.IsFalse)
+	c.Assert(placement.WillInterrupt, qt.IsFalse)
+	c.Assert(placement.PredictedLatency < 200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", placement.PredictedLatency))
+	c.Assert(f.Superseded(placed.Backend), qt.IsTrue)
+	c.Assert(f.Superseded(placement.Backend), qt.IsFalse)
 }
 
 // A server got too few or too many requests, because requests in flight at the old process were
@@ -131,18 +131,18 @@
 	request := Request{Service: plainService}
 	before := f.Choose(request, time.Second)
 	f.Choose(request, time.Second)
-	f.SetCounts("entry-2", map[string]int{"m1": 7}, time.Second)
+	f.SetPeerCounts("entry-2", map[string]int{"m1": 7}, time.Second)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", plainService, 2000, 2, 0)}, nil, false, 1100*time.Millisecond)
-	c.Assert(f.Counts(), qt.HasLen, 0)
+	c.Assert(f.InFlightCounts(), qt.HasLen, 0)
 	after := f.Choose(request, 1200*time.Millisecond)
-	c.Assert(after.Ahead, qt.Equals, 1-16)
-	f.EndedAt(before.Backend)
-	f.EndedAt(before.Backend)
-	c.Assert(f.Counts(), qt.DeepEquals, map[string]int{"m1": 1})
-	f.EndedAt(after.Backend)
-	f.EndedAt(after.Backend)
-	c.Assert(f.Counts(), qt.HasLen, 0)
-	c.Assert(f.Choose(request, 1300*time.Millisecond).Ahead, qt.Equals, 1-16)
+	c.Assert(after.QueuePosition, qt.Equals, 1-16)
+	f.ReleaseIfCurrent(before.Backend)
+	f.ReleaseIfCurrent(before.Backend)
+	c.Assert(f.InFlightCounts(), qt.DeepEquals, map[string]int{"m1": 1})
+	f.ReleaseIfCurrent(after.Backend)
+	f.ReleaseIfCurrent(after.Backend)
+	c.Assert(f.InFlightCounts(), qt.HasLen, 0)
+	c.Assert(f.Choose(request, 1300*time.Millisecond).QueuePosition, qt.Equals, 1-16)
 }
 
 // The boot of a server is unknown at first, as with an agent of the previous version. Requests
@@ -153,11 +153,11 @@
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 0, 1, 1)}, nil, true, 0)
 	placed := f.Choose(wanted, time.Second)
-	f.Report(newReport(1000, 1), time.Second)
-	f.EndedAt(placed.Backend)
-	c.Assert(f.Counts(), qt.HasLen, 0)
-	c.Assert(f.Restarts(), qt.HasLen, 0)
-	f.Report(newReport(0, 1), time.Second)
+	f.ApplyReport(newReport(1000, 1), time.Second)
+	f.ReleaseIfCurrent(placed.Backend)
+	c.Assert(f.InFlightCounts(), qt.HasLen, 0)
+	c.Assert(f.TakeRestarts(), qt.HasLen, 0)
+	f.ApplyReport(newReport(0, 1), time.Second)
 	c.Assert(f.Choose(wanted, time.Second).Backend.Boot, qt.Equals, catalog.Boot(1000))
 }
 
@@ -168,14 +168,14 @@
 	f := newFleetWithServer(plainService, 0)
 	request := Request{Service: plainService}
 	first, second := f.Choose(request, time.Second), f.Choose(request, time.Second)
-	f.Failed("m1", time.Second)
+	f.RecordFailure("m1", time.Second)
 	f.Apply(nil, []string{"m1"}, false, 2*time.Second)
 	c.Assert(f.Choose(request, 5*time.Second).Found, qt.IsFalse)
-	f.EndedAt(first.Backend)
+	f.ReleaseIfCurrent(first.Backend)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", plainService, 2000, 3, 0)}, nil, false, 5*time.Second)
-	f.EndedAt(second.Backend)
-	c.Assert(f.Choose(request, 5*time.Second).Ahead, qt.Equals, 1-16)
-	c.Assert(f.Counts(), qt.DeepEquals, map[string]int{"m1": 1})
+	f.ReleaseIfCurrent(second.Backend)
+	c.Assert(f.Choose(request, 5*time.Second).QueuePosition, qt.Equals, 1-16)
+	c.Assert(f.InFlightCounts(), qt.DeepEquals, map[string]int{"m1": 1})
 }
 
 // A restarted server got no requests for as long as the old process would have drained.
@@ -183,10 +183,10 @@
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
 	draining := newBackendWithBoot("m1", modelService, 1000, 2, 1)
-	draining.Leaving = true
+	draining.Draining = true
 	f.Apply([]catalog.Backend{draining}, nil, false, time.Second)
 	c.Assert(f.Choose(wanted, time.Second).Found, qt.IsFalse)
-	f.Report(newReport(2000, 1), 2*time.Second)
+	f.ApplyReport(newReport(2000, 1), 2*time.Second)
 	c.Assert(f.Choose(wanted, 2*time.Second).Found, qt.IsTrue)
 	// The old row is written once more before it is replaced.
 	draining.Revision = 3
@@ -206,26 +206,26 @@
 		}},
 		"by its row, and its reports after that": {3100 * time.Millisecond, func(f *Fleet, now time.Duration) {
 			f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 500, 2, 0)}, nil, false, 1200*time.Millisecond)
-			f.Report(newReport(500, 0), now)
+			f.ApplyReport(newReport(500, 0), now)
 		}},
 		"by its agent": {1200 * time.Millisecond, func(f *Fleet, now time.Duration) {
 			report := newReport(500, 0)
-			report.Before = []catalog.Boot{1000}
-			f.Report(report, now)
+			report.PreviousBoots = []catalog.Boot{1000}
+			f.ApplyReport(report, now)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			f := newFleetWithServer(modelService, 1)
-			f.Report(newReport(1000, 1), time.Second)
-			f.Report(newReport(500, 2), 1100*time.Millisecond)
-			c.Assert(f.Choose(wanted, 1100*time.Millisecond).Holds, qt.Equals, uint64(1), qt.Commentf("it may be a late datagram"))
+			f.ApplyReport(newReport(1000, 1), time.Second)
+			f.ApplyReport(newReport(500, 2), 1100*time.Millisecond)
+			c.Assert(f.Choose(wanted, 1100*time.Millisecond).HeldVersion, qt.Equals, uint64(1), qt.Commentf("it may be a late datagram"))
 			test.restart(f, test.at)
 			c.Assert(f.Choose(wanted, test.at).Found, qt.IsFalse)
-			f.Report(newReport(1000, 1), test.at+100*time.Millisecond)
+			f.ApplyReport(newReport(1000, 1), test.at+100*time.Millisecond)
 			c.Assert(f.Choose(wanted, test.at+100*time.Millisecond).Found, qt.IsFalse)
-			f.Report(newReport(500, 2), test.at+200*time.Millisecond)
-			c.Assert(f.Choose(wanted, test.at+200*time.Millisecond).Holds, qt.Equals, uint64(2))
+			f.ApplyReport(newReport(500, 2), test.at+200*time.Millisecond)
+			c.Assert(f.Choose(wanted, test.at+200*time.Millisecond).HeldVersion, qt.Equals, uint64(2))
 		})
 	}
 }
@@ -246,12 +246,12 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 500, 2, 1)}, nil, true, 0)
-	f.Report(newReport(1000, 3), time.Second)
-	c.Assert(f.Choose(wanted, time.Second).Holds, qt.Equals, uint64(3))
-	f.Report(newReport(500, 1), 1200*time.Millisecond)
-	c.Assert(f.Choose(wanted, 1200*time.Millisecond).Holds, qt.Equals, uint64(3))
-	f.Report(newReport(500, 1), 3500*time.Millisecond)
-	c.Assert(f.Choose(wanted, 3500*time.Millisecond).Holds, qt.Equals, uint64(1))
+	f.ApplyReport(newReport(1000, 3), time.Second)
+	c.Assert(f.Choose(wanted, time.Second).HeldVersion, qt.Equals, uint64(3))
+	f.ApplyReport(newReport(500, 1), 1200*time.Millisecond)
+	c.Assert(f.Choose(wanted, 1200*time.Millisecond).HeldVersion, qt.Equals, uint64(3))
+	f.ApplyReport(newReport(500, 1), 3500*time.Millisecond)
+	c.Assert(f.Choose(wanted, 3500*time.Millisecond).HeldVersion, qt.Equals, uint64(1))
 }
 
 // The log must show what was assumed of a server before and after a restart.
@@ -259,14 +259,14 @@
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
 	f.Choose(wanted, time.Second)
-	f.Report(newReport(2000, 2), time.Second)
+	f.ApplyReport(newReport(2000, 2), time.Second)
 	version1, version2 := []catalog.Model{{Name: model, Version: 1}}, []catalog.Model{{Name: model, Version: 2}}
-	c.Assert(f.Restarts(), qt.DeepEquals, []Restart{{Backend: "m1", Source: SourceReport, Before: 1000, After: 2000, Held: version1, Holds: version2, UnderWay: 1}})
-	c.Assert(f.Restarts(), qt.HasLen, 0)
+	c.Assert(f.TakeRestarts(), qt.DeepEquals, []Restart{{Backend: "m1", Source: SourceReport, OldBoot: 1000, NewBoot: 2000, OldModels: version1, NewModels: version2, InFlight: 1}})
+	c.Assert(f.TakeRestarts(), qt.HasLen, 0)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 3000, 2, 0)}, nil, true, 2*time.Second)
-	c.Assert(f.Restarts(), qt.DeepEquals, []Restart{{Backend: "m1", Source: SourceRow, Before: 2000, After: 3000, Held: version2}})
+	c.Assert(f.TakeRestarts(), qt.DeepEquals, []Restart{{Backend: "m1", Source: SourceRow, OldBoot: 2000, NewBoot: 3000, OldModels: version2}})
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 3000, 4, 2)}, nil, true, 2*time.Second)
-	c.Assert(f.Restarts(), qt.HasLen, 0)
+	c.Assert(f.TakeRestarts(), qt.HasLen, 0)
 }
 
 // A server was considered full or silent until all entries had observed its restart, because they
@@ -275,19 +275,19 @@
 	c := qt.New(t)
 	f := newFleetWithServer(plainService, 0)
 	now := time.Second
-	c.Assert(f.IsCurrent("m1", 0, now), qt.IsTrue)
-	c.Assert(f.Boots([]string{"m1"}, now), qt.HasLen, 0, qt.Commentf("gossip without a restart must have no boots"))
+	c.Assert(f.IsCurrentBoot("m1", 0, now), qt.IsTrue)
+	c.Assert(f.RecentBoots([]string{"m1"}, now), qt.HasLen, 0, qt.Commentf("gossip without a restart must have no boots"))
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", plainService, 2000, 2, 0)}, nil, false, now)
-	c.Assert(f.IsCurrent("m1", 0, now), qt.IsFalse)
-	c.Assert(f.IsCurrent("m1", 1000, now), qt.IsFalse)
-	c.Assert(f.IsCurrent("m1", 2000, now), qt.IsTrue)
-	c.Assert(f.IsCurrent("m2", 0, now), qt.IsTrue)
-	c.Assert(f.Boots([]string{"m1", "m2"}, now), qt.DeepEquals, map[string]catalog.Boot{"m1": 2000})
+	c.Assert(f.IsCurrentBoot("m1", 0, now), qt.IsFalse)
+	c.Assert(f.IsCurrentBoot("m1", 1000, now), qt.IsFalse)
+	c.Assert(f.IsCurrentBoot("m1", 2000, now), qt.IsTrue)
+	c.Assert(f.IsCurrentBoot("m2", 0, now), qt.IsTrue)
+	c.Assert(f.RecentBoots([]string{"m1", "m2"}, now), qt.DeepEquals, map[string]catalog.Boot{"m1": 2000})
 	// All entries have observed the restart by then. One that started later sends no boot.
-	c.Assert(f.IsCurrent("m1", 0, now+restartPropagationDelay), qt.IsTrue)
-	c.Assert(f.IsCurrent("m1", 1000, now+restartPropagationDelay), qt.IsFalse)
-	c.Assert(f.Boots([]string{"m1"}, now+restartPropagationDelay), qt.HasLen, 1)
-	c.Assert(f.Boots([]string{"m1"}, now+2*restartPropagationDelay), qt.HasLen, 0)
+	c.Assert(f.IsCurrentBoot("m1", 0, now+restartPropagationDelay), qt.IsTrue)
+	c.Assert(f.IsCurrentBoot("m1", 1000, now+restartPropagationDelay), qt.IsFalse)
+	c.Assert(f.RecentBoots([]string{"m1"}, now+restartPropagationDelay), qt.HasLen, 1)
+	c.Assert(f.RecentBoots([]string{"m1"}, now+2*restartPropagationDelay), qt.HasLen, 0)
 }
 
 // A server restarts twice within a heartbeat interval. The row of the second process arrives after
@@ -295,17 +295,17 @@
 func TestTwoRestartsWithinHeartbeatInterval(t *testing.T) {
 	c := qt.New(t)
 	f := newFleetWithServer(modelService, 1)
-	f.Report(newReport(1000, 1), time.Second)
-	f.Report(newReport(3000, 0), 1200*time.Millisecond)
+	f.ApplyReport(newReport(1000, 1), time.Second)
+	f.ApplyReport(newReport(3000, 0), 1200*time.Millisecond)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 2000, 2, 1)}, nil, false, 1300*time.Millisecond)
 	c.Assert(f.Choose(wanted, 1300*time.Millisecond).Found, qt.IsFalse)
-	f.Report(newReport(2000, 1), 1400*time.Millisecond)
+	f.ApplyReport(newReport(2000, 1), 1400*time.Millisecond)
 	c.Assert(f.Choose(wanted, 1400*time.Millisecond).Found, qt.IsFalse)
-	f.Report(newReport(3000, 2), 1500*time.Millisecond)
-	c.Assert(f.Choose(wanted, 1500*time.Millisecond).Holds, qt.Equals, uint64(2))
+	f.ApplyReport(newReport(3000, 2), 1500*time.Millisecond)
+	c.Assert(f.Choose(wanted, 1500*time.Millisecond).HeldVersion, qt.Equals, uint64(2))
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 3000, 3, 2)}, nil, false, 1600*time.Millisecond)
-	c.Assert(f.Choose(wanted, 1600*time.Millisecond).Holds, qt.Equals, uint64(2))
-	c.Assert(f.Restarts(), qt.HasLen, 1)
+	c.Assert(f.Choose(wanted, 1600*time.Millisecond).HeldVersion, qt.Equals, uint64(2))
+	c.Assert(f.TakeRestarts(), qt.HasLen, 1)
 }
 
 // A server restarts during an outage of the store, so that only its agent reports it. Afterwards
@@ -320,18 +320,18 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			f := newFleetWithServer(modelService, 1)
-			f.Report(newReport(1000, 1), time.Second)
-			f.Report(newReport(2000, 0), 10*time.Second)
+			f.ApplyReport(newReport(1000, 1), time.Second)
+			f.ApplyReport(newReport(2000, 0), 10*time.Second)
 			c.Assert(f.Choose(wanted, 10*time.Second).Found, qt.IsFalse)
 			// Without reports for AgentTimeout, the server counts as one without an agent.
 			f.SetState(testState(), 30*time.Second)
 			c.Assert(f.Choose(wanted, 30*time.Second).Found, qt.IsFalse)
-			f.Report(newReport(2000, 2), 31*time.Second)
+			f.ApplyReport(newReport(2000, 2), 31*time.Second)
 			f.SetOutageEnd(31*time.Second, true, 31*time.Second)
 			recovery(f, 31*time.Second)
-			c.Assert(f.Choose(wanted, 31*time.Second).Holds, qt.Equals, uint64(2))
+			c.Assert(f.Choose(wanted, 31*time.Second).HeldVersion, qt.Equals, uint64(2))
 			f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 2000, 5, 2)}, nil, false, 31500*time.Millisecond)
-			c.Assert(f.Choose(wanted, 31500*time.Millisecond).Holds, qt.Equals, uint64(2))
+			c.Assert(f.Choose(wanted, 31500*time.Millisecond).HeldVersion, qt.Equals, uint64(2))
 		})
 	}
 }
@@ -343,10 +343,10 @@
 	f := newFleetWithServer(modelService, 1)
 	switching := newReport(1000, 1)
 	switching.Switching = true
-	f.Report(switching, time.Second)
+	f.ApplyReport(switching, time.Second)
 	c.Assert(f.Choose(wanted, time.Second).Found, qt.IsFalse)
 	f.Apply([]catalog.Backend{newBackendWithBoot("m1", modelService, 2000, 2, 2)}, nil, false, 1200*time.Millisecond)
-	c.Assert(f.Choose(wanted, 1200*time.Millisecond).Holds, qt.Equals, uint64(2))
-	f.Report(switching, 1300*time.Millisecond)
-	c.Assert(f.Choose(wanted, 1300*time.Millisecond).Holds, qt.Equals, uint64(2))
+	c.Assert(f.Choose(wanted, 1200*time.Millisecond).HeldVersion, qt.Equals, uint64(2))
+	f.ApplyReport(switching, 1300*time.Millisecond)
+	c.Assert(f.Choose(wanted, 1300*time.Millisecond).HeldVersion, qt.Equals, uint64(2))
 }
--- a/internal/coordination/fleet/choose.go
+++ b/internal/coordination/fleet/choose.go
@@ -17,12 +17,12 @@
 	Version uint64
 	// MinVersion is the oldest acceptable version, one of those set by SetNamedVersions; 0 means
 	// any.
-	Least        uint64
+	MinVersion   uint64
 	PromptTokens int
 	// AnswerTokens is the expected length of the answer; 0 if unknown.
 	AnswerTokens int
 	// LastAttempt is true if an interrupted answer cannot be resumed at another server.
-	Final bool
+	LastAttempt bool
 	// Avoid are the servers that must not be picked, such as those that the request was already
 	// sent to.
 	Avoid []filbertlever.HostID
@@ -36,26 +36,26 @@
 	// Version is the version that must answer, if Request.Version or Request.MinVersion was set.
 	Version uint64
 	// Slowdown is the factor by which the server is slower than expected; 0 if unknown.
-	Pace float64
+	Slowdown float64
 	// HeldVersion is the version of the model that the server holds, as far as known; 0 if none.
-	Holds uint64
+	HeldVersion uint64
 	// PredictedLatency is the predicted time to the first event of the answer.
-	Predicted time.Duration
+	PredictedLatency time.Duration
 	// QueuePosition is the number of requests at the server, including this one, beyond what it
 	// runs concurrently; 0 or less if the request need not queue.
-	Ahead  int
-	Reason routing.Reason
+	QueuePosition int
+	Reason        routing.Reason
 	// Candidates is the number of servers that were compared.
-	Weighed int
+	Candidates int
 	// PrefillWait is the predicted time until the server has prefilled the prompts that it received
 	// before.
-	Reading time.Duration
+	PrefillWait time.Duration
 	// WillInterrupt is true if the server is predicted to interrupt the answer to switch weights.
-	Cut bool
+	WillInterrupt bool
 	// ReportAge is the age of the last report of the server; negative if there is none.
 	ReportAge time.Duration
 	// MissingFor is how long the server has been missing from the list; 0 if it is listed.
-	Missing time.Duration
+	MissingFor time.Duration
 	// ReadyIn is the predicted time until a server can take the request, if none can now; 0 if
 	// unknown.
 	ReadyIn time.Duration
@@ -66,46 +66,46 @@
 	f.refresh(now)
 	router := f.router(request.Service)
 	if router == nil {
-		return Placement{Reason: routing.ReasonNone}
+		return Placement{Reason: routing.ReasonNoHost}
 	}
 	target := plainTarget
 	switch {
 	case f.state.Services[request.Service].Engine == nil:
 	case request.Version != 0:
 		target = versionTarget(request.Model, request.Version)
-	case request.Least != 0:
-		target = minVersionTarget(request.Model, request.Least)
+	case request.MinVersion != 0:
+		target = minVersionTarget(request.Model, request.MinVersion)
 	default:
 		target = modelTarget(request.Model)
 	}
 	routed := &routing.Request{Target: target, PromptTokens: request.PromptTokens, Avoid: request.Avoid, Now: now,
-		Lasts: f.answerDuration(request), Final: request.Final}
+		AnswerDuration: f.answerDuration(request), LastAttempt: request.LastAttempt}
 	choice := router.Choose(routed)
 	if choice.Host == "" {
 		choice = f.chooseSuspected(router, request.Service, routed, now)
 	}
 	s, ok := f.servers[string(choice.Host)]
 	if !ok {
-		return Placement{Reason: choice.Reason, Weighed: choice.Weighed, ReadyIn: f.readyIn(request, now)}
+		return Placement{Reason: choice.Reason, Candidates: choice.CandidateCount, ReadyIn: f.readyIn(request, now)}
 	}
 	f.recordSent(s, now)
 	age := time.Duration(-1)
 	if s.hasReport {
 		age = now - s.reportedAt
 	}
-	placement := Placement{Backend: s.backend, Found: true, Predicted: choice.Predicted, Ahead: choice.Ahead, Reason: choice.Reason, Weighed: choice.Weighed, ReportAge: age, Cut: choice.Cut, Reading: choice.Reading}
+	placement := Placement{Backend: s.backend, Found: true, PredictedLatency: choice.Predicted, QueuePosition: choice.QueuePosition, Reason: choice.Reason, Candidates: choice.CandidateCount, ReportAge: age, WillInterrupt: choice.WillInterrupt, PrefillWait: choice.PrefillWait}
 	if f.config.Regions[s.backend.Site] != f.config.Region {
-		placement.Ahead += f.config.OtherRegionMargin
+		placement.QueuePosition += f.config.OtherRegionMargin
 	}
 	if s.hasReport {
-		placement.Pace = s.report.Pace
+		placement.Slowdown = s.report.Pace
 	}
 	if s.missingSince != 0 {
-		placement.Missing = now - s.missingSince
+		placement.MissingFor = now - s.missingSince
 	}
-	placement.Holds = f.heldVersion(s, request.Model, now)
-	if request.Version != 0 || request.Least != 0 {
-		placement.Version = placement.Holds
+	placement.HeldVersion = f.heldVersion(s, request.Model, now)
+	if request.Version != 0 || request.MinVersion != 0 {
+		placement.Version = placement.HeldVersion
 	}
 	return placement
 }
@@ -113,10 +113,10 @@
 // answerDuration predicts the time from the first event to the end of an answer at a full engine.
 func (f *Fleet) answerDuration(request Request) time.Duration {
 	e := f.state.Services[request.Service].Engine
-	if e == nil || e.UsualAnswer == 0 || request.AnswerTokens == 0 {
+	if e == nil || e.MeanAnswerTokens == 0 || request.AnswerTokens == 0 {
 		return 0
 	}
-	return serviceTime(e) * time.Duration(request.AnswerTokens) / time.Duration(e.UsualAnswer)
+	return serviceTime(e) * time.Duration(request.AnswerTokens) / time.Duration(e.MeanAnswerTokens)
 }
 
 // chooseSuspected picks among suspected servers.
@@ -128,12 +128,12 @@
 	for id := range f.recheck {
 		s, ok := f.servers[id]
 		eligible := ok && s.backend.Service == service && s.missingSince == 0 && now >= s.switchingUntil && now >= f.retryAt(s) && !f.recentlyUnreachable(s, now)
-		if eligible && f.members.Fit(filbertlever.HostID(id), f.membershipTime(now)) {
+		if eligible && f.members.Eligible(filbertlever.HostID(id), f.membershipTime(now)) {
 			suspected = append(suspected, id)
 			router.SetHost(f.host(s.backend), true)
 		}
 	}
-	choice := routing.Choice{Reason: routing.ReasonNone}
+	choice := routing.Choice{Reason: routing.ReasonNoHost}
 	if len(suspected) > 0 {
 		choice = router.Choose(request)
 	}
@@ -145,13 +145,13 @@
 
 // HasAlternative reports whether a server that the request does not avoid could take it now with a
 // queue position of at most maxQueue. The check leaves the counts unchanged.
-func (f *Fleet) Elsewhere(request Request, maxQueue int, now time.Duration) bool {
+func (f *Fleet) HasAlternative(request Request, maxQueue int, now time.Duration) bool {
 	placement := f.Choose(request, now)
 	if !placement.Found {
 		return false
 	}
-	f.Ended(placement.Backend.ID)
-	return placement.Ahead <= maxQueue
+	f.Release(placement.Backend.ID)
+	return placement.QueuePosition <= maxQueue
 }
 
 // ReadyIn returns the time until the first server of a service holds the model that it loads or
--- a/internal/coordination/fleet/counts.go
+++ b/internal/coordination/fleet/counts.go
@@ -8,15 +8,15 @@
 )
 
 // Report is the state of a server as its agent reports it.
-type Load struct {
+type Report struct {
 	// Address is the address at which the server accepts requests.
 	Address string `cbor:"1,keyasint"`
 	// Boot is the boot of the server; 0 if the agent does not report it.
 	Boot catalog.Boot `cbor:"2,keyasint,omitempty"`
 	// PreviousBoots are the boots that the agent has observed to end, oldest first.
-	Before []catalog.Boot `cbor:"3,keyasint,omitempty"`
+	PreviousBoots []catalog.Boot `cbor:"3,keyasint,omitempty"`
 	// AgentAddress is the address that the report came from, at which the agent serves pieces.
-	Agent string `cbor:"-"`
+	AgentAddress string `cbor:"-"`
 	// Sequence increases with each report, also across restarts of the agent, unless the host's
 	// clock is set back.
 	Sequence uint64 `cbor:"4,keyasint"`
@@ -38,7 +38,7 @@
 }
 
 // ApplyReport applies the report of a server's agent.
-func (f *Fleet) Report(report Load, now time.Duration) {
+func (f *Fleet) ApplyReport(report Report, now time.Duration) {
 	s, ok := f.servers[f.byAddress[report.Address]]
 	if !ok || !f.acceptReport(s, &report, now) {
 		return
@@ -84,11 +84,11 @@
 	if s.hasReport && now-s.reportedAt < f.config.ReportTTL {
 		others = max(others, s.report.Running+s.report.Queued-s.ownRequests-reportTolerance)
 	}
-	router.SetOthers(filbertlever.HostID(s.backend.ID), others, s.backend.Slots, now)
+	router.SetOtherRequests(filbertlever.HostID(s.backend.ID), others, s.backend.Slots, now)
 }
 
 // InFlightCounts returns the number of requests of this entry in flight, by server.
-func (f *Fleet) Counts() map[string]int {
+func (f *Fleet) InFlightCounts() map[string]int {
 	counts := make(map[string]int, len(f.busy))
 	for id, s := range f.busy {
 		counts[id] = s.ownRequests
@@ -106,7 +106,7 @@
 }
 
 // Release removes a request from the count of a server, after it has ended there or was not sent.
-func (f *Fleet) Ended(id string) {
+func (f *Fleet) Release(id string) {
 	s, ok := f.busy[id]
 	if !ok {
 		return
@@ -116,13 +116,13 @@
 		delete(f.busy, id)
 	}
 	if router := f.router(s.backend.Service); router != nil {
-		router.Ended(filbertlever.HostID(id))
+		router.Release(filbertlever.HostID(id))
 	}
 }
 
 // SetPeerCounts sets the number of requests that another entry has in flight, by server. The counts
 // are nil if the entry has left.
-func (f *Fleet) SetCounts(entry filbertlever.HostID, counts map[string]int, now time.Duration) {
+func (f *Fleet) SetPeerCounts(entry filbertlever.HostID, counts map[string]int, now time.Duration) {
 	for _, id := range f.gossipedServers[entry] {
 		if counts[id] == 0 {
 			f.setPeerCount(id, entry, 0, now)
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -101,7 +101,7 @@
 	// peerTotal is the sum of peerRequests.
 	peerTotal int
 	// report is the last report of the server's agent.
-	report Load
+	report Report
 	// reportedModels are the models of the last report, which arrived at reportedAt.
 	reportedModels []catalog.Model
 	reportedAt     time.Duration
@@ -221,8 +221,8 @@
 	if a == nil || b == nil {
 		return a == b
 	}
-	return a.Slots == b.Slots && a.Step == b.Step && a.PromptToken == b.PromptToken &&
-		a.UsualPrompt == b.UsualPrompt && a.UsualAnswer == b.UsualAnswer
+	return a.Slots == b.Slots && a.StepTime == b.StepTime && a.PromptTokenTime == b.PromptTokenTime &&
+		a.MeanPromptTokens == b.MeanPromptTokens && a.MeanAnswerTokens == b.MeanAnswerTokens
 }
 
 // SetOutageEnd sets the end of the store's last outage; ok is false if none is known.
@@ -232,7 +232,7 @@
 }
 
 // SetNamedVersions sets the versions of a model that operators have named.
-func (f *Fleet) SetNamed(model string, versions []uint64, now time.Duration) {
+func (f *Fleet) SetNamedVersions(model string, versions []uint64, now time.Duration) {
 	f.namedVersions[model] = versions
 	for id := range f.servers {
 		f.syncRouter(id, now)
@@ -263,7 +263,7 @@
 	}
 	f.updateMembership(now)
 	for _, backend := range present {
-		if f.Known(backend.ID) {
+		if f.Contains(backend.ID) {
 			f.syncRouter(backend.ID, now)
 		}
 	}
@@ -331,9 +331,9 @@
 	host := f.host(s.backend)
 	f.markUsable(s, f.usable(s, now))
 	router.SetHost(host, s.routerUsable)
-	router.SetLoaded(host.ID, f.targets(s, now))
-	router.SetLeaves(host.ID, s.interruptsAt)
-	router.SetDoubtful(host.ID, s.missingSince != 0)
+	router.SetTargets(host.ID, f.targets(s, now))
+	router.SetInterruptAt(host.ID, s.interruptsAt)
+	router.SetSuspect(host.ID, s.missingSince != 0)
 	f.syncPeerRequests(s, now)
 }
 
@@ -387,15 +387,15 @@
 		return nil
 	}
 	config := routing.Config{
-		Service: f.config.PlainServiceTime, OtherSite: f.config.OtherSitePenalty, OtherRegion: f.config.OtherRegionPenalty, Samples: candidateSamples,
-		Doubtful: f.config.ExpiredRowPenalty,
+		ServiceTime: f.config.PlainServiceTime, OtherSiteCost: f.config.OtherSitePenalty, OtherRegionCost: f.config.OtherRegionPenalty, Samples: candidateSamples,
+		SuspectCost: f.config.ExpiredRowPenalty,
 	}
 	if e := service.Engine; e != nil {
-		config.Service = serviceTime(e)
-		config.PrefillToken = e.PromptToken
-		config.UsualPrompt = time.Duration(e.UsualPrompt) * e.PromptToken
-		config.Cut = interruptionCost
-		config.FirstToken = passesBeforeFirstEvent * time.Duration(e.Stride) * e.Step
+		config.ServiceTime = serviceTime(e)
+		config.PrefillPerToken = e.PromptTokenTime
+		config.TypicalPrefill = time.Duration(e.MeanPromptTokens) * e.PromptTokenTime
+		config.InterruptCost = interruptionCost
+		config.FirstToken = passesBeforeFirstEvent * time.Duration(e.StepsPerEvent) * e.StepTime
 	}
 	router := routing.New(config, f.config.Site, f.config.Region, f.rng)
 	f.routers[name] = router
@@ -418,8 +418,8 @@
 // serviceTime returns how long a request occupies a slot of a full engine. Each request of a batch
 // waits while the prompts of all of them are prefilled.
 func serviceTime(e *catalog.Engine) time.Duration {
-	prefill := time.Duration(e.Slots*e.UsualPrompt) * e.PromptToken
-	return prefill + time.Duration(e.UsualAnswer)*e.Step
+	prefill := time.Duration(e.Slots*e.MeanPromptTokens) * e.PromptTokenTime
+	return prefill + time.Duration(e.MeanAnswerTokens)*e.StepTime
 }
 
 // Backends returns the listed servers of a service, sorted by ID.
@@ -436,7 +436,7 @@
 
 // Contains reports whether the fleet tracks a server. A server that is missing from the list is
 // tracked until it is removed.
-func (f *Fleet) Known(id string) bool {
+func (f *Fleet) Contains(id string) bool {
 	_, ok := f.servers[id]
 	return ok
 }
--- a/internal/coordination/fleet/fleet_test.go
+++ b/internal/coordination/fleet/fleet_test.go
@@ -19,8 +19,8 @@
 
 func testEngine() *catalog.Engine {
 	return &catalog.Engine{
-		Slots: 16, Step: 7 * time.Millisecond, Stride: 6, PromptToken: 32 * time.Microsecond,
-		UsualPrompt: 900, UsualAnswer: 119, ReportLag: 200 * time.Millisecond, Models: []string{model},
+		Slots: 16, StepTime: 7 * time.Millisecond, StepsPerEvent: 6, PromptTokenTime: 32 * time.Microsecond,
+		MeanPromptTokens: 900, MeanAnswerTokens: 119, ReportLag: 200 * time.Millisecond, Models: []string{model},
 	}
 }
 
@@ -75,7 +75,7 @@
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 0)}, nil, true, 0)
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, 0).Found, qt.IsFalse)
-	f.Report(Load{Address: "10.0.0.1:1", Sequence: 1, Models: []catalog.Model{{Name: model, Version: 1}}}, time.Second)
+	f.ApplyReport(Report{Address: "10.0.0.1:1", Sequence: 1, Models: []catalog.Model{{Name: model, Version: 1}}}, time.Second)
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, time.Second).Backend.ID, qt.Equals, "m1")
 }
 
@@ -97,7 +97,7 @@
 	f.SetState(testState(), 0)
 	leaving := newBackend("o1", plainService, "10.0.0.1:1", 0)
 	f.Apply([]catalog.Backend{leaving}, nil, true, 0)
-	leaving.Leaving = true
+	leaving.Draining = true
 	f.Apply([]catalog.Backend{leaving}, nil, false, time.Second)
 	c.Assert(f.Choose(Request{Service: plainService}, time.Second).Found, qt.IsFalse)
 }
@@ -109,7 +109,7 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("o1", plainService, "10.0.0.1:1", 0), newBackend("o2", plainService, "10.0.0.2:1", 0)}, nil, true, 0)
-	f.Failed("o1", time.Second)
+	f.RecordFailure("o1", time.Second)
 	used := map[string]bool{}
 	for range 20 {
 		used[f.Choose(Request{Service: plainService}, time.Second).Backend.ID] = true
@@ -128,8 +128,8 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("o1", plainService, "10.0.0.1:1", 0), newBackend("o2", plainService, "10.0.0.2:1", 0)}, nil, true, 0)
-	f.Failed("o1", time.Second)
-	f.Failed("o2", time.Second)
+	f.RecordFailure("o1", time.Second)
+	f.RecordFailure("o2", time.Second)
 	c.Assert(f.Choose(Request{Service: plainService}, time.Second).Found, qt.IsTrue)
 	c.Assert(f.Choose(Request{Service: plainService, Avoid: []filbertlever.HostID{"o1", "o2"}}, time.Second).Found, qt.IsFalse)
 }
@@ -142,11 +142,11 @@
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1),
 		newBackend("m3", modelService, "10.0.0.3:1", 0)}, nil, true, 0)
-	f.Report(Load{Address: "10.0.0.3:1", Sequence: 1, LoadedIn: 400 * time.Millisecond}, time.Second)
+	f.ApplyReport(Report{Address: "10.0.0.3:1", Sequence: 1, LoadedIn: 400 * time.Millisecond}, time.Second)
 	wanted := Request{Service: modelService, Model: model}
-	f.Unreachable("m1", time.Second)
+	f.RecordUnreachable("m1", time.Second)
 	c.Assert(f.Choose(wanted, time.Second).Backend.ID, qt.Equals, "m2")
-	f.Unreachable("m2", time.Second)
+	f.RecordUnreachable("m2", time.Second)
 	got := f.Choose(wanted, time.Second)
 	c.Assert(got.Found, qt.IsFalse)
 	c.Assert(got.ReadyIn, qt.Equals, 400*time.Millisecond)
@@ -161,9 +161,9 @@
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1)}, nil, true, 0)
 	models := []catalog.Model{{Name: model, Version: 1}}
-	f.Report(Load{Address: "10.0.0.1:1", Sequence: 1, Switching: true, Models: models}, time.Second)
+	f.ApplyReport(Report{Address: "10.0.0.1:1", Sequence: 1, Switching: true, Models: models}, time.Second)
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, time.Second).Found, qt.IsFalse)
-	f.Report(Load{Address: "10.0.0.1:1", Sequence: 2, Models: models}, 2*time.Second)
+	f.ApplyReport(Report{Address: "10.0.0.1:1", Sequence: 2, Models: models}, 2*time.Second)
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, 2*time.Second).Found, qt.IsTrue)
 }
 
@@ -183,11 +183,11 @@
 		f := newFleet()
 		f.SetState(testState(), 0)
 		f.Apply(present, nil, true, 0)
-		c.Check(f.Known("old"), qt.IsFalse)
+		c.Check(f.Contains("old"), qt.IsFalse)
 		for range 20 {
 			c.Check(f.Choose(Request{Service: modelService, Model: model}, 0).Backend.ID, qt.Equals, "new")
 		}
-		f.Report(Load{Address: "10.0.0.1:1", Sequence: 1, Running: 16}, 0)
+		f.ApplyReport(Report{Address: "10.0.0.1:1", Sequence: 1, Running: 16}, 0)
 		c.Check(f.Choose(Request{Service: modelService, Model: model}, 0).Found, qt.IsFalse)
 	}
 	// The rows arrive one by one.
@@ -195,7 +195,7 @@
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{row("old", 4, 1)}, nil, true, 0)
 	f.Apply([]catalog.Backend{row("new", 9, 0)}, nil, false, time.Second)
-	c.Assert(f.Known("old"), qt.IsFalse)
+	c.Assert(f.Contains("old"), qt.IsFalse)
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, time.Second).Found, qt.IsFalse)
 }
 
@@ -206,7 +206,7 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "m1", 1), newBackend("m2", modelService, "m2", 1)}, nil, true, 0)
-	f.NoteModelMissing("m1", 0)
+	f.RecordModelMissing("m1", 0)
 	for range 40 {
 		c.Assert(f.Choose(Request{Service: modelService, Model: model}, 0).Backend.ID, qt.Equals, "m2")
 	}
@@ -224,14 +224,14 @@
 		present = append(present, newBackend(id, modelService, id, 1))
 	}
 	f.Apply(present, nil, true, 0)
-	f.NoteModelMissing("m1", 0)
-	f.Answered("m2", 0)
-	f.NoteModelMissing("m2", 0)
+	f.RecordModelMissing("m1", 0)
+	f.RecordSuccess("m2", 0)
+	f.RecordModelMissing("m2", 0)
 	wanted := Request{Service: modelService, Model: model}
 	c.Assert(f.Choose(wanted, 0).Found, qt.IsTrue)
-	f.NoteModelMissing("m3", 0)
+	f.RecordModelMissing("m3", 0)
 	c.Assert(f.Choose(wanted, 0).Found, qt.IsFalse)
-	f.Report(Load{Address: "m4", Sequence: 1, LoadedIn: 500 * time.Millisecond}, 0)
+	f.ApplyReport(Report{Address: "m4", Sequence: 1, LoadedIn: 500 * time.Millisecond}, 0)
 	c.Assert(f.Choose(wanted, 0).ReadyIn, qt.Equals, 500*time.Millisecond)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "m1", 1)}, nil, false, time.Second)
 	c.Assert(f.Choose(wanted, time.Second).Backend.ID, qt.Equals, "m1")
@@ -252,7 +252,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				p := f.Choose(Request{Service: modelService, Model: model, PromptTokens: 900}, 0)
-				f.Ended(p.Backend.ID)
+				f.Release(p.Backend.ID)
 			}
 		})
 	}
@@ -265,13 +265,13 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
-	f.SetCounts("entry-2", map[string]int{"m1": 16}, 0)
+	f.SetPeerCounts("entry-2", map[string]int{"m1": 16}, 0)
 	for range 10 {
 		c.Assert(f.Choose(Request{Service: modelService, Model: model}, 0).Backend.ID, qt.Equals, "m2")
 	}
-	f.SetCounts("entry-2", nil, 0)
+	f.SetPeerCounts("entry-2", nil, 0)
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, 0).Backend.ID, qt.Equals, "m1")
-	c.Assert(f.Counts(), qt.DeepEquals, map[string]int{"m1": 1, "m2": 10})
+	c.Assert(f.InFlightCounts(), qt.DeepEquals, map[string]int{"m1": 1, "m2": 10})
 }
 
 // A server whose queue was full of requests of an entry without working gossip appeared to be idle.
@@ -282,8 +282,8 @@
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1)}, nil, true, 0)
 	models := []catalog.Model{{Name: model, Version: 1}}
-	f.Report(Load{Address: "10.0.0.1:1", Sequence: 1, Running: 16, Queued: 10, Models: models}, 0)
-	c.Assert(f.Choose(Request{Service: modelService, Model: model}, 0).Ahead > 1, qt.IsTrue)
+	f.ApplyReport(Report{Address: "10.0.0.1:1", Sequence: 1, Running: 16, Queued: 10, Models: models}, 0)
+	c.Assert(f.Choose(Request{Service: modelService, Model: model}, 0).QueuePosition > 1, qt.IsTrue)
 }
 
 // Requests were sent to a replaced server until the list was updated, and the new server at the
@@ -293,7 +293,7 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("o1", plainService, "10.0.0.1:1", 0)}, nil, true, 0)
-	f.Replaced("o1", 0)
+	f.RecordReplaced("o1", 0)
 	c.Assert(f.Choose(Request{Service: plainService}, 0).Found, qt.IsFalse)
 }
 
@@ -304,11 +304,11 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
-	f.NoteModelMissing("m1", 0)
-	f.NoteModelMissing("m2", 0)
+	f.RecordModelMissing("m1", 0)
+	f.RecordModelMissing("m2", 0)
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, 0).Found, qt.IsFalse)
-	f.Report(Load{Address: "10.0.0.1:1", Sequence: 1, LoadedIn: 3 * time.Second}, time.Second)
-	f.Report(Load{Address: "10.0.0.2:1", Sequence: 1, LoadedIn: 2 * time.Second}, time.Second)
+	f.ApplyReport(Report{Address: "10.0.0.1:1", Sequence: 1, LoadedIn: 3 * time.Second}, time.Second)
+	f.ApplyReport(Report{Address: "10.0.0.2:1", Sequence: 1, LoadedIn: 2 * time.Second}, time.Second)
 	none := f.Choose(Request{Service: modelService, Model: model}, 2*time.Second)
 	c.Assert(none.Found, qt.IsFalse)
 	c.Assert(none.ReadyIn, qt.Equals, time.Second)
@@ -321,10 +321,10 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
-	f.SetCounts("entry-2", map[string]int{"m2": 8}, 0)
+	f.SetPeerCounts("entry-2", map[string]int{"m2": 8}, 0)
 	now := time.Second
 	for range 3 {
-		f.Observe("m1", 100*time.Millisecond, 900*time.Millisecond, now)
+		f.RecordLatency("m1", 100*time.Millisecond, 900*time.Millisecond, now)
 	}
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, now).Backend.ID, qt.Equals, "m2")
 	c.Assert(f.Choose(Request{Service: modelService, Model: model}, now+10*time.Second).Backend.ID, qt.Equals, "m1")
@@ -353,14 +353,14 @@
 	f := newFleet()
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
-	f.SetCounts("entry-2", map[string]int{"m2": 15}, 0)
+	f.SetPeerCounts("entry-2", map[string]int{"m2": 15}, 0)
 	now := time.Second
 	wanted := Request{Service: modelService, Model: model}
 	c.Assert(f.Choose(wanted, now).Backend.ID, qt.Equals, "m1")
 	c.Assert(f.Choose(wanted, now+500*time.Millisecond).Backend.ID, qt.Equals, "m1")
 	c.Assert(f.Stalled("m1", now+700*time.Millisecond), qt.IsTrue)
 	c.Assert(f.Choose(wanted, now+700*time.Millisecond).Backend.ID, qt.Equals, "m2")
-	f.Progress("m1", now+800*time.Millisecond)
+	f.RecordProgress("m1", now+800*time.Millisecond)
 	c.Assert(f.Choose(wanted, now+800*time.Millisecond).Backend.ID, qt.Equals, "m1")
 }
 
@@ -373,7 +373,7 @@
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
 	models := []catalog.Model{{Name: model, Version: 1}}
 	report := func(address string, sequence uint64, now time.Duration) {
-		f.Report(Load{Address: address, Sequence: sequence, Models: models}, now)
+		f.ApplyReport(Report{Address: address, Sequence: sequence, Models: models}, now)
 	}
 	wanted := Request{Service: modelService, Model: model}
 	report("10.0.0.1:1", 1, time.Second)
@@ -381,7 +381,7 @@
 	for range 10 {
 		c.Assert(f.Choose(wanted, 2*time.Second).Backend.ID, qt.Equals, "m2")
 	}
-	f.Progress("m1", 2100*time.Millisecond)
+	f.RecordProgress("m1", 2100*time.Millisecond)
 	c.Assert(f.Choose(wanted, 2100*time.Millisecond).Backend.ID, qt.Equals, "m1")
 }
 
@@ -394,8 +394,8 @@
 	near, far, other := newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1), newBackend("m3", modelService, "10.0.0.3:1", 1)
 	far.Site, other.Site = "b", "b"
 	f.Apply([]catalog.Backend{near, far, other}, nil, true, 0)
-	f.SetCounts("entry-9", map[string]int{"m3": 10}, time.Second)
-	f.SetSilent([]string{"m1", "m2"}, time.Second)
+	f.SetPeerCounts("entry-9", map[string]int{"m3": 10}, time.Second)
+	f.MarkSilent([]string{"m1", "m2"}, time.Second)
 	wanted := Request{Service: modelService, Model: model, Avoid: []filbertlever.HostID{"m1"}}
 	c.Assert(f.Choose(wanted, time.Second).Backend.ID, qt.Equals, "m3")
 	c.Assert(f.Choose(wanted, 3*time.Second).Backend.ID, qt.Equals, "m2")
@@ -416,11 +416,11 @@
 	for range 4 {
 		c.Assert(f.Choose(wanted, now).Found, qt.IsTrue)
 	}
-	f.SetCounts("entry-2", map[string]int{"m1": 12}, now)
+	f.SetPeerCounts("entry-2", map[string]int{"m1": 12}, now)
 	// The prefill of sixteen prompts of 900 tokens takes 0.46 s.
 	c.Assert(f.Stalled("m1", now+time.Second), qt.IsFalse)
 	c.Assert(f.Stalled("m1", now+1100*time.Millisecond), qt.IsTrue)
-	f.Progress("m1", now+time.Second)
+	f.RecordProgress("m1", now+time.Second)
 	c.Assert(f.Stalled("m1", now+1500*time.Millisecond), qt.IsFalse)
 	c.Assert(f.Stalled("m1", now+1700*time.Millisecond), qt.IsTrue)
 }
@@ -432,10 +432,10 @@
 	f.SetState(testState(), 0)
 	f.Apply([]catalog.Backend{newBackend("m1", modelService, "10.0.0.1:1", 1), newBackend("m2", modelService, "10.0.0.2:1", 1)}, nil, true, 0)
 	wanted := Request{Service: modelService, Model: model, Avoid: []filbertlever.HostID{"m1"}}
-	c.Assert(f.Elsewhere(wanted, 1, time.Second), qt.IsTrue)
-	f.SetCounts("entry-2", map[string]int{"m2": 17}, time.Second)
-	c.Assert(f.Elsewhere(wanted, 1, time.Second), qt.IsFalse)
+	c.Assert(f.HasAlternative(wanted, 1, time.Second), qt.IsTrue)
+	f.SetPeerCounts("entry-2", map[string]int{"m2": 17}, time.Second)
+	c.Assert(f.HasAlternative(wanted, 1, time.Second), qt.IsFalse)
 	wanted.Avoid = append(wanted.Avoid, "m2")
-	c.Assert(f.Elsewhere(wanted, 1, time.Second), qt.IsFalse)
-	c.Assert(f.Counts(), qt.HasLen, 0)
+	c.Assert(f.HasAlternative(wanted, 1, time.Second), qt.IsFalse)
+	c.Assert(f.InFlightCounts(), qt.HasLen, 0)
 }
--- a/internal/coordination/fleet/health.go
+++ b/internal/coordination/fleet/health.go
@@ -52,7 +52,7 @@
 	if s.lastEventAt >= s.batchStartedAt {
 		return 0
 	}
-	return time.Duration(min(s.ownRequests+s.peerTotal, engine.Slots)*engine.UsualPrompt) * engine.PromptToken
+	return time.Duration(min(s.ownRequests+s.peerTotal, engine.Slots)*engine.MeanPromptTokens) * engine.PromptTokenTime
 }
 
 // Stalled reports whether a server with requests in flight makes no progress, so that they should
@@ -63,7 +63,7 @@
 }
 
 // RecordProgress records that a server sent a part of an answer.
-func (f *Fleet) Progress(id string, now time.Duration) {
+func (f *Fleet) RecordProgress(id string, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
 		s.progressAt, s.lastEventAt = now, now
 	}
@@ -85,7 +85,7 @@
 
 // SilentServers returns the silent or stalled servers of this region, which are gossiped to entries
 // of other regions.
-func (f *Fleet) Silent(now time.Duration) []string {
+func (f *Fleet) SilentServers(now time.Duration) []string {
 	ids := f.silentByReport(now)
 	for id, s := range f.busy {
 		if f.config.Regions[s.backend.Site] == f.config.Region && f.stalled(s, now) && !f.silent(s, now) {
@@ -136,7 +136,7 @@
 }
 
 // MarkSilent applies the gossip of another entry about silent servers of its region.
-func (f *Fleet) SetSilent(ids []string, now time.Duration) {
+func (f *Fleet) MarkSilent(ids []string, now time.Duration) {
 	for _, id := range ids {
 		s, ok := f.servers[id]
 		if ok && f.config.Regions[s.backend.Site] != f.config.Region {
@@ -148,7 +148,7 @@
 
 // RecordLatency records the measured time to the first event of an answer together with the
 // predicted time.
-func (f *Fleet) Observe(id string, predicted, measured, now time.Duration) {
+func (f *Fleet) RecordLatency(id string, predicted, measured, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
 		if router := f.router(s.backend.Service); router != nil {
 			router.Observe(filbertlever.HostID(id), predicted, measured, now)
@@ -157,18 +157,18 @@
 }
 
 // RecordSuccess records that a server answered a request correctly.
-func (f *Fleet) Answered(id string, now time.Duration) {
+func (f *Fleet) RecordSuccess(id string, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
 		f.modelMisses[s.backend.Service] = 0
 	}
-	f.members.Answered(filbertlever.HostID(id), f.membershipTime(now))
+	f.members.RecordAnswer(filbertlever.HostID(id), f.membershipTime(now))
 }
 
 // RecordFailure records that a server could not be reached, interrupted an answer or sent an
 // invalid one. The server is then suspected and gets no requests for some time, unless no other
 // server is usable.
-func (f *Fleet) Failed(id string, now time.Duration) {
-	f.members.Failed(filbertlever.HostID(id), f.membershipTime(now))
+func (f *Fleet) RecordFailure(id string, now time.Duration) {
+	f.members.RecordFailure(filbertlever.HostID(id), f.membershipTime(now))
 	f.recheck[id] = true
 	if _, ok := f.servers[id]; ok {
 		f.syncRouter(id, now)
@@ -176,11 +176,11 @@
 }
 
 // RecordUnreachable records that opening a connection to a server failed.
-func (f *Fleet) Unreachable(id string, now time.Duration) {
+func (f *Fleet) RecordUnreachable(id string, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
 		s.unreachableAt = now
 	}
-	f.Failed(id, now)
+	f.RecordFailure(id, now)
 }
 
 // unreachableBackoff is how long no request is sent to a server after a connection could not be
@@ -199,7 +199,7 @@
 
 // RecordReplaced records that another server answers at the address of this one, and removes this
 // one.
-func (f *Fleet) Replaced(id string, now time.Duration) {
+func (f *Fleet) RecordReplaced(id string, now time.Duration) {
 	if s, ok := f.servers[id]; ok {
 		f.recordReplaced(s.backend)
 		f.remove(id, s)
@@ -211,7 +211,7 @@
 //
 // The list lags by a heartbeat interval, and after a power failure it shows what every server held
 // before. The server counts as holding no model until its agent or the list reports one.
-func (f *Fleet) NoteModelMissing(id string, now time.Duration) {
+func (f *Fleet) RecordModelMissing(id string, now time.Duration) {
 	s, ok := f.servers[id]
 	if !ok || f.state == nil || f.state.Services[s.backend.Service].Engine == nil {
 		return
@@ -310,7 +310,7 @@
 func (f *Fleet) remove(id string, s *server) {
 	if router := f.router(s.backend.Service); router != nil {
 		router.SetHost(f.host(s.backend), false)
-		router.SetLoaded(filbertlever.HostID(id), nil)
+		router.SetTargets(filbertlever.HostID(id), nil)
 	}
 	f.clearProcessState(s.backend)
 	f.removeFromReportOrder(s)
--- a/internal/coordination/fleet/scale_test.go
+++ b/internal/coordination/fleet/scale_test.go
@@ -28,7 +28,7 @@
 	}
 	f.Apply(rows, nil, true, time.Second)
 	for i, row := range rows {
-		f.Report(Load{Address: row.Address, Sequence: uint64(i), Models: row.Models}, time.Second)
+		f.ApplyReport(Report{Address: row.Address, Sequence: uint64(i), Models: row.Models}, time.Second)
 	}
 	return f
 }
@@ -52,8 +52,8 @@
 		}
 		b.Run(fmt.Sprintf("Tick/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				f.Counts()
-				f.Silent(now)
+				f.InFlightCounts()
+				f.SilentServers(now)
 			}
 		})
 		counts := []map[string]int{{}, {}}
@@ -63,20 +63,20 @@
 		turn := 0
 		b.Run(fmt.Sprintf("Counts/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				f.SetCounts("e1", counts[turn%2], now)
+				f.SetPeerCounts("e1", counts[turn%2], now)
 				turn++
 			}
 		})
 		b.Run(fmt.Sprintf("Report/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				f.Report(Load{Address: "10.0.0.0:80", Models: []catalog.Model{{Name: model, Version: 1}}}, now)
+				f.ApplyReport(Report{Address: "10.0.0.0:80", Models: []catalog.Model{{Name: model, Version: 1}}}, now)
 			}
 		})
 		b.Run(fmt.Sprintf("Placement/%d", n), func(b *testing.B) {
 			at := now
 			for b.Loop() {
 				at += 20 * time.Microsecond
-				f.Ended(f.Choose(Request{Service: modelService, Model: model, PromptTokens: 900}, at).Backend.ID)
+				f.Release(f.Choose(Request{Service: modelService, Model: model, PromptTokens: 900}, at).Backend.ID)
 			}
 		})
 	}
@@ -118,7 +118,7 @@
 				clearCounts(id)
 				writeRow(id)
 			case 2:
-				f.Replaced(id, now)
+				f.RecordReplaced(id, now)
 				clearCounts(id)
 			case 3:
 				entry := filbertlever.HostID(rapid.SampledFrom([]string{"e1", "e2"}).Draw(t, "entry"))
@@ -126,8 +126,8 @@
 				for _, at := range ids {
 					counts[at] = rapid.IntRange(0, 2).Draw(t, "requests")
 				}
-				f.SetCounts(entry, counts, now)
-				maps.DeleteFunc(counts, func(at string, _ int) bool { return !f.Known(at) })
+				f.SetPeerCounts(entry, counts, now)
+				maps.DeleteFunc(counts, func(at string, _ int) bool { return !f.Contains(at) })
 				gossiped[entry] = counts
 			}
 			for at, s := range f.servers {
@@ -155,20 +155,20 @@
 			id := sizedServerID(rapid.IntRange(0, 7).Draw(t, "server"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
-				f.Report(Load{Address: f.servers[id].backend.Address, Models: f.servers[id].backend.Models}, now)
+				f.ApplyReport(Report{Address: f.servers[id].backend.Address, Models: f.servers[id].backend.Models}, now)
 			case 2:
-				f.Progress(id, now)
+				f.RecordProgress(id, now)
 			case 3:
 				if p := f.Choose(Request{Service: modelService, Model: model}, now); p.Found {
 					sent = append(sent, p.Backend.ID)
 				}
 			case 4:
 				if len(sent) > 0 {
-					f.Ended(sent[0])
+					f.Release(sent[0])
 					sent = sent[1:]
 				}
 			case 5:
-				f.SetSilent([]string{id}, now)
+				f.MarkSilent([]string{id}, now)
 			}
 			f.healthCheckedAt = 0
 			f.checkHealth(now)
@@ -182,7 +182,7 @@
 				}
 			}
 			slices.Sort(silent)
-			if got := f.Silent(now); !slices.Equal(got, silent) {
+			if got := f.SilentServers(now); !slices.Equal(got, silent) {
 				t.Fatalf("want silent servers %v, got %v", silent, got)
 			}
 		}
@@ -195,8 +195,8 @@
 	for _, n := range fleetSizes {
 		f := newFleetOfSize(n)
 		got := testing.AllocsPerRun(100, func() {
-			f.Counts()
-			f.Silent(1100 * time.Millisecond)
+			f.InFlightCounts()
+			f.SilentServers(1100 * time.Millisecond)
 		})
 		c.Check(got <= 1, qt.IsTrue, qt.Commentf("%v allocations at %d servers", got, n))
 	}
--- a/internal/coordination/forward/forward.go
+++ b/internal/coordination/forward/forward.go
@@ -19,7 +19,7 @@
 	// Repeatable is true if the request may run more than once.
 	Repeatable bool
 	// MaxServers is how many servers the request may be sent to.
-	Servers int
+	MaxServers int
 }
 
 // End is how an attempt ended without a complete answer.
@@ -33,7 +33,7 @@
 	EndRefused
 	// EndWrongServer means that the address belongs to another server or version.
 	// That server reported it and did not run the request.
-	EndMoved
+	EndWrongServer
 	// EndLost means that the server may have run the request.
 	EndLost
 	// EndFailed means that the server ran the request and failed.
@@ -46,14 +46,14 @@
 // The steps.
 const (
 	// StepRetry sends the request to another server.
-	StepAgain Step = iota + 1
+	StepRetry Step = iota + 1
 	// StepNotRun answers that the request did not run. It is used only if that is
 	// certain.
 	StepNotRun
 	// StepUnknown answers that the request may have run.
 	StepUnknown
 	// StepForwardFailure forwards the server's failure to the caller.
-	StepPass
+	StepForwardFailure
 	// StepTimeout answers that the deadline of the request has passed.
 	StepTimeout
 )
@@ -85,7 +85,7 @@
 // A request that must not be repeated is retried only if no server can have run
 // it, since it would otherwise be executed twice. StepNotRun is returned only if
 // no attempt may have run, also for repeatable requests.
-func (a *Attempts) After(end End, budget Budget, remaining, now time.Duration, hasAlternative bool) Step {
+func (a *Attempts) NextStep(end End, budget Budget, remaining, now time.Duration, hasAlternative bool) Step {
 	a.record(end)
 	if remaining <= 0 {
 		if a.mayHaveRun {
@@ -94,11 +94,11 @@
 		return StepNotRun
 	}
 	if hasAlternative && a.canRetry(end) && a.withinBudget(end, budget, remaining, now) {
-		return StepAgain
+		return StepRetry
 	}
 	switch {
 	case end == EndFailed:
-		return StepPass
+		return StepForwardFailure
 	case a.mayHaveRun:
 		return StepUnknown
 	}
@@ -124,19 +124,19 @@
 	switch end {
 	case EndUnsent:
 		return a.unsent < maxUnsentAttempts
-	case EndMoved:
+	case EndWrongServer:
 		// The intended server was not reached, so it does not count towards the limit.
 		return !a.mayHaveRun || a.Class.Repeatable
 	}
-	return a.sent < a.Class.Servers && (!a.mayHaveRun || a.Class.Repeatable)
+	return a.sent < a.Class.MaxServers && (!a.mayHaveRun || a.Class.Repeatable)
 }
 
 // retryEnds maps an End to the one that the retry budget distinguishes.
 var retryEnds = map[End]retry.End{
-	EndRefused: retry.EndRefused,
-	EndMoved:   retry.EndRefused,
-	EndLost:    retry.EndLost,
-	EndFailed:  retry.EndFailed,
+	EndRefused:     retry.EndRefused,
+	EndWrongServer: retry.EndRefused,
+	EndLost:        retry.EndLost,
+	EndFailed:      retry.EndFailed,
 }
 
 // withinBudget reports whether the budget allows a retry, and takes it.
--- a/internal/coordination/forward/forward_test.go
+++ b/internal/coordination/forward/forward_test.go
@@ -18,8 +18,8 @@
 }
 
 var (
-	runOnce    = Class{Servers: 1}
-	repeatable = Class{Repeatable: true, Servers: 2}
+	runOnce    = Class{MaxServers: 1}
+	repeatable = Class{Repeatable: true, MaxServers: 2}
 )
 
 // The first attempt of a request is followed by the wrong step. Requests that run once and repeatable
@@ -33,24 +33,24 @@
 		budget    int
 		want      Step
 	}{
-		{"unsent run-once request is retried", runOnce, EndUnsent, time.Second, 0, StepAgain},
+		{"unsent run-once request is retried", runOnce, EndUnsent, time.Second, 0, StepRetry},
 		{"refused run-once request is not retried", runOnce, EndRefused, time.Second, 9, StepNotRun},
-		{"run-once request at the wrong server is retried", runOnce, EndMoved, time.Second, 9, StepAgain},
+		{"run-once request at the wrong server is retried", runOnce, EndWrongServer, time.Second, 9, StepRetry},
 		{"run-once request with a lost answer is not retried", runOnce, EndLost, time.Second, 9, StepUnknown},
-		{"failed run-once request forwards the failure", runOnce, EndFailed, time.Second, 9, StepPass},
-		{"repeatable request with a lost answer is retried", repeatable, EndLost, time.Second, 9, StepAgain},
-		{"failed repeatable request is retried", repeatable, EndFailed, time.Second, 9, StepAgain},
-		{"refused repeatable request is retried", repeatable, EndRefused, time.Second, 9, StepAgain},
+		{"failed run-once request forwards the failure", runOnce, EndFailed, time.Second, 9, StepForwardFailure},
+		{"repeatable request with a lost answer is retried", repeatable, EndLost, time.Second, 9, StepRetry},
+		{"failed repeatable request is retried", repeatable, EndFailed, time.Second, 9, StepRetry},
+		{"refused repeatable request is retried", repeatable, EndRefused, time.Second, 9, StepRetry},
 		{"refused without budget", repeatable, EndRefused, time.Second, 0, StepNotRun},
 		{"lost without budget", repeatable, EndLost, time.Second, 0, StepUnknown},
-		{"failed without budget", repeatable, EndFailed, time.Second, 0, StepPass},
+		{"failed without budget", repeatable, EndFailed, time.Second, 0, StepForwardFailure},
 		{"deadline passed, request unsent", runOnce, EndUnsent, 0, 9, StepNotRun},
 		{"deadline passed, answer lost", repeatable, EndLost, 0, 9, StepTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			a := Attempts{Class: test.class}
-			qt.Assert(t, a.After(test.end, &countedBudget{remaining: test.budget}, test.remaining, 0, true), qt.Equals, test.want)
+			qt.Assert(t, a.NextStep(test.end, &countedBudget{remaining: test.budget}, test.remaining, 0, true), qt.Equals, test.want)
 		})
 	}
 }
@@ -61,8 +61,8 @@
 	c := qt.New(t)
 	a := Attempts{Class: repeatable}
 	budget := &countedBudget{remaining: 9}
-	c.Assert(a.After(EndLost, budget, time.Second, 0, true), qt.Equals, StepAgain)
-	c.Assert(a.After(EndRefused, budget, time.Second, 0, true), qt.Equals, StepUnknown)
+	c.Assert(a.NextStep(EndLost, budget, time.Second, 0, true), qt.Equals, StepRetry)
+	c.Assert(a.NextStep(EndRefused, budget, time.Second, 0, true), qt.Equals, StepUnknown)
 }
 
 // A request is sent to more servers than its route allows.
@@ -70,8 +70,8 @@
 	c := qt.New(t)
 	a := Attempts{Class: repeatable}
 	budget := &countedBudget{remaining: 9}
-	c.Assert(a.After(EndRefused, budget, time.Second, 0, true), qt.Equals, StepAgain)
-	c.Assert(a.After(EndRefused, budget, time.Second, 0, true), qt.Equals, StepNotRun)
+	c.Assert(a.NextStep(EndRefused, budget, time.Second, 0, true), qt.Equals, StepRetry)
+	c.Assert(a.NextStep(EndRefused, budget, time.Second, 0, true), qt.Equals, StepNotRun)
 	c.Assert(a.Sent(), qt.Equals, 2)
 }
 
@@ -82,29 +82,29 @@
 	budget := &countedBudget{remaining: 9}
 	steps := []Step{}
 	for range 3 {
-		steps = append(steps, a.After(EndUnsent, budget, time.Second, 0, true))
+		steps = append(steps, a.NextStep(EndUnsent, budget, time.Second, 0, true))
 	}
-	c.Assert(steps, qt.DeepEquals, []Step{StepAgain, StepAgain, StepNotRun})
+	c.Assert(steps, qt.DeepEquals, []Step{StepRetry, StepRetry, StepNotRun})
 }
 
 // Checks all sequences of ends of three attempts, for both classes. A run-once request is never
 // retried after it may have run, and StepNotRun is returned only if no attempt may have run.
 func TestNoOrderOfEndsRepeatsRunOnceRequests(t *testing.T) {
-	ends := []End{EndUnsent, EndRefused, EndMoved, EndLost, EndFailed}
+	ends := []End{EndUnsent, EndRefused, EndWrongServer, EndLost, EndFailed}
 	for _, class := range []Class{runOnce, repeatable} {
 		for code := range len(ends) * len(ends) * len(ends) {
 			a := Attempts{Class: class}
 			mayHaveRun := false
 			for _, end := range []End{ends[code%5], ends[code/5%5], ends[code/25]} {
 				mayHaveRun = mayHaveRun || end == EndLost || end == EndFailed
-				step := a.After(end, &countedBudget{remaining: 99}, time.Second, 0, true)
+				step := a.NextStep(end, &countedBudget{remaining: 99}, time.Second, 0, true)
 				if mayHaveRun && !class.Repeatable {
-					qt.Assert(t, step, qt.Not(qt.Equals), StepAgain)
+					qt.Assert(t, step, qt.Not(qt.Equals), StepRetry)
 				}
 				if step == StepNotRun {
 					qt.Assert(t, mayHaveRun, qt.IsFalse)
 				}
-				if step != StepAgain {
+				if step != StepRetry {
 					break
 				}
 			}
--- a/internal/coordination/knowledge/knowledge.go
+++ b/internal/coordination/knowledge/knowledge.go
@@ -55,9 +55,9 @@
 }
 
 // Merge adds the newer parts of a message from the platform or a peer.
-func (b *Base) Learn(facts Facts, now time.Time) (Changes, error) {
+func (b *Base) Merge(facts Facts, now time.Time) (Changes, error) {
 	var changes Changes
-	head, err := b.Tracker.Learn(facts.Head)
+	head, err := b.Tracker.Observe(facts.Head)
 	changes.Head = head
 	if facts.StopsKnown && facts.StopsRevision > b.stopsRevision {
 		b.stopsRevision = facts.StopsRevision
@@ -73,12 +73,12 @@
 
 // Digest returns the head and the revisions without the lists.
 func (b *Base) Digest() Facts {
-	return Facts{Head: b.Tracker.Known(), HostsRevision: b.Members.Revision(), StopsRevision: b.stopsRevision}
+	return Facts{Head: b.Tracker.Latest(), HostsRevision: b.Members.Revision(), StopsRevision: b.stopsRevision}
 }
 
 // Delta returns the digest and those lists that are newer than the ones of the
 // process that sent the digest other.
-func (b *Base) Newer(other Facts) Facts {
+func (b *Base) Delta(other Facts) Facts {
 	facts := b.Digest()
 	if facts.HostsRevision > other.HostsRevision {
 		facts.Hosts = b.hosts
@@ -91,7 +91,7 @@
 }
 
 // AheadOf reports whether any part is newer than in the digest other.
-func (b *Base) Behind(other Facts) bool {
+func (b *Base) AheadOf(other Facts) bool {
 	own := b.Digest()
 	return other.Head.Version < own.Head.Version ||
 		other.HostsRevision < own.HostsRevision ||
@@ -99,18 +99,18 @@
 }
 
 // HasPlannedStop reports whether a stop of the host is planned.
-func (b *Base) Stopping(host filbertlever.HostID) bool {
+func (b *Base) HasPlannedStop(host filbertlever.HostID) bool {
 	return slices.ContainsFunc(b.stops, func(s Stop) bool { return s.Host == host })
 }
 
 // Usable reports whether new work may be sent to the host.
 func (b *Base) Usable(host filbertlever.HostID, now time.Time) bool {
-	return b.Members.Usable(host, now) && !b.Stopping(host)
+	return b.Members.Usable(host, now) && !b.HasPlannedStop(host)
 }
 
 // UsableHosts returns the hosts of a role that new work may be sent to, sorted
 // by ID.
 func (b *Base) UsableHosts(role filbertlever.Role, now time.Time) []filbertlever.Host {
 	hosts := b.Members.UsableHosts(role, now)
-	return slices.DeleteFunc(hosts, func(h filbertlever.Host) bool { return b.Stopping(h.ID) })
+	return slices.DeleteFunc(hosts, func(h filbertlever.Host) bool { return b.HasPlannedStop(h.ID) })
 }
--- a/internal/coordination/knowledge/knowledge_test.go
+++ b/internal/coordination/knowledge/knowledge_test.go
@@ -48,7 +48,7 @@
 			case 0:
 				merge(t, to, facts(uint64(rapid.IntRange(1, 9).Draw(t, "version"))))
 			case 1:
-				message := pick().Newer(to.Digest())
+				message := pick().Delta(to.Digest())
 				sent = append(sent, message)
 				merge(t, to, message)
 			case 2:
@@ -63,11 +63,11 @@
 		}
 		for range bases {
 			for i, base := range bases {
-				merge(t, base, bases[(i+1)%len(bases)].Newer(base.Digest()))
+				merge(t, base, bases[(i+1)%len(bases)].Delta(base.Digest()))
 			}
 		}
 		for _, base := range bases {
-			if bases[0].Behind(base.Digest()) || base.Behind(bases[0].Digest()) {
+			if bases[0].AheadOf(base.Digest()) || base.AheadOf(bases[0].Digest()) {
 				t.Fatalf("%+v and %+v did not converge", base.Digest(), bases[0].Digest())
 			}
 		}
@@ -75,7 +75,7 @@
 }
 
 func merge(t *rapid.T, base *knowledge.Base, facts knowledge.Facts) {
-	if _, err := base.Learn(facts, epoch); err != nil {
+	if _, err := base.Merge(facts, epoch); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -85,7 +85,7 @@
 func TestHostWithAPlannedStopIsNotUsable(t *testing.T) {
 	c := qt.New(t)
 	base := newBase()
-	_, err := base.Learn(facts(3), epoch)
+	_, err := base.Merge(facts(3), epoch)
 	c.Assert(err, qt.IsNil)
 	c.Assert(base.Members.Usable("host-3", epoch), qt.IsTrue)
 	c.Assert(base.Usable("host-3", epoch), qt.IsFalse)
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -51,7 +51,7 @@
 //
 // The row may have changed hands before the response arrived, or while this
 // process was paused. Validity therefore counts from when the request was sent.
-func (l *Lease) Saw(record Record, sent time.Time) {
+func (l *Lease) Observe(record Record, sent time.Time) {
 	if record.Holder == l.self {
 		if l.fence == 0 {
 			l.acquiredAt = sent
@@ -88,7 +88,7 @@
 // fencing numbers would execute that holder's order after an order of the new
 // one, so the new holder waits for the TTL. The first holder has no predecessor,
 // and an engine that checks fencing numbers rejects the old one.
-func (l *Lease) Pause(now time.Time, engineChecks bool) time.Duration {
+func (l *Lease) HandoverDelay(now time.Time, engineChecks bool) time.Duration {
 	if engineChecks || l.fence <= 1 {
 		return 0
 	}
@@ -111,13 +111,13 @@
 // engine that ignores them the agent has to check: another incarnation can take
 // over the host's slot only while this process is paused, so after a pause it
 // must not act until the platform has confirmed the lease.
-func (l *Lease) MayActAlone(engineChecks bool) bool {
+func (l *Lease) MayActUnconfirmed(engineChecks bool) bool {
 	return l.fence != 0 && !l.lost && (engineChecks || !l.paused)
 }
 
 // FenceChecker tracks the highest fencing number that the receiver of orders
 // has seen.
-type Keeper struct {
+type FenceChecker struct {
 	highest uint64
 }
 
@@ -125,7 +125,7 @@
 //
 // A holder that resumes after a pause may send its old number after another
 // holder has acted with a higher one. The lower number is rejected.
-func (k *Keeper) Admit(fence uint64) bool {
+func (k *FenceChecker) Admit(fence uint64) bool {
 	if fence < k.highest {
 		return false
 	}
@@ -134,4 +134,4 @@
 }
 
 // Highest returns the highest fencing number admitted.
-func (k *Keeper) Highest() uint64 { return k.highest }
+func (k *FenceChecker) Highest() uint64 { return k.highest }
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -17,7 +17,7 @@
 	l := lease.New("life-1", ttl)
 	record := l.Next(lease.Record{Holder: "life-0", Fence: 6})
 	c.Assert(record, qt.Equals, lease.Record{Holder: "life-1", Fence: 7})
-	l.Saw(record, epoch)
+	l.Observe(record, epoch)
 	return l
 }
 
@@ -40,12 +40,12 @@
 	resumed := epoch.Add(time.Hour)
 	l.Tick(resumed, time.Second)
 	c.Assert(l.Valid(resumed), qt.IsFalse)
-	c.Assert(l.MayActAlone(false), qt.IsFalse)
-	c.Assert(l.MayActAlone(true), qt.IsTrue)
-	l.Saw(lease.Record{Holder: "life-2", Fence: 8}, resumed)
+	c.Assert(l.MayActUnconfirmed(false), qt.IsFalse)
+	c.Assert(l.MayActUnconfirmed(true), qt.IsTrue)
+	l.Observe(lease.Record{Holder: "life-2", Fence: 8}, resumed)
 	c.Assert(l.Lost(), qt.IsTrue)
-	c.Assert(l.MayActAlone(true), qt.IsFalse)
-	l.Saw(lease.Record{Holder: "life-1", Fence: 7}, resumed)
+	c.Assert(l.MayActUnconfirmed(true), qt.IsFalse)
+	l.Observe(lease.Record{Holder: "life-1", Fence: 7}, resumed)
 	c.Assert(l.Valid(resumed), qt.IsFalse)
 }
 
@@ -58,13 +58,13 @@
 		l.Tick(epoch.Add(time.Duration(i)*500*time.Millisecond), time.Second)
 	}
 	c.Assert(l.Valid(epoch.Add(50*time.Second)), qt.IsFalse)
-	c.Assert(l.MayActAlone(false), qt.IsTrue)
+	c.Assert(l.MayActUnconfirmed(false), qt.IsTrue)
 }
 
 // An engine must not execute the order of a holder that has been replaced.
 func TestStaleFenceIsRejected(t *testing.T) {
 	c := qt.New(t)
-	var checker lease.Keeper
+	var checker lease.FenceChecker
 	c.Assert(checker.Admit(7), qt.IsTrue)
 	c.Assert(checker.Admit(8), qt.IsTrue)
 	c.Assert(checker.Admit(7), qt.IsFalse)
@@ -77,10 +77,10 @@
 func TestNewHolderWaitsIfTheEngineIgnoresFences(t *testing.T) {
 	c := qt.New(t)
 	l := acquiredLease(c)
-	c.Assert(l.Pause(epoch.Add(time.Second), false), qt.Equals, ttl-time.Second)
-	c.Assert(l.Pause(epoch.Add(ttl), false), qt.Equals, time.Duration(0))
-	c.Assert(l.Pause(epoch, true), qt.Equals, time.Duration(0))
+	c.Assert(l.HandoverDelay(epoch.Add(time.Second), false), qt.Equals, ttl-time.Second)
+	c.Assert(l.HandoverDelay(epoch.Add(ttl), false), qt.Equals, time.Duration(0))
+	c.Assert(l.HandoverDelay(epoch, true), qt.Equals, time.Duration(0))
 	first := lease.New("life-1", ttl)
-	first.Saw(first.Next(lease.Record{}), epoch)
-	c.Assert(first.Pause(epoch, false), qt.Equals, time.Duration(0))
+	first.Observe(first.Next(lease.Record{}), epoch)
+	c.Assert(first.HandoverDelay(epoch, false), qt.Equals, time.Duration(0))
 }
--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -87,7 +87,7 @@
 // RecordContact records that the host itself contacted this process. A live
 // host that is not on the list becomes a member until UnlistedTTL passes without
 // contact.
-func (t *Table) Contact(host filbertlever.Host, incarnation filbertlever.Incarnation, now time.Time) {
+func (t *Table) RecordContact(host filbertlever.Host, incarnation filbertlever.Incarnation, now time.Time) {
 	m := t.member(host.ID)
 	if !m.listed {
 		m.host = host
@@ -101,7 +101,7 @@
 }
 
 // RecordFailure records that a connection to the host failed or timed out.
-func (t *Table) Failed(id filbertlever.HostID, now time.Time) {
+func (t *Table) RecordFailure(id filbertlever.HostID, now time.Time) {
 	m, ok := t.members[id]
 	if !ok {
 		return
@@ -115,7 +115,7 @@
 }
 
 // RecordAnswer records that the host answered a call.
-func (t *Table) Answered(id filbertlever.HostID, now time.Time) {
+func (t *Table) RecordAnswer(id filbertlever.HostID, now time.Time) {
 	if m, ok := t.members[id]; ok {
 		m.lastContact = now
 		m.failures = 0
@@ -125,7 +125,7 @@
 
 // RecordRestart records that a new process runs on the host. Failures of the
 // previous process do not apply to it.
-func (t *Table) Restarted(id filbertlever.HostID) {
+func (t *Table) RecordRestart(id filbertlever.HostID) {
 	if m, ok := t.members[id]; ok {
 		m.failures = 0
 		m.suspectUntil = time.Time{}
@@ -133,7 +133,7 @@
 }
 
 // RecordStop records that an incarnation of the host announced its stop.
-func (t *Table) Left(id filbertlever.HostID, incarnation filbertlever.Incarnation) {
+func (t *Table) RecordStop(id filbertlever.HostID, incarnation filbertlever.Incarnation) {
 	m := t.member(id)
 	m.stopped = incarnation
 	m.incarnation = incarnation
@@ -174,7 +174,7 @@
 }
 
 // Eligible reports whether the host is usable when suspicion is ignored.
-func (t *Table) Fit(id filbertlever.HostID, now time.Time) bool {
+func (t *Table) Eligible(id filbertlever.HostID, now time.Time) bool {
 	m, ok := t.members[id]
 	return ok && t.eligible(m, now)
 }
--- a/internal/coordination/order/gate.go
+++ b/internal/coordination/order/gate.go
@@ -54,7 +54,7 @@
 // other request gets the state of the order.
 func (g *Gate) Begin(key Key, incarnation filbertlever.Incarnation, fence uint64) GateReply {
 	if incarnation != g.incarnation {
-		return GateReply{Gate: GateOther, Reason: "agent was restarted"}
+		return GateReply{Gate: GateOtherIncarnation, Reason: "agent was restarted"}
 	}
 	entry, ok := g.entries[key]
 	if !ok {
@@ -98,9 +98,9 @@
 // A claimant that was paused or disconnected may dispatch the order after
 // another caller got the result that it did not run. The gate refuses such a
 // dispatch because its fence is no longer valid.
-func (g *Gate) Settle(key Key, incarnation filbertlever.Incarnation, fence uint64) GateReply {
+func (g *Gate) Resolve(key Key, incarnation filbertlever.Incarnation, fence uint64) GateReply {
 	if incarnation != g.incarnation {
-		return GateReply{Gate: GateOther, Reason: "agent was restarted"}
+		return GateReply{Gate: GateOtherIncarnation, Reason: "agent was restarted"}
 	}
 	entry, ok := g.entries[key]
 	if !ok {
@@ -115,7 +115,7 @@
 
 // MarkRecorded records that the platform holds the outcome of the order, so
 // that the gate is no longer needed to resolve it.
-func (g *Gate) Recorded(key Key, now time.Time) {
+func (g *Gate) MarkRecorded(key Key, now time.Time) {
 	if entry, ok := g.entries[key]; ok && entry.state != gateRunning {
 		entry.recordedAt = now
 	}
@@ -149,7 +149,7 @@
 func (e *gateEntry) reply() GateReply {
 	switch e.state {
 	case gateFenced:
-		return GateReply{Gate: GateNever, Reason: "the claim was given up"}
+		return GateReply{Gate: GateFenced, Reason: "the claim was given up"}
 	case gateRunning:
 		return GateReply{Gate: GateRunning}
 	case gateDone:
--- a/internal/coordination/order/order_test.go
+++ b/internal/coordination/order/order_test.go
@@ -225,7 +225,7 @@
 	s.table.down = true
 	result := s.finish(one)
 	c.Assert(result.Outcome, qt.Equals, filbertlever.OutcomeAnswered)
-	c.Assert(result.Record.State, qt.Equals, order.StateDone)
+	c.Assert(result.PendingRow.State, qt.Equals, order.StateDone)
 	c.Assert(result.Revision, qt.Equals, s.table.revision)
 }
 
@@ -238,7 +238,7 @@
 	gate.Finish(key, []byte("confirmed"))
 	gate.Expire(epoch.Add(24 * time.Hour))
 	c.Assert(gate.Begin(key, "life", 2).Gate, qt.Equals, order.GateDone)
-	gate.Recorded(key, epoch)
+	gate.MarkRecorded(key, epoch)
 	gate.Expire(epoch.Add(30 * time.Second))
 	c.Assert(gate.Len(), qt.Equals, 1)
 	gate.Expire(epoch.Add(2 * time.Minute))
@@ -262,8 +262,8 @@
 	gate := order.NewGate("life", time.Minute)
 	gate.Begin(key, "life", 1)
 	gate.Revoke(key)
-	c.Assert(gate.Settle(key, "life", 1).Gate, qt.Equals, order.GateNever)
-	c.Assert(gate.Begin(key, "life", 1).Gate, qt.Equals, order.GateNever)
+	c.Assert(gate.Resolve(key, "life", 1).Gate, qt.Equals, order.GateFenced)
+	c.Assert(gate.Begin(key, "life", 1).Gate, qt.Equals, order.GateFenced)
 	c.Assert(gate.Begin(key, "life", 2).Gate, qt.Equals, order.GateStart)
 }
 
--- a/internal/coordination/order/run.go
+++ b/internal/coordination/order/run.go
@@ -42,8 +42,8 @@
 	RetryAfter time.Duration
 	// PendingRow is set if the platform does not hold this result yet. It is to
 	// be written later, if the row is still at Revision.
-	Record   *Row
-	Revision uint64
+	PendingRow *Row
+	Revision   uint64
 }
 
 // Target is the agent process in which an order may start.
@@ -64,13 +64,13 @@
 	GateDone
 	// GateFenced means that the order did not start under this fence and cannot
 	// start under it any more.
-	GateNever
+	GateFenced
 	// GateRunning means that the order started and has not ended.
 	GateRunning
 	// GateUnknown means that the order started and its outcome is unknown.
 	GateUnknown
 	// GateOtherIncarnation means that the agent runs as another incarnation.
-	GateOther
+	GateOtherIncarnation
 )
 
 // GateReply is the reply to a dispatch or a resolve request.
@@ -96,7 +96,7 @@
 	ReasonPlatformUnavailable = "platform unavailable"
 	ReasonNoAgent             = "no backend server for the service"
 	ReasonPending             = "order may still be running; look it up later"
-	ReasonLost                = "host died after the order may have started"
+	ReasonHostFailed          = "host died after the order may have started"
 	ReasonMayHaveRun          = "an earlier request with this key may have run"
 	ReasonDeadlinePassed      = "deadline passed before the order could start"
 	ReasonServiceFailed       = "service failed after the order may have started"
@@ -215,7 +215,7 @@
 		return r.resolve(now)
 	}
 	switch reply.Gate {
-	case GateNever, GateOther:
+	case GateFenced, GateOtherIncarnation:
 		// This was the only dispatch under the claim and it was refused, so the
 		// claim can be released whichever incarnation refused it.
 		r.refusal = reply
@@ -226,15 +226,15 @@
 }
 
 // Resolved reports the outcome of ActionResolve.
-func (r *Run) Settled(reply GateReply, err error, now time.Time) Action {
+func (r *Run) Resolved(reply GateReply, err error, now time.Time) Action {
 	if err != nil {
 		return r.resolve(now)
 	}
 	switch reply.Gate {
-	case GateNever:
+	case GateFenced:
 		r.refusal = reply
 		return r.write(r.rowWith(StateReleased, nil), r.revision)
-	case GateOther:
+	case GateOtherIncarnation:
 		// The incarnation in the claim no longer runs. Only its gate held whether
 		// the order started.
 		return r.write(r.rowWith(StateUnknown, nil), r.revision)
@@ -376,7 +376,7 @@
 			Outcome:    filbertlever.OutcomeNotRun,
 			Reason:     r.refusal.Reason,
 			RetryAfter: max(r.refusal.RetryAfter, defaultRetryAfter),
-			Record:     &r.pendingRow,
+			PendingRow: &r.pendingRow,
 			Revision:   r.revision,
 		})
 	}
@@ -390,7 +390,7 @@
 	if pendingRow != nil {
 		row = *pendingRow
 	}
-	result := Result{Outcome: filbertlever.OutcomeUnknown, Reason: ReasonLost, Record: pendingRow, Revision: r.revision}
+	result := Result{Outcome: filbertlever.OutcomeUnknown, Reason: ReasonHostFailed, PendingRow: pendingRow, Revision: r.revision}
 	if row.State == StateDone {
 		result.Outcome = filbertlever.OutcomeAnswered
 		result.Reason = ""
--- a/internal/coordination/order/simulation_test.go
+++ b/internal/coordination/order/simulation_test.go
@@ -76,7 +76,7 @@
 	if reply.Gate == order.GateStart {
 		a.runs++
 		a.gate.Finish(key, []byte("confirmed"))
-		reply = a.gate.Settle(key, row.Incarnation, row.Fence)
+		reply = a.gate.Resolve(key, row.Incarnation, row.Fence)
 	}
 	if a.loseReplies > 0 {
 		a.loseReplies--
@@ -89,7 +89,7 @@
 	if a.down {
 		return order.GateReply{}, errAgent
 	}
-	return a.gate.Settle(key, row.Incarnation, row.Fence), nil
+	return a.gate.Resolve(key, row.Incarnation, row.Fence), nil
 }
 
 // simulation holds the row of one order, the agents at which it may run and the clock.
@@ -150,7 +150,7 @@
 		a.next = a.run.Dispatched(reply, err, s.now)
 	case order.ActionResolve:
 		reply, err := s.agents[action.Row.Agent].settle(action.Row)
-		a.next = a.run.Settled(reply, err, s.now)
+		a.next = a.run.Resolved(reply, err, s.now)
 	case order.ActionFinish:
 		a.result = &action.Result
 	}
--- a/internal/coordination/outcome/outcome.go
+++ b/internal/coordination/outcome/outcome.go
@@ -73,9 +73,9 @@
 	// KindBroken is an answer that is incomplete or unknown.
 	KindBroken Kind = "Broken"
 	// KindCallerError is an error of the caller, such as an unknown key.
-	KindFault Kind = "CallersFault"
+	KindCallerError Kind = "CallersFault"
 	// KindCallerDisconnected is a request whose caller disconnected.
-	KindLeft Kind = "CallerLeft"
+	KindCallerDisconnected Kind = "CallerLeft"
 )
 
 // Cause is why a request is of its kind.
@@ -182,7 +182,7 @@
 }
 
 // Add evaluates one log line.
-func (t *Tally) Take(line *Line) {
+func (t *Tally) Add(line *Line) {
 	if line.Request == "" && line.Message != messageRequestEnded {
 		return
 	}
@@ -242,7 +242,7 @@
 func classify(line *Line, goal time.Duration) Kind {
 	switch {
 	case strings.HasPrefix(line.Reason, "the caller left"):
-		return KindLeft
+		return KindCallerDisconnected
 	case strings.HasPrefix(line.Reason, "the answer broke off"):
 		return KindBroken
 	case line.Status == statusUnavailable:
@@ -250,7 +250,7 @@
 	case line.Status >= statusServerError:
 		return KindBroken
 	case line.Status >= statusClientError:
-		return KindFault
+		return KindCallerError
 	case milliseconds(cmp.Or(line.FirstByte, line.Duration)) > goal:
 		return KindLate
 	}
@@ -298,13 +298,13 @@
 }
 
 // Totals holds the sums over entries. The zero value is empty.
-type Day struct {
+type Totals struct {
 	counts   map[counterKey]int
 	refusals []refusal
 }
 
 // Add adds the requests of an entry.
-func (d *Day) Add(t *Tally) {
+func (d *Totals) Add(t *Tally) {
 	if d.counts == nil {
 		d.counts = map[counterKey]int{}
 	}
@@ -316,7 +316,7 @@
 
 // Rows returns the counts by second, kind and cause. A request that was refused, retried and refused
 // again, by any entry, is counted as KindRefusedAgain.
-func (d *Day) Rows() []Row {
+func (d *Totals) Rows() []Row {
 	counts := maps.Clone(d.counts)
 	slices.SortStableFunc(d.refusals, func(a, b refusal) int { return a.arrived.Compare(b.arrived) })
 	last := map[string]time.Time{}
--- a/internal/coordination/outcome/outcome_test.go
+++ b/internal/coordination/outcome/outcome_test.go
@@ -46,13 +46,13 @@
 		{"incomplete answer", []Line{ended("r", 200, 100, "the answer broke off")}, KindBroken, "BrokeOff"},
 		{"server failure", []Line{ended("r", 500, 90, "")}, KindBroken, "ServersOwnFailure"},
 		{"unknown reason", []Line{ended("r", 503, 0, "something new")}, KindRefused, CauseOther},
-		{"unknown key", []Line{ended("r", 401, 0, "unknown key")}, KindFault, CauseNone},
-		{"caller disconnected", []Line{ended("r", 0, 0, "the caller left")}, KindLeft, CauseNone},
+		{"unknown key", []Line{ended("r", 401, 0, "unknown key")}, KindCallerError, CauseNone},
+		{"caller disconnected", []Line{ended("r", 0, 0, "the caller left")}, KindCallerDisconnected, CauseNone},
 		{"wait of another request", []Line{{Message: messageEntryQueued, Request: "q", EntryQueueTime: 300}, ended("r", 200, 650, "")}, KindLate, CauseSlowServer},
 	} {
 		tally := New(goal)
 		for _, line := range test.lines {
-			tally.Take(&line)
+			tally.Add(&line)
 		}
 		c.Check(rowsOf(tally), qt.DeepEquals, []Row{{Second: 1000, Kind: test.kind, Cause: test.cause, Requests: 1}}, qt.Commentf(test.name))
 	}
@@ -64,7 +64,7 @@
 	tally := New(goal)
 	for n := range 3 * maxOpenRequests {
 		line := placed(fmt.Sprint(n), 0, 0, false)
-		tally.Take(&line)
+		tally.Add(&line)
 	}
 	c.Assert(len(tally.open) <= maxOpenRequests, qt.IsTrue)
 	c.Assert(len(tally.order) <= maxOpenRequests, qt.IsTrue)
@@ -72,7 +72,7 @@
 
 // rowsOf returns the rows of several entries together.
 func rowsOf(tallies ...*Tally) []Row {
-	var day Day
+	var day Totals
 	for _, t := range tallies {
 		day.Add(t)
 	}
@@ -85,10 +85,10 @@
 	a, b := New(goal), New(goal)
 	for n, tally := range []*Tally{a, b, b} {
 		line := ended(fmt.Sprint(n), 503, 0, "all servers are busy")
-		tally.Take(&line)
+		tally.Add(&line)
 	}
 	line := ended("r", 200, 100, "")
-	a.Take(&line)
+	a.Add(&line)
 	c.Assert(rowsOf(a, b), qt.DeepEquals, []Row{{1000, KindInTime, CauseNone, 1}, {1000, KindRefused, "AllBusy", 3}})
 }
 
@@ -100,7 +100,7 @@
 	refused := func(tally *Tally, request, fingerprint string, after time.Duration) {
 		line := ended(request, 503, 0, "all servers are busy")
 		line.Fingerprint, line.Time = fingerprint, line.Time.Add(after)
-		tally.Take(&line)
+		tally.Add(&line)
 	}
 	refused(b, "r2", "f1", 2*time.Second)
 	refused(a, "r1", "f1", 0)
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -140,7 +140,7 @@
 }
 
 // Unfetched returns the sets whose chunks have not all been fetched.
-func (l *Loader) Fetch() []Weights {
+func (l *Loader) Unfetched() []Weights {
 	var unfetched []Weights
 	for _, p := range l.sets {
 		if p.Stage == StageFetching {
@@ -151,7 +151,7 @@
 }
 
 // MarkVerified records that all chunks of a set are fetched and verified.
-func (l *Loader) Verified(weights Weights, digest filbertlever.Digest) {
+func (l *Loader) MarkVerified(weights Weights, digest filbertlever.Digest) {
 	p := l.find(weights)
 	if p != nil && p.Stage == StageFetching {
 		p.Stage = StageVerified
@@ -188,7 +188,7 @@
 // The engine may have read damaged bytes, or a load by another lease holder may
 // have replaced the weights. A digest that differs from the expected one counts as
 // a failed load.
-func (l *Loader) Loaded(weights Weights, attested filbertlever.Digest, now time.Time) bool {
+func (l *Loader) MarkLoaded(weights Weights, attested filbertlever.Digest, now time.Time) bool {
 	p := l.find(weights)
 	if p == nil || p.Stage != StageLoading {
 		return false
@@ -205,7 +205,7 @@
 
 // MarkFailed records a failed load. The load is retried with backoff as long as
 // the set is wanted. All reports the failure until the load succeeds.
-func (l *Loader) Failed(weights Weights, reason string, now time.Time) {
+func (l *Loader) MarkFailed(weights Weights, reason string, now time.Time) {
 	if p := l.find(weights); p != nil && p.Stage == StageLoading {
 		l.fail(p, reason, now)
 	}
@@ -214,7 +214,7 @@
 // Reconcile compares the digests that the engine has loaded with the live sets. A
 // set that the engine no longer has, as after a restart of the engine, is loaded
 // again. Reconcile reports whether anything changed.
-func (l *Loader) Attested(loaded []filbertlever.Digest) bool {
+func (l *Loader) Reconcile(loaded []filbertlever.Digest) bool {
 	count := len(l.replaced)
 	l.replaced = slices.DeleteFunc(l.replaced, func(old *Progress) bool {
 		return !slices.Contains(loaded, old.Digest)
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -21,11 +21,11 @@
 func digest(w placement.Weights) filbertlever.Digest { return "whole-" + w.Manifest }
 
 func makeLive(c *qt.C, l *placement.Loader, w placement.Weights) {
-	l.Verified(w, digest(w))
+	l.MarkVerified(w, digest(w))
 	p, ok := l.Next(epoch)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(p.Weights, qt.Equals, w)
-	c.Assert(l.Loaded(w, digest(w), epoch), qt.IsTrue)
+	c.Assert(l.MarkLoaded(w, digest(w), epoch), qt.IsTrue)
 }
 
 // The wanted sets of a pool are the models and adapters that the bundle assigns
@@ -48,7 +48,7 @@
 	l.SetWanted([]placement.Weights{v1})
 	_, ok := l.Next(epoch)
 	c.Assert(ok, qt.IsFalse)
-	l.Verified(v1, digest(v1))
+	l.MarkVerified(v1, digest(v1))
 	_, ok = l.Next(epoch)
 	c.Assert(ok, qt.IsTrue)
 	_, ok = l.Next(epoch)
@@ -60,9 +60,9 @@
 	c := qt.New(t)
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1})
-	l.Verified(v1, digest(v1))
+	l.MarkVerified(v1, digest(v1))
 	l.Next(epoch)
-	c.Assert(l.Loaded(v1, "other", epoch), qt.IsFalse)
+	c.Assert(l.MarkLoaded(v1, "other", epoch), qt.IsFalse)
 	c.Assert(l.Live(), qt.HasLen, 0)
 	c.Assert(l.All()[0].Stage, qt.Equals, placement.StageFailed)
 	c.Assert(l.All()[0].Reason, qt.Contains, "engine attested")
@@ -74,15 +74,15 @@
 	c := qt.New(t)
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1})
-	l.Verified(v1, digest(v1))
+	l.MarkVerified(v1, digest(v1))
 	l.Next(epoch)
-	l.Failed(v1, "out of memory", epoch)
+	l.MarkFailed(v1, "out of memory", epoch)
 	_, ok := l.Next(epoch.Add(100 * time.Millisecond))
 	c.Assert(ok, qt.IsFalse)
 	p, ok := l.Next(epoch.Add(time.Second))
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(p.Failures, qt.Equals, 1)
-	c.Assert(l.Loaded(v1, digest(v1), epoch), qt.IsTrue)
+	c.Assert(l.MarkLoaded(v1, digest(v1), epoch), qt.IsTrue)
 }
 
 // If the old version were dropped at the roll, no host would serve the model
@@ -107,7 +107,7 @@
 	l.SetWanted([]placement.Weights{v1})
 	l.SetWanted([]placement.Weights{v2})
 	l.SetWanted([]placement.Weights{v1})
-	l.Verified(v2, digest(v2))
+	l.MarkVerified(v2, digest(v2))
 	_, ok := l.Next(epoch)
 	c.Assert(ok, qt.IsFalse)
 	makeLive(c, &l, v1)
@@ -119,10 +119,10 @@
 	c := qt.New(t)
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1})
-	l.Verified(v1, digest(v1))
+	l.MarkVerified(v1, digest(v1))
 	l.Next(epoch)
 	l.SetWanted([]placement.Weights{v2})
-	c.Assert(l.Loaded(v1, digest(v1), epoch), qt.IsFalse)
+	c.Assert(l.MarkLoaded(v1, digest(v1), epoch), qt.IsFalse)
 	c.Assert(l.Live(), qt.HasLen, 0)
 }
 
@@ -143,8 +143,8 @@
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1})
 	makeLive(c, &l, v1)
-	c.Assert(l.Attested([]filbertlever.Digest{digest(v1)}), qt.IsFalse)
-	c.Assert(l.Attested(nil), qt.IsTrue)
+	c.Assert(l.Reconcile([]filbertlever.Digest{digest(v1)}), qt.IsFalse)
+	c.Assert(l.Reconcile(nil), qt.IsTrue)
 	c.Assert(l.Live(), qt.HasLen, 0)
 	makeLive(c, &l, v1)
 }
@@ -154,7 +154,7 @@
 	c := qt.New(t)
 	var l placement.Loader
 	l.SetWanted([]placement.Weights{v1, tone})
-	l.Verified(tone, digest(tone))
+	l.MarkVerified(tone, digest(tone))
 	_, ok := l.Next(epoch)
 	c.Assert(ok, qt.IsFalse)
 	makeLive(c, &l, v1)
--- a/internal/coordination/quarantine/decisions.go
+++ b/internal/coordination/quarantine/decisions.go
@@ -32,7 +32,7 @@
 }
 
 // CrashCount returns the number of processes that crashed under a request.
-func (t *Table) Ends(request Fingerprint) int {
+func (t *Table) CrashCount(request Fingerprint) int {
 	if s, ok := t.suspects[request]; ok {
 		return len(s.crashes)
 	}
@@ -41,7 +41,7 @@
 
 // OneCrashFromHold reports whether the next crash of a process under a request causes the
 // request to be held. Such a request is sent to one server at a time.
-func (t *Table) Suspected(request Fingerprint, now time.Duration) bool {
+func (t *Table) OneCrashFromHold(request Fingerprint, now time.Duration) bool {
 	s, ok := t.suspects[request]
 	return ok && !t.recentlyAnswered(request, now) && (s.holdCount > 0 || len(t.countedCrashes(s, now)) >= t.config.MinCrashes-1)
 }
@@ -101,8 +101,8 @@
 		return
 	}
 	s.reported = true
-	hold := Hold{Request: s.request, At: s.heldAt, Times: s.holdCount}
-	t.queue(News{Holds: []Hold{hold}}, now)
+	hold := Hold{Request: s.request, At: s.heldAt, Count: s.holdCount}
+	t.queue(CrashReport{Holds: []Hold{hold}}, now)
 	if last := s.crashes[len(s.crashes)-1]; slices.Contains(last.local, s.request) {
 		t.newHolds = append(t.newHolds, hold)
 	}
--- a/internal/coordination/quarantine/fingerprint.go
+++ b/internal/coordination/quarantine/fingerprint.go
@@ -30,7 +30,7 @@
 type Fingerprint [metadataHashBytes + 16]byte
 
 // MetadataHash returns the first part of the fingerprint. It does not read the body.
-func (i *Identity) Head() uint64 {
+func (i *Identity) MetadataHash() uint64 {
 	var text []byte
 	for _, part := range []string{i.Organisation, i.Method, i.Host, i.Target} {
 		text = binary.AppendUvarint(text, uint64(len(part)))
@@ -44,14 +44,14 @@
 // Fingerprint returns the request's fingerprint.
 func (i *Identity) Fingerprint() Fingerprint {
 	var f Fingerprint
-	binary.BigEndian.PutUint64(f[:metadataHashBytes], i.Head())
+	binary.BigEndian.PutUint64(f[:metadataHashBytes], i.MetadataHash())
 	sum := sha256.Sum256(i.Body)
 	copy(f[metadataHashBytes:], sum[:])
 	return f
 }
 
 // MetadataHash returns the first part of the fingerprint.
-func (f Fingerprint) Head() uint64 { return binary.BigEndian.Uint64(f[:metadataHashBytes]) }
+func (f Fingerprint) MetadataHash() uint64 { return binary.BigEndian.Uint64(f[:metadataHashBytes]) }
 
 // String returns a shortened form that distinguishes requests in a log.
 func (f Fingerprint) String() string {
--- a/internal/coordination/quarantine/fingerprint_test.go
+++ b/internal/coordination/quarantine/fingerprint_test.go
@@ -38,7 +38,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			got := test.other.Fingerprint() == base.Fingerprint()
 			qt.Assert(t, got, qt.Equals, test.same)
-			qt.Assert(t, test.other.Fingerprint().Head(), qt.Equals, test.other.Head())
+			qt.Assert(t, test.other.Fingerprint().MetadataHash(), qt.Equals, test.other.MetadataHash())
 		})
 	}
 }
@@ -46,7 +46,7 @@
 func BenchmarkMetadataHash(b *testing.B) {
 	identity := quarantine.Identity{Organisation: "hauler-1", Method: "POST", Host: "portal.example", Target: "/draft/7", Body: make([]byte, 4<<20)}
 	for b.Loop() {
-		identity.Head()
+		identity.MetadataHash()
 	}
 }
 
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -64,7 +64,7 @@
 	prunedAt     time.Duration
 	// unsent and unsentCrashes have not been sent to other entries yet. sent and sentCrashes
 	// were sent within resendDuration.
-	unsent        News
+	unsent        CrashReport
 	unsentCrashes []localCrash
 	sent          []sentReport
 	sentCrashes   []localCrash
@@ -84,11 +84,11 @@
 }
 
 // NoSuspects reports whether no request is suspected.
-func (t *Table) Quiet() bool { return len(t.suspects) == 0 }
+func (t *Table) NoSuspects() bool { return len(t.suspects) == 0 }
 
 // MaySuspect reports whether a request with this metadata hash may be suspected. For other
 // requests the fingerprint need not be computed.
-func (t *Table) Knows(metadataHash uint64) bool { return t.suspectHashes[metadataHash] > 0 }
+func (t *Table) MaySuspect(metadataHash uint64) bool { return t.suspectHashes[metadataHash] > 0 }
 
 // maxFailures bounds the failed attempts that are kept of one process. It is more than a
 // process runs and queues.
@@ -97,7 +97,7 @@
 // RecordFailure records that an attempt at a process got no complete answer. The parameter
 // closedByServer is true if the server's side closed the connection, and false if this entry
 // cancelled the attempt.
-func (t *Table) Broke(request Fingerprint, process Process, closedByServer bool, now time.Duration) {
+func (t *Table) RecordFailure(request Fingerprint, process Process, closedByServer bool, now time.Duration) {
 	if c, ok := t.crashes[process]; ok && now-c.at < t.config.CorrelationWindow {
 		t.addLocalCrash(request, c, now)
 		return
@@ -112,7 +112,7 @@
 // RecordCrash records that a process was found to have crashed, and returns the requests
 // that this entry had in flight there. The time of the crash is when the server last closed
 // a connection of this entry without a complete answer.
-func (t *Table) Ended(process Process, now time.Duration) []Fingerprint {
+func (t *Table) RecordCrash(process Process, now time.Duration) []Fingerprint {
 	at, ok := t.lastClose(process, now)
 	if !ok {
 		return nil
@@ -182,7 +182,7 @@
 //
 // A request that was in flight at several servers that crashed for other reasons was refused
 // although servers answer it. A request that many callers send is in flight at all servers.
-func (t *Table) Answered(request Fingerprint, now time.Duration) {
+func (t *Table) RecordAnswer(request Fingerprint, now time.Duration) {
 	t.answered.record(request, now)
 	s, ok := t.suspects[request]
 	if !ok {
@@ -193,6 +193,6 @@
 		t.cleared = append(t.cleared, request)
 	}
 	if s.reported {
-		t.queue(News{Cleared: []Clearance{{Request: request, At: now}}}, now)
+		t.queue(CrashReport{Cleared: []Clearance{{Request: request, At: now}}}, now)
 	}
 }
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -41,10 +41,10 @@
 func (c *cluster) crash(p quarantine.Process, requests map[int][]quarantine.Fingerprint, now time.Duration) {
 	for at, t := range c.tables {
 		for _, r := range requests[at] {
-			t.Broke(r, p, true, now)
+			t.RecordFailure(r, p, true, now)
 		}
 		if len(requests[at]) > 0 {
-			t.Ended(p, now+30*ms)
+			t.RecordCrash(p, now+30*ms)
 		}
 	}
 	c.sendNew(now + 40*ms)
@@ -53,20 +53,20 @@
 // sendNew sends the new reports of all entries.
 func (c *cluster) sendNew(now time.Duration) {
 	for from, t := range c.tables {
-		for _, report := range t.Fresh(now) {
+		for _, report := range t.NewReports(now) {
 			c.send(from, report, now)
 		}
 	}
 }
 
-func (c *cluster) send(from int, report quarantine.News, now time.Duration) {
+func (c *cluster) send(from int, report quarantine.CrashReport, now time.Duration) {
 	for to, t := range c.tables {
 		if to == from || c.dropped(from, to) {
 			continue
 		}
-		for _, reply := range t.Take(&report, now) {
+		for _, reply := range t.Merge(&report, now) {
 			if !c.dropped(to, from) {
-				c.tables[from].Take(&reply, now)
+				c.tables[from].Merge(&reply, now)
 			}
 		}
 	}
@@ -121,21 +121,21 @@
 		name string
 		run  func(c *cluster, n int, now time.Duration)
 	}{
-		{"answers are lost and the servers go on", func(c *cluster, n int, now time.Duration) { c.tables[0].Broke(bad, process(n), true, now) }},
+		{"answers are lost and the servers go on", func(c *cluster, n int, now time.Duration) { c.tables[0].RecordFailure(bad, process(n), true, now) }},
 		{"servers end long after", func(c *cluster, n int, now time.Duration) {
-			c.tables[0].Broke(bad, process(n), true, now)
-			c.tables[0].Ended(process(n), now+10*time.Second)
+			c.tables[0].RecordFailure(bad, process(n), true, now)
+			c.tables[0].RecordCrash(process(n), now+10*time.Second)
 		}},
 		{"one end is told by all", func(c *cluster, _ int, now time.Duration) {
 			c.crash(process(0), map[int][]quarantine.Fingerprint{0: {bad}, 1: {bad}, 2: {bad}}, now)
 		}},
 		{"attempts are given up and nothing breaks off", func(c *cluster, n int, now time.Duration) {
-			c.tables[0].Broke(bad, process(n), false, now)
-			c.tables[0].Ended(process(n), now+30*ms)
+			c.tables[0].RecordFailure(bad, process(n), false, now)
+			c.tables[0].RecordCrash(process(n), now+30*ms)
 		}},
 		{"servers answer it in between", func(c *cluster, n int, now time.Duration) {
 			c.crash(process(n), map[int][]quarantine.Fingerprint{0: {bad}}, now)
-			c.tables[1].Answered(bad, now+100*ms)
+			c.tables[1].RecordAnswer(bad, now+100*ms)
 		}},
 	}
 	for _, test := range tests {
@@ -181,9 +181,9 @@
 	bad := request(0)
 	now := time.Second
 	for n := range 3 {
-		table.Broke(bad, process(n), false, now)
-		table.Broke(request(n+1), process(n), true, now+200*ms)
-		table.Ended(process(n), now+230*ms)
+		table.RecordFailure(bad, process(n), false, now)
+		table.RecordFailure(request(n+1), process(n), true, now+200*ms)
+		table.RecordCrash(process(n), now+230*ms)
 		now += time.Second
 		table.Advance(now)
 	}
@@ -209,7 +209,7 @@
 	now += first
 	c.advance(now)
 	qt.Assert(t, c.held(bad, now), qt.Equals, 0)
-	qt.Assert(t, c.tables[1].Suspected(bad, now), qt.IsTrue)
+	qt.Assert(t, c.tables[1].OneCrashFromHold(bad, now), qt.IsTrue)
 	c.crash(process(9), map[int][]quarantine.Fingerprint{1: {bad}}, now)
 	now += time.Second
 	c.advance(now)
@@ -218,11 +218,11 @@
 	qt.Assert(t, second > config.HoldDuration, qt.IsTrue)
 	now += second
 	c.advance(now)
-	c.tables[0].Answered(bad, now)
+	c.tables[0].RecordAnswer(bad, now)
 	c.sendNew(now)
 	now += 2 * config.AnswerTTL
-	qt.Assert(t, c.tables[0].Suspected(bad, now), qt.IsFalse)
-	qt.Assert(t, c.tables[1].Suspected(bad, now), qt.IsFalse)
+	qt.Assert(t, c.tables[0].OneCrashFromHold(bad, now), qt.IsFalse)
+	qt.Assert(t, c.tables[1].OneCrashFromHold(bad, now), qt.IsFalse)
 }
 
 // Stored holds may be older than the clock of an entry that has just started. Holds that
@@ -232,9 +232,9 @@
 	table := quarantine.New(config)
 	now := time.Second
 	stored := []quarantine.Hold{
-		{Request: request(0), Age: time.Minute, Times: 1},
-		{Request: request(1), Age: config.HoldDuration + time.Second, Times: 1},
-		{Request: request(2), Age: config.HoldDuration + time.Second, Times: 2},
+		{Request: request(0), Age: time.Minute, Count: 1},
+		{Request: request(1), Age: config.HoldDuration + time.Second, Count: 1},
+		{Request: request(2), Age: config.HoldDuration + time.Second, Count: 2},
 	}
 	expired := table.Restore(stored, now)
 	qt.Assert(t, expired, qt.DeepEquals, []quarantine.Fingerprint{request(1)})
@@ -244,8 +244,8 @@
 	remaining, held = table.Held(request(2), now)
 	qt.Assert(t, held, qt.IsTrue)
 	qt.Assert(t, remaining, qt.Equals, config.HoldDuration-time.Second)
-	table.Answered(request(0), now)
-	_, cleared := table.Verdicts()
+	table.RecordAnswer(request(0), now)
+	_, cleared := table.TakeStoreChanges()
 	qt.Assert(t, cleared, qt.DeepEquals, []quarantine.Fingerprint{request(0)})
 }
 
@@ -256,8 +256,8 @@
 	c := newCluster(2)
 	popular := request(0)
 	now := time.Second
-	c.tables[0].Answered(popular, now)
-	c.tables[1].Answered(popular, now)
+	c.tables[0].RecordAnswer(popular, now)
+	c.tables[1].RecordAnswer(popular, now)
 	now += 10 * time.Second
 	for n := range 5 {
 		c.crash(process(n), map[int][]quarantine.Fingerprint{0: {popular}}, now)
@@ -278,12 +278,12 @@
 	popular := request(0)
 	now := time.Second
 	for n := range 5 {
-		c.tables[0].Answered(popular, now)
+		c.tables[0].RecordAnswer(popular, now)
 		now += 100 * ms
 		c.crash(process(n), map[int][]quarantine.Fingerprint{1: {popular}}, now)
 		for range 15 {
 			now += 100 * ms
-			c.tables[0].Answered(popular, now)
+			c.tables[0].RecordAnswer(popular, now)
 			c.advance(now)
 		}
 	}
@@ -302,11 +302,11 @@
 		c.advance(now)
 	}
 	c.dropped = func(from, to int) bool { return to == 2 }
-	c.tables[0].Answered(bad, now)
+	c.tables[0].RecordAnswer(bad, now)
 	c.sendNew(now)
 	qt.Assert(t, c.held(bad, now), qt.Equals, 1)
 	c.dropped = func(int, int) bool { return false }
-	for _, report := range c.tables[2].Holds(now + time.Second) {
+	for _, report := range c.tables[2].HoldReports(now + time.Second) {
 		c.send(2, report, now+time.Second)
 	}
 	qt.Assert(t, c.held(bad, now+time.Second), qt.Equals, 1)
@@ -327,7 +327,7 @@
 			now += 400 * ms
 			c.advance(now)
 			for from, table := range c.tables {
-				for _, report := range table.Recent(now) {
+				for _, report := range table.RecentReports(now) {
 					c.send(from, report, now)
 				}
 			}
@@ -337,7 +337,7 @@
 	qt.Assert(t, c.held(bad, now), qt.Equals, 7)
 	c.dropped = func(int, int) bool { return false }
 	qt.Assert(t, c.tables[7].Digest(now) == c.tables[0].Digest(now), qt.IsFalse)
-	for _, report := range c.tables[0].Holds(now) {
+	for _, report := range c.tables[0].HoldReports(now) {
 		c.send(0, report, now)
 	}
 	qt.Assert(t, c.held(bad, now), qt.Equals, 8)
@@ -351,34 +351,34 @@
 	table := quarantine.New(quarantine.DefaultConfig())
 	bad := request(0)
 	now := time.Second
-	table.Broke(bad, process(0), true, now)
-	table.Ended(process(0), now)
-	table.Fresh(now)
+	table.RecordFailure(bad, process(0), true, now)
+	table.RecordCrash(process(0), now)
+	table.NewReports(now)
 	now += 10 * time.Second
 	for n := range 100 {
 		for k := range 3 {
-			table.Broke(request(1+3*n+k), process(1+n), true, now)
+			table.RecordFailure(request(1+3*n+k), process(1+n), true, now)
 		}
 		if n == 99 {
-			table.Broke(bad, process(1+n), true, now)
+			table.RecordFailure(bad, process(1+n), true, now)
 		}
-		table.Ended(process(1+n), now)
+		table.RecordCrash(process(1+n), now)
 	}
-	first := table.Fresh(now)
+	first := table.NewReports(now)
 	qt.Assert(t, first, qt.HasLen, 1)
-	qt.Assert(t, first[0].Ends[0].Requests[0], qt.Equals, bad)
+	qt.Assert(t, first[0].Crashes[0].Requests[0], qt.Equals, bad)
 	messages, resent := 0, 0
 	for range 100 {
 		now += 100 * ms
-		messages += len(table.Fresh(now))
+		messages += len(table.NewReports(now))
 		table.Advance(now)
 	}
 	for range 5 {
-		resent += len(table.Recent(now))
+		resent += len(table.RecentReports(now))
 		now += time.Second
 	}
 	holds := 0
-	for _, report := range table.Holds(now) {
+	for _, report := range table.HoldReports(now) {
 		holds += len(report.Holds)
 	}
 	qt.Assert(t, holds, qt.Equals, 0)
@@ -394,8 +394,8 @@
 	bad := request(0)
 	now := time.Second
 	crash := func(n int, r quarantine.Fingerprint) {
-		table.Broke(r, process(n), true, now)
-		table.Ended(process(n), now+30*ms)
+		table.RecordFailure(r, process(n), true, now)
+		table.RecordCrash(process(n), now+30*ms)
 		now += 200 * ms
 		table.Advance(now)
 	}
@@ -409,7 +409,7 @@
 	qt.Assert(t, held, qt.IsTrue)
 	suspected := 0
 	for n := range 1010 {
-		if r := request(n); table.Knows(r.Head()) {
+		if r := request(n); table.MaySuspect(r.MetadataHash()) {
 			suspected++
 		}
 	}
@@ -431,15 +431,15 @@
 			r, p := request(rapid.IntRange(0, 3).Draw(t, "request")), process(rapid.IntRange(0, 9).Draw(t, "process"))
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				c.tables[entry].Broke(r, p, rapid.Bool().Draw(t, "by peer"), now)
+				c.tables[entry].RecordFailure(r, p, rapid.Bool().Draw(t, "by peer"), now)
 				if failedAt[r] == nil {
 					failedAt[r] = map[quarantine.Process]bool{}
 				}
 				failedAt[r][p] = true
 			case 1:
-				c.tables[entry].Ended(p, now)
+				c.tables[entry].RecordCrash(p, now)
 			case 2:
-				c.tables[entry].Answered(r, now)
+				c.tables[entry].RecordAnswer(r, now)
 				if _, held := c.tables[entry].Held(r, now); held {
 					t.Fatalf("the request is held although it was just answered")
 				}
