--- a/internal/coordination/quarantine/reports.go
+++ b/internal/coordination/quarantine/reports.go
@@ -11,8 +11,8 @@
 // CrashReport is a message from one entry to others. Age is how long ago an item occurred
 // when the message was made. At is the same time by the clock of the local table and is not
 // sent.
-type News struct {
-	Ends    []Crash     `cbor:"1,keyasint,omitempty"`
+type CrashReport struct {
+	Crashes []Crash     `cbor:"1,keyasint,omitempty"`
 	Holds   []Hold      `cbor:"2,keyasint,omitempty"`
 	Cleared []Clearance `cbor:"3,keyasint,omitempty"`
 }
@@ -30,7 +30,7 @@
 	Request Fingerprint   `cbor:"1,keyasint"`
 	Age     time.Duration `cbor:"2,keyasint"`
 	// Count is how often the request has been held, at least 1.
-	Times int           `cbor:"3,keyasint"`
+	Count int           `cbor:"3,keyasint"`
 	At    time.Duration `cbor:"-"`
 }
 
@@ -42,7 +42,9 @@
 }
 
 // Empty reports whether the report has no items.
-func (r *News) Empty() bool { return len(r.Ends) == 0 && len(r.Holds) == 0 && len(r.Cleared) == 0 }
+func (r *CrashReport) Empty() bool {
+	return len(r.Crashes) == 0 && len(r.Holds) == 0 && len(r.Cleared) == 0
+}
 
 // Limits of what is sent.
 const (
@@ -65,18 +67,18 @@
 )
 
 // Validate returns an error if a value in the report is out of range.
-func (r *News) Check() error {
+func (r *CrashReport) Validate() error {
 	if r == nil {
 		return nil
 	}
-	for _, c := range r.Ends {
+	for _, c := range r.Crashes {
 		if c.Age < 0 || c.Process.Server == "" {
 			return fmt.Errorf("crash of process %q with age %v: expected a server name and an age of at least 0", c.Process.Server, c.Age)
 		}
 	}
 	for _, h := range r.Holds {
-		if h.Age < 0 || h.Times < 1 || h.Times > maxHoldCount {
-			return fmt.Errorf("request held %d times, last with age %v: expected 1 to %d times and an age of at least 0", h.Times, h.Age, maxHoldCount)
+		if h.Age < 0 || h.Count < 1 || h.Count > maxHoldCount {
+			return fmt.Errorf("request held %d times, last with age %v: expected 1 to %d times and an age of at least 0", h.Count, h.Age, maxHoldCount)
 		}
 	}
 	for _, c := range r.Cleared {
@@ -93,12 +95,12 @@
 // An entry that was partitioned from the others comes back with outdated state, and a request
 // that was answered in the meantime would be refused again. Crashes and holds from before the
 // answer are therefore ignored.
-func (t *Table) Take(report *News, now time.Duration) []News {
+func (t *Table) Merge(report *CrashReport, now time.Duration) []CrashReport {
 	for _, c := range report.Cleared {
 		t.mergeClearance(c, now-c.Age)
 	}
-	var reply News
-	for _, received := range report.Ends {
+	var reply CrashReport
+	for _, received := range report.Crashes {
 		if received.Age >= t.config.DetectionTimeout {
 			continue
 		}
@@ -137,10 +139,10 @@
 		return
 	}
 	s := t.suspectFor(h.Request)
-	if s.holdCount >= h.Times {
+	if s.holdCount >= h.Count {
 		return
 	}
-	s.heldAt, s.holdCount, s.reported = at, h.Times, true
+	s.heldAt, s.holdCount, s.reported = at, h.Count, true
 	for _, c := range s.crashes {
 		c.attributed = true
 	}
@@ -149,7 +151,7 @@
 // TakeStoreChanges returns the holds to write to the store and the requests whose holds are
 // to be deleted from it, and resets both. If several entries make the same hold, those that
 // had the request in flight at its last crash write it.
-func (t *Table) Verdicts() (newHolds []Hold, cleared []Fingerprint) {
+func (t *Table) TakeStoreChanges() (newHolds []Hold, cleared []Fingerprint) {
 	newHolds, cleared = t.newHolds, t.cleared
 	t.newHolds, t.cleared = nil, nil
 	return newHolds, cleared
@@ -171,41 +173,41 @@
 
 // sentReport is a report of holds or clearances that this entry queued for sending, and when.
 type sentReport struct {
-	report News
+	report CrashReport
 	at     time.Duration
 }
 
 // queue queues a report to be sent to the other entries.
-func (t *Table) queue(report News, now time.Duration) {
+func (t *Table) queue(report CrashReport, now time.Duration) {
 	t.unsent.add(report)
 	t.sent = append(t.sent, sentReport{report, now})
 	t.sent = t.sent[max(len(t.sent)-maxSentReports, 0):]
 }
 
 // add appends the items of another report. Requests at the same crash are combined.
-func (r *News) add(more News) {
-	for _, c := range more.Ends {
-		at := slices.IndexFunc(r.Ends, func(known Crash) bool { return known.Process == c.Process && known.At == c.At })
+func (r *CrashReport) add(more CrashReport) {
+	for _, c := range more.Crashes {
+		at := slices.IndexFunc(r.Crashes, func(known Crash) bool { return known.Process == c.Process && known.At == c.At })
 		if at < 0 {
-			r.Ends = append(r.Ends, Crash{Process: c.Process, At: c.At, Requests: slices.Clone(c.Requests)})
+			r.Crashes = append(r.Crashes, Crash{Process: c.Process, At: c.At, Requests: slices.Clone(c.Requests)})
 			continue
 		}
-		r.Ends[at].Requests = append(r.Ends[at].Requests, c.Requests...)
+		r.Crashes[at].Requests = append(r.Crashes[at].Requests, c.Requests...)
 	}
 	r.Holds = append(r.Holds, more.Holds...)
 	r.Cleared = append(r.Cleared, more.Cleared...)
 }
 
-func (r *News) addLocal(all []localCrash) {
+func (r *CrashReport) addLocal(all []localCrash) {
 	for _, l := range all {
-		r.add(News{Ends: []Crash{{Process: l.crash.process, At: l.crash.at, Requests: []Fingerprint{l.request}}}})
+		r.add(CrashReport{Crashes: []Crash{{Process: l.crash.process, At: l.crash.at, Requests: []Fingerprint{l.request}}}})
 	}
 }
 
 // NewReports returns what is to be sent since the last call, in messages.
-func (t *Table) Fresh(now time.Duration) []News {
+func (t *Table) NewReports(now time.Duration) []CrashReport {
 	report := t.unsent
-	t.unsent = News{}
+	t.unsent = CrashReport{}
 	report.addLocal(t.nextCrashes(now))
 	return report.split(now)
 }
@@ -245,10 +247,10 @@
 }
 
 // RecentReports returns what this entry sent within resendDuration, in messages.
-func (t *Table) Recent(now time.Duration) []News {
+func (t *Table) RecentReports(now time.Duration) []CrashReport {
 	t.sent = slices.DeleteFunc(t.sent, func(old sentReport) bool { return now-old.at >= resendDuration })
 	t.sentCrashes = slices.DeleteFunc(t.sentCrashes, func(l localCrash) bool { return now-l.at >= resendDuration })
-	var all News
+	var all CrashReport
 	for _, old := range t.sent {
 		all.add(old.report)
 	}
@@ -259,11 +261,11 @@
 }
 
 // HoldReports returns all requests that are held, in messages.
-func (t *Table) Holds(now time.Duration) []News {
-	var all News
+func (t *Table) HoldReports(now time.Duration) []CrashReport {
+	var all CrashReport
 	for request, s := range t.suspects {
 		if t.held(s, now) {
-			all.Holds = append(all.Holds, Hold{Request: request, At: s.heldAt, Times: s.holdCount})
+			all.Holds = append(all.Holds, Hold{Request: request, At: s.heldAt, Count: s.holdCount})
 		}
 	}
 	return all.split(now)
@@ -275,27 +277,27 @@
 	sum := uint64(0)
 	for request, s := range t.suspects {
 		if t.held(s, now) {
-			sum ^= bits.RotateLeft64(request.Head(), 1) ^ uint64(request[metadataHashBytes])
+			sum ^= bits.RotateLeft64(request.MetadataHash(), 1) ^ uint64(request[metadataHashBytes])
 		}
 	}
 	return sum
 }
 
 // split divides a report into messages and sets the ages.
-func (r *News) split(now time.Duration) []News {
-	var all []News
-	current, size := News{}, 0
+func (r *CrashReport) split(now time.Duration) []CrashReport {
+	var all []CrashReport
+	current, size := CrashReport{}, 0
 	reserve := func() {
 		if size == maxRequestsPerMessage {
-			all, current, size = append(all, current), News{}, 0
+			all, current, size = append(all, current), CrashReport{}, 0
 		}
 		size++
 	}
-	for _, c := range r.Ends {
+	for _, c := range r.Crashes {
 		for _, request := range c.Requests {
 			reserve()
 			c.Age = now - c.At
-			current.add(News{Ends: []Crash{{Process: c.Process, At: c.At, Requests: []Fingerprint{request}}}})
+			current.add(CrashReport{Crashes: []Crash{{Process: c.Process, At: c.At, Requests: []Fingerprint{request}}}})
 		}
 	}
 	for _, h := range r.Holds {
@@ -315,9 +317,9 @@
 	return all
 }
 
-func (r *News) setAges(now time.Duration) {
-	for i := range r.Ends {
-		r.Ends[i].Age = max(now-r.Ends[i].At, 0)
+func (r *CrashReport) setAges(now time.Duration) {
+	for i := range r.Crashes {
+		r.Crashes[i].Age = max(now-r.Crashes[i].At, 0)
 	}
 	for i := range r.Holds {
 		r.Holds[i].Age = max(now-r.Holds[i].At, 0)
--- a/internal/coordination/quarantine/simulation_test.go
+++ b/internal/coordination/quarantine/simulation_test.go
@@ -139,7 +139,7 @@
 		case r.crashes:
 			remaining, crashed = append(remaining, r), true
 		default:
-			sim.tables[r.entry].Answered(r.fingerprint, sim.now)
+			sim.tables[r.entry].RecordAnswer(r.fingerprint, sim.now)
 		}
 	}
 	s.running = remaining
@@ -152,7 +152,7 @@
 // holds returns the number of requests that are held.
 func (sim *simulation) holds() int {
 	n := 0
-	for _, report := range sim.tables[0].Holds(sim.now) {
+	for _, report := range sim.tables[0].HoldReports(sim.now) {
 		n += len(report.Holds)
 	}
 	return n
--- a/internal/coordination/quarantine/suspects.go
+++ b/internal/coordination/quarantine/suspects.go
@@ -31,7 +31,7 @@
 	}
 	s = &suspect{request: request}
 	t.suspects[request] = s
-	t.suspectHashes[request.Head()]++
+	t.suspectHashes[request.MetadataHash()]++
 	return s
 }
 
@@ -40,7 +40,7 @@
 		return
 	}
 	delete(t.suspects, request)
-	hash := request.Head()
+	hash := request.MetadataHash()
 	if t.suspectHashes[hash]--; t.suspectHashes[hash] == 0 {
 		delete(t.suspectHashes, hash)
 	}
--- a/internal/coordination/relays/departures.go
+++ b/internal/coordination/relays/departures.go
@@ -13,14 +13,14 @@
 // DepartureTracker tracks when entries last departed from the origin's site.
 // After a departure, another entry fetches the pieces of the departed one from
 // the origin.
-type Turnover struct {
+type DepartureTracker struct {
 	atOriginSite map[filbertlever.HostID]bool
 	// lastDeparture is when a departure was last observed, or 0 if none was.
 	lastDeparture time.Duration
 }
 
 // Observe records the entries that are alive now.
-func (t *Turnover) See(entries []Entry, originSite string, now time.Duration) {
+func (t *DepartureTracker) Observe(entries []Entry, originSite string, now time.Duration) {
 	atOriginSite := make(map[filbertlever.HostID]bool, len(t.atOriginSite))
 	for _, entry := range entries {
 		if entry.Site == originSite {
@@ -38,7 +38,9 @@
 // MayBeOnPeers reports whether another entry may have fetched pieces of a
 // target version: the target was set before this process could observe it, in
 // which case setAt is 0, or an entry departed after setAt.
-func (t *Turnover) Since(setAt time.Duration) bool { return setAt == 0 || t.lastDeparture > setAt }
+func (t *DepartureTracker) MayBeOnPeers(setAt time.Duration) bool {
+	return setAt == 0 || t.lastDeparture > setAt
+}
 
 // maxHomesQueried limits the entries that are asked for a piece before it is
 // fetched from the origin. Their answers together take less time than the piece
@@ -49,7 +51,7 @@
 // have fetched from the origin. These are the home entries of the piece, since
 // they hold what they requested from that entry. The home entry of the own site
 // comes first.
-func Keepers(self Entry, entries []Entry, piece string) []filbertlever.HostID {
+func HomesToQuery(self Entry, entries []Entry, piece string) []filbertlever.HostID {
 	var sites []string
 	for _, entry := range entries {
 		if !slices.Contains(sites, entry.Site) {
--- a/internal/coordination/relays/departures_test.go
+++ b/internal/coordination/relays/departures_test.go
@@ -17,16 +17,16 @@
 	c := qt.New(t)
 	const setAt = 10 * time.Second
 	all := []Entry{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}}
-	var tracker Turnover
-	tracker.See(all, "a", 5*time.Second)
-	tracker.See(all[:2], "a", 11*time.Second)
-	c.Check(tracker.Since(setAt), qt.IsFalse, qt.Commentf("an entry of another site fetches nothing from the origin"))
-	c.Check(tracker.Since(0), qt.IsTrue, qt.Commentf("the target was set before this process started"))
-	tracker.See(all[1:], "a", 12*time.Second)
-	c.Check(tracker.Since(setAt), qt.IsTrue)
-	c.Check(tracker.Since(13*time.Second), qt.IsFalse, qt.Commentf("a target set after the departure"))
-	tracker.See(all, "a", 14*time.Second)
-	c.Check(tracker.Since(13*time.Second), qt.IsFalse, qt.Commentf("a new entry has fetched nothing"))
+	var tracker DepartureTracker
+	tracker.Observe(all, "a", 5*time.Second)
+	tracker.Observe(all[:2], "a", 11*time.Second)
+	c.Check(tracker.MayBeOnPeers(setAt), qt.IsFalse, qt.Commentf("an entry of another site fetches nothing from the origin"))
+	c.Check(tracker.MayBeOnPeers(0), qt.IsTrue, qt.Commentf("the target was set before this process started"))
+	tracker.Observe(all[1:], "a", 12*time.Second)
+	c.Check(tracker.MayBeOnPeers(setAt), qt.IsTrue)
+	c.Check(tracker.MayBeOnPeers(13*time.Second), qt.IsFalse, qt.Commentf("a target set after the departure"))
+	tracker.Observe(all, "a", 14*time.Second)
+	c.Check(tracker.MayBeOnPeers(13*time.Second), qt.IsFalse, qt.Commentf("a new entry has fetched nothing"))
 }
 
 // A piece must cross as few site boundaries as possible, so the home entry of
@@ -41,7 +41,7 @@
 	}
 	for _, piece := range []string{"m/2/0", "m/2/1", "m/2/2", "m/2/3"} {
 		for _, self := range entries[:3] {
-			homes := Keepers(self, entries, piece)
+			homes := HomesToQuery(self, entries, piece)
 			c.Assert(homes, qt.HasLen, maxHomesQueried)
 			if home := Home(entries, "a", piece); home != self.Host {
 				c.Check(homes[0], qt.Equals, home)
--- a/internal/coordination/relays/holders.go
+++ b/internal/coordination/relays/holders.go
@@ -23,7 +23,7 @@
 
 // HoldersToQuery returns the holders to ask for a piece, in order. It uses
 // rendezvous hashing, so that all holders upload about as much.
-func HoldersOf(holders []Holder, piece string) []Holder {
+func HoldersToQuery(holders []Holder, piece string) []Holder {
 	ranked := slices.Clone(holders)
 	slices.SortFunc(ranked, func(a, b Holder) int {
 		return cmp.Or(cmp.Compare(holderScore(b, piece), holderScore(a, piece)), cmp.Compare(a.Backend, b.Backend))
--- a/internal/coordination/relays/holders_test.go
+++ b/internal/coordination/relays/holders_test.go
@@ -17,12 +17,12 @@
 	}
 	requests := map[string]int{}
 	for piece := range 96 {
-		selected := HoldersOf(holders, fmt.Sprint("drafter/1/", piece))
+		selected := HoldersToQuery(holders, fmt.Sprint("drafter/1/", piece))
 		c.Assert(selected, qt.HasLen, maxHoldersQueried)
 		requests[selected[0].Backend]++
 	}
 	for backend, n := range requests {
 		c.Check(n < 40, qt.IsTrue, qt.Commentf("%s uploads %d of 96", backend, n))
 	}
-	c.Assert(HoldersOf(nil, "drafter/1/0"), qt.HasLen, 0)
+	c.Assert(HoldersToQuery(nil, "drafter/1/0"), qt.HasLen, 0)
 }
--- a/internal/coordination/relays/reader.go
+++ b/internal/coordination/relays/reader.go
@@ -8,9 +8,9 @@
 	Host filbertlever.HostID
 	// Unavailable is true if the store recently refused the entry, or if the
 	// entry is not ready.
-	Lost bool
+	Unavailable bool
 	// StoreAnswered is true if the store recently answered the entry.
-	Answered bool
+	StoreAnswered bool
 }
 
 // PickReader returns the entry that reads the store for a region. It prefers
@@ -32,9 +32,9 @@
 // rank returns the preference for a reader. Higher is better.
 func (r Reader) rank() int {
 	switch {
-	case r.Lost:
+	case r.Unavailable:
 		return 0
-	case r.Answered:
+	case r.StoreAnswered:
 		return 2
 	}
 	return 1
--- a/internal/coordination/relays/reader_test.go
+++ b/internal/coordination/relays/reader_test.go
@@ -11,7 +11,7 @@
 // The reader of a region must be an entry that the store answers, if there is
 // one.
 func TestPickReader(t *testing.T) {
-	answered, unknown, unavailable := Reader{Host: "e1", Answered: true}, Reader{Host: "e2"}, Reader{Host: "e3", Lost: true}
+	answered, unknown, unavailable := Reader{Host: "e1", StoreAnswered: true}, Reader{Host: "e2"}, Reader{Host: "e3", Unavailable: true}
 	tests := []struct {
 		name    string
 		readers []Reader
@@ -20,7 +20,7 @@
 		{"an entry that the store answered", []Reader{unavailable, unknown, answered}, "e1"},
 		{"an entry that the store did not refuse", []Reader{unavailable, unknown}, "e2"},
 		{"any entry, on behalf of all", []Reader{unavailable}, "e3"},
-		{"an entry refused after its last answer", []Reader{{Host: "e4", Answered: true, Lost: true}, unknown}, "e2"},
+		{"an entry refused after its last answer", []Reader{{Host: "e4", StoreAnswered: true, Unavailable: true}, unknown}, "e2"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/coordination/relays/relays.go
+++ b/internal/coordination/relays/relays.go
@@ -42,7 +42,7 @@
 // CandidatesFor returns the entries that an agent of a site asks for a piece,
 // in order: the home entry, the next ones of its site, and a few at other
 // sites. All live candidates fetch the piece from the same origin fetcher.
-func Ways(entries []Entry, site, piece string) []filbertlever.HostID {
+func CandidatesFor(entries []Entry, site, piece string) []filbertlever.HostID {
 	var sameSite, otherSites []Entry
 	for _, entry := range entries {
 		if entry.Site == site {
@@ -85,7 +85,7 @@
 
 // Rank returns the position of an entry in the order of a site's entries for a
 // piece. It is 0 for the home entry, and -1 for an entry of another site.
-func Turn(self filbertlever.HostID, entries []Entry, site, piece string) int {
+func Rank(self filbertlever.HostID, entries []Entry, site, piece string) int {
 	sameSite := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e.Site != site })
 	return slices.Index(rankEntries(sameSite, piece), self)
 }
@@ -102,7 +102,7 @@
 	RoleHome
 	// RoleOriginFetcher is the role of the entry that fetches a piece from the
 	// origin.
-	RoleDrawer
+	RoleOriginFetcher
 )
 
 // maxOriginFetchers limits the entries that fetch from the origin. With more of
@@ -114,7 +114,7 @@
 // OriginFetcher returns the entry that fetches a piece from the origin, which
 // is one of a few at the origin's site. It returns an empty ID if there is
 // none.
-func Drawer(entries []Entry, originSite, piece string) filbertlever.HostID {
+func OriginFetcher(entries []Entry, originSite, piece string) filbertlever.HostID {
 	var candidates []Entry
 	for _, entry := range entries {
 		if entry.Site == originSite {
@@ -130,8 +130,8 @@
 // RoleOf returns the role of an entry for a piece, regardless of who asks.
 func RoleOf(self Entry, entries []Entry, originSite, piece string) Role {
 	switch {
-	case self.Site == originSite && Drawer(entries, originSite, piece) == self.Host:
-		return RoleDrawer
+	case self.Site == originSite && OriginFetcher(entries, originSite, piece) == self.Host:
+		return RoleOriginFetcher
 	case Home(entries, self.Site, piece) == self.Host:
 		return RoleHome
 	}
@@ -152,12 +152,12 @@
 			return home, RoleHome
 		}
 	}
-	if role == RoleDrawer {
-		return "", RoleDrawer
+	if role == RoleOriginFetcher {
+		return "", RoleOriginFetcher
 	}
-	fetcher := Drawer(entries, originSite, piece)
+	fetcher := OriginFetcher(entries, originSite, piece)
 	if fetcher == self.Host {
-		return "", RoleDrawer
+		return "", RoleOriginFetcher
 	}
-	return fetcher, RoleDrawer
+	return fetcher, RoleOriginFetcher
 }
--- a/internal/coordination/relays/relays_test.go
+++ b/internal/coordination/relays/relays_test.go
@@ -83,7 +83,7 @@
 	homes := map[filbertlever.HostID]bool{}
 	for piece := range 64 {
 		key := fmt.Sprint(piece)
-		pieces[Drawer(all, "a", key)]++
+		pieces[OriginFetcher(all, "a", key)]++
 		homes[Home(all, "a", key)] = true
 	}
 	c.Assert(len(pieces), qt.Equals, maxOriginFetchers)
@@ -131,9 +131,9 @@
 	entries := []Entry{{Host: "e1", Site: "a"}, {Host: "e2", Site: "a"}, {Host: "e3", Site: "b"}, {Host: "e4", Site: "a"}}
 	ranks := map[int]bool{}
 	for _, host := range []filbertlever.HostID{"e1", "e2", "e4"} {
-		ranks[Turn(host, entries, "a", "reader")] = true
+		ranks[Rank(host, entries, "a", "reader")] = true
 	}
 	c.Assert(ranks, qt.DeepEquals, map[int]bool{0: true, 1: true, 2: true})
-	c.Assert(Turn(Home(entries, "a", "reader"), entries, "a", "reader"), qt.Equals, 0)
-	c.Assert(Turn("e3", entries, "a", "reader"), qt.Equals, -1)
+	c.Assert(Rank(Home(entries, "a", "reader"), entries, "a", "reader"), qt.Equals, 0)
+	c.Assert(Rank("e3", entries, "a", "reader"), qt.Equals, -1)
 }
--- a/internal/coordination/relays/semaphore.go
+++ b/internal/coordination/relays/semaphore.go
@@ -9,12 +9,12 @@
 // If a second target version is set while the origin is unavailable, entries that
 // hold all of the first request the second, and must not delay the last pieces of
 // the first.
-type Slots struct {
+type PrioritySemaphore struct {
 	// Deferred reports whether a waiter currently goes after all others. It is
 	// nil if no waiter does.
-	Last    func(Waiter) bool
-	free    int
-	waiters []Waiter
+	Deferred func(Waiter) bool
+	free     int
+	waiters  []Waiter
 }
 
 // Waiter is a pending or granted request for a slot.
@@ -27,11 +27,11 @@
 }
 
 // NewPrioritySemaphore returns a semaphore with the given number of slots.
-func NewSlots(slots int) *Slots { return &Slots{free: slots} }
+func NewPrioritySemaphore(slots int) *PrioritySemaphore { return &PrioritySemaphore{free: slots} }
 
 // Acquire requests a slot for a version. Granted is closed immediately if a
 // slot is free.
-func (s *Slots) Take(model string, version uint64) Waiter {
+func (s *PrioritySemaphore) Acquire(model string, version uint64) Waiter {
 	w := Waiter{Model: model, Version: version, Granted: make(chan struct{})}
 	s.waiters = append(s.waiters, w)
 	s.grantFree()
@@ -39,7 +39,7 @@
 }
 
 // HasWaiterBefore reports whether any waiter has priority over a version.
-func (s *Slots) OtherFirst(model string, version uint64) bool {
+func (s *PrioritySemaphore) HasWaiterBefore(model string, version uint64) bool {
 	request := Waiter{Model: model, Version: version}
 	return slices.ContainsFunc(s.waiters, func(w Waiter) bool { return s.precedes(w, request) })
 }
@@ -49,9 +49,9 @@
 // Versions of different models are numbered independently. When they were
 // compared across models, the last pieces of one model waited behind a whole
 // set of another. A lower number is older only within a model.
-func (s *Slots) precedes(w, other Waiter) bool {
-	if s.Last != nil {
-		if deferred := s.Last(w); deferred != s.Last(other) {
+func (s *PrioritySemaphore) precedes(w, other Waiter) bool {
+	if s.Deferred != nil {
+		if deferred := s.Deferred(w); deferred != s.Deferred(other) {
 			return !deferred
 		}
 	}
@@ -59,14 +59,14 @@
 }
 
 // Release returns a slot.
-func (s *Slots) Give() {
+func (s *PrioritySemaphore) Release() {
 	s.free++
 	s.grantFree()
 }
 
 // Cancel removes a waiter. It returns false if the waiter already has a slot,
 // which must then be released.
-func (s *Slots) Leave(w Waiter) bool {
+func (s *PrioritySemaphore) Cancel(w Waiter) bool {
 	for i, other := range s.waiters {
 		if other.Granted == w.Granted {
 			s.waiters = slices.Delete(s.waiters, i, i+1)
@@ -77,7 +77,7 @@
 }
 
 // grantFree grants free slots to the waiters with the highest priority.
-func (s *Slots) grantFree() {
+func (s *PrioritySemaphore) grantFree() {
 	for s.free > 0 && len(s.waiters) > 0 {
 		first := 0
 		for i, w := range s.waiters {
--- a/internal/coordination/relays/semaphore_test.go
+++ b/internal/coordination/relays/semaphore_test.go
@@ -21,44 +21,44 @@
 // version are granted first, in order of arrival.
 func TestOldestVersionIsGrantedFirst(t *testing.T) {
 	c := qt.New(t)
-	s := NewSlots(1)
-	holder := s.Take("drafter", 3)
+	s := NewPrioritySemaphore(1)
+	holder := s.Acquire("drafter", 3)
 	c.Assert(granted(holder), qt.IsTrue)
-	newer, older1, older2 := s.Take("drafter", 3), s.Take("drafter", 2), s.Take("drafter", 2)
+	newer, older1, older2 := s.Acquire("drafter", 3), s.Acquire("drafter", 2), s.Acquire("drafter", 2)
 	for _, want := range []Waiter{older1, older2, newer} {
 		c.Assert(granted(want), qt.IsFalse)
-		s.Give()
+		s.Release()
 		c.Assert(granted(want), qt.IsTrue)
 	}
-	s.Give()
-	c.Assert(granted(s.Take("drafter", 9)), qt.IsTrue)
+	s.Release()
+	c.Assert(granted(s.Acquire("drafter", 9)), qt.IsTrue)
 }
 
 // A cancelled waiter must not be granted a slot, since nobody would release it.
 func TestCancelledWaiterIsNotGranted(t *testing.T) {
 	c := qt.New(t)
-	s := NewSlots(1)
-	s.Take("drafter", 1)
-	cancelled, remaining := s.Take("drafter", 1), s.Take("drafter", 2)
-	c.Assert(s.Leave(cancelled), qt.IsTrue)
-	s.Give()
+	s := NewPrioritySemaphore(1)
+	s.Acquire("drafter", 1)
+	cancelled, remaining := s.Acquire("drafter", 1), s.Acquire("drafter", 2)
+	c.Assert(s.Cancel(cancelled), qt.IsTrue)
+	s.Release()
 	c.Assert(granted(remaining), qt.IsTrue)
-	c.Assert(s.Leave(remaining), qt.IsFalse)
+	c.Assert(s.Cancel(remaining), qt.IsFalse)
 }
 
 // The last pieces of one model waited behind a whole set of another, whose
 // versions had lower numbers. The numbers order versions only within a model.
 func TestVersionsAreOrderedPerModel(t *testing.T) {
 	c := qt.New(t)
-	s := NewSlots(1)
-	s.Take("drafter", 9)
-	first, newer, other, older := s.Take("drafter", 5), s.Take("drafter", 9), s.Take("reader", 1), s.Take("drafter", 4)
-	c.Assert(s.OtherFirst("drafter", 4), qt.IsFalse)
-	c.Assert(s.OtherFirst("drafter", 5), qt.IsTrue)
-	c.Assert(s.OtherFirst("writer", 7), qt.IsFalse)
+	s := NewPrioritySemaphore(1)
+	s.Acquire("drafter", 9)
+	first, newer, other, older := s.Acquire("drafter", 5), s.Acquire("drafter", 9), s.Acquire("reader", 1), s.Acquire("drafter", 4)
+	c.Assert(s.HasWaiterBefore("drafter", 4), qt.IsFalse)
+	c.Assert(s.HasWaiterBefore("drafter", 5), qt.IsTrue)
+	c.Assert(s.HasWaiterBefore("writer", 7), qt.IsFalse)
 	for _, want := range []Waiter{older, first, newer, other} {
 		c.Assert(granted(want), qt.IsFalse)
-		s.Give()
+		s.Release()
 		c.Assert(granted(want), qt.IsTrue)
 	}
 }
@@ -67,15 +67,15 @@
 // had removed. Waiters for an unavailable version must go after all others.
 func TestDeferredWaiterIsGrantedLast(t *testing.T) {
 	c := qt.New(t)
-	s := NewSlots(1)
-	s.Last = func(w Waiter) bool { return w.Version == 2 }
-	s.Take("drafter", 2)
-	deferred, newest, newer := s.Take("drafter", 2), s.Take("drafter", 4), s.Take("drafter", 3)
-	c.Assert(s.OtherFirst("drafter", 2), qt.IsTrue)
-	c.Assert(s.OtherFirst("drafter", 3), qt.IsFalse)
+	s := NewPrioritySemaphore(1)
+	s.Deferred = func(w Waiter) bool { return w.Version == 2 }
+	s.Acquire("drafter", 2)
+	deferred, newest, newer := s.Acquire("drafter", 2), s.Acquire("drafter", 4), s.Acquire("drafter", 3)
+	c.Assert(s.HasWaiterBefore("drafter", 2), qt.IsTrue)
+	c.Assert(s.HasWaiterBefore("drafter", 3), qt.IsFalse)
 	for _, want := range []Waiter{newer, newest, deferred} {
 		c.Assert(granted(want), qt.IsFalse)
-		s.Give()
+		s.Release()
 		c.Assert(granted(want), qt.IsTrue)
 	}
 }
--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -36,7 +36,7 @@
 }
 
 // RecordRequest records a new request.
-func (b *Budget) Fresh() {
+func (b *Budget) RecordRequest() {
 	b.tokens = min(b.tokens+b.config.Ratio, b.config.Burst)
 	b.lossTokens = min(b.lossTokens+b.config.LossRatio, b.config.LossBurst)
 }
@@ -52,7 +52,7 @@
 	EndFailed
 	// EndWrongWeights means that the host serves other weights than expected and
 	// reported which. It is no sign of overload, so the retry costs no budget.
-	EndNotLive
+	EndWrongWeights
 	// EndLost means that the host failed, stopped responding or broke its stream.
 	EndLost
 )
@@ -78,11 +78,11 @@
 // Allow reports whether the request may be retried on another server now, and
 // takes the retry from the budget. The time until the request's deadline is
 // remaining.
-func (b *Budget) Again(attempt Attempt, remaining time.Duration) bool {
+func (b *Budget) Allow(attempt Attempt, remaining time.Duration) bool {
 	if attempt.Number >= MaxAttempts || remaining < MinRemaining {
 		return false
 	}
-	if attempt.End == EndNotLive {
+	if attempt.End == EndWrongWeights {
 		return true
 	}
 	if attempt.End == EndLost {
--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -18,8 +18,8 @@
 	const requests = 10_000
 	retries := 0
 	for range requests {
-		budget.Fresh()
-		for number := 1; budget.Again(retry.Attempt{End: retry.EndRefused, Number: number}, time.Minute); number++ {
+		budget.RecordRequest()
+		for number := 1; budget.Allow(retry.Attempt{End: retry.EndRefused, Number: number}, time.Minute); number++ {
 			retries++
 		}
 	}
@@ -30,9 +30,9 @@
 func TestNoRetryNearDeadlineOrBeyondMaxAttempts(t *testing.T) {
 	c := qt.New(t)
 	budget := retry.NewBudget(retry.DefaultConfig())
-	c.Assert(budget.Again(retry.Attempt{End: retry.EndLost, Number: 1}, time.Millisecond), qt.IsFalse)
-	c.Assert(budget.Again(retry.Attempt{End: retry.EndLost, Number: retry.MaxAttempts}, time.Minute), qt.IsFalse)
-	c.Assert(budget.Again(retry.Attempt{End: retry.EndLost, Number: 1}, time.Minute), qt.IsTrue)
+	c.Assert(budget.Allow(retry.Attempt{End: retry.EndLost, Number: 1}, time.Millisecond), qt.IsFalse)
+	c.Assert(budget.Allow(retry.Attempt{End: retry.EndLost, Number: retry.MaxAttempts}, time.Minute), qt.IsFalse)
+	c.Assert(budget.Allow(retry.Attempt{End: retry.EndLost, Number: 1}, time.Minute), qt.IsTrue)
 }
 
 // Refusals have exhausted the budget when a host fails that streams a hundred
@@ -40,10 +40,10 @@
 func TestLostAttemptsHaveSeparateBudget(t *testing.T) {
 	c := qt.New(t)
 	budget := retry.NewBudget(retry.DefaultConfig())
-	for budget.Again(retry.Attempt{End: retry.EndRefused, Number: 1}, time.Minute) {
+	for budget.Allow(retry.Attempt{End: retry.EndRefused, Number: 1}, time.Minute) {
 		continue
 	}
 	for range 100 {
-		c.Assert(budget.Again(retry.Attempt{End: retry.EndLost, Number: 1, Delivered: true}, time.Minute), qt.IsTrue)
+		c.Assert(budget.Allow(retry.Attempt{End: retry.EndLost, Number: 1, Delivered: true}, time.Minute), qt.IsTrue)
 	}
 }
--- a/internal/coordination/retry/window.go
+++ b/internal/coordination/retry/window.go
@@ -46,7 +46,7 @@
 func (w *Window) Resize(config WindowConfig) { w.config = config }
 
 // RecordRequest records a new request.
-func (w *Window) Fresh(now time.Duration) {
+func (w *Window) RecordRequest(now time.Duration) {
 	w.advance(now)
 	w.requests[w.bucket%windowBuckets]++
 }
--- a/internal/coordination/retry/window_test.go
+++ b/internal/coordination/retry/window_test.go
@@ -23,7 +23,7 @@
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "fresh") {
-				w.Fresh(now)
+				w.RecordRequest(now)
 				events = append(events, event{at: now})
 				continue
 			}
--- a/internal/coordination/rollout/roll.go
+++ b/internal/coordination/rollout/roll.go
@@ -10,20 +10,20 @@
 )
 
 // Outcome is the outcome of a roll.
-type Verdict int
+type Outcome int
 
 // The outcomes.
 const (
 	// OutcomeAccepted means that the candidate is or was the head.
-	VerdictAccepted Verdict = iota + 1
+	OutcomeAccepted Outcome = iota + 1
 	// OutcomeConflict means that another bundle was accepted instead. The
 	// candidate was never active in any process and cannot become active.
-	VerdictConflict
+	OutcomeConflict
 	// OutcomeNotAccepted means that no swap was sent, so nothing changed.
-	VerdictNotAccepted
+	OutcomeNotAccepted
 	// OutcomeUnknown means that a swap was sent and its effect could not be read
 	// back. Running the same roll again determines the outcome.
-	VerdictUnknown
+	OutcomeUnknown
 )
 
 // ActionKind is the kind of an action that the caller of a Roll carries out.
@@ -54,9 +54,9 @@
 
 // Result is the result of a roll.
 type Result struct {
-	Verdict Verdict
+	Outcome Outcome
 	// Head is the head after an accepted roll or a conflict.
-	Winner state.Head
+	Head state.Head
 	// Err is the last error of the platform.
 	Err error
 }
@@ -106,13 +106,13 @@
 		return r.retryOrFinish(Action{Kind: ActionRead}, err)
 	}
 	if read.Recorded.Digest == r.candidate.Digest && read.Recorded.Version == r.candidate.Version {
-		return finish(Result{Verdict: VerdictAccepted, Winner: read.Head})
+		return finish(Result{Outcome: OutcomeAccepted, Head: read.Head})
 	}
 	// The head may be newer than the candidate. The history row is written in the
 	// same commit as the head and does not hold the candidate, so another bundle
 	// was accepted.
 	if read.Head.Digest != r.candidate.Parent || read.Head.Version+1 != r.candidate.Version {
-		return finish(Result{Verdict: VerdictConflict, Winner: read.Head})
+		return finish(Result{Outcome: OutcomeConflict, Head: read.Head})
 	}
 	r.revision = read.Revision
 	if !r.objectPut {
@@ -137,7 +137,7 @@
 		return r.retryOrFinish(Action{Kind: ActionRead}, err)
 	}
 	if applied {
-		return finish(Result{Verdict: VerdictAccepted, Winner: r.candidate})
+		return finish(Result{Outcome: OutcomeAccepted, Head: r.candidate})
 	}
 	// The conflict may be with an earlier swap of this roll whose acknowledgement
 	// was lost. Read the rows to find out.
@@ -157,9 +157,9 @@
 	}
 	err = fmt.Errorf("roll bundle %d: %d attempts failed: %w", r.candidate.Version, r.failures, err)
 	if r.swapSent {
-		return finish(Result{Verdict: VerdictUnknown, Err: err})
+		return finish(Result{Outcome: OutcomeUnknown, Err: err})
 	}
-	return finish(Result{Verdict: VerdictNotAccepted, Err: err})
+	return finish(Result{Outcome: OutcomeNotAccepted, Err: err})
 }
 
 func finish(result Result) Action {
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -129,9 +129,9 @@
 			}
 		}
 	}
-	c.Assert(a.result.Verdict, qt.Equals, rollout.VerdictAccepted)
-	c.Assert(b.result.Verdict, qt.Equals, rollout.VerdictConflict)
-	c.Assert(b.result.Winner.Digest, qt.Equals, filbertlever.Digest("a"))
+	c.Assert(a.result.Outcome, qt.Equals, rollout.OutcomeAccepted)
+	c.Assert(b.result.Outcome, qt.Equals, rollout.OutcomeConflict)
+	c.Assert(b.result.Head.Digest, qt.Equals, filbertlever.Digest("a"))
 	c.Assert(table.head.Digest, qt.Equals, filbertlever.Digest("a"))
 }
 
@@ -141,7 +141,7 @@
 	c := qt.New(t)
 	table := newTable()
 	table.loseAcks = 1
-	c.Assert(newOperator(head(1, "a", "")).finish(table).Verdict, qt.Equals, rollout.VerdictAccepted)
+	c.Assert(newOperator(head(1, "a", "")).finish(table).Outcome, qt.Equals, rollout.OutcomeAccepted)
 	c.Assert(table.head.Digest, qt.Equals, filbertlever.Digest("a"))
 }
 
@@ -157,7 +157,7 @@
 	}
 	o.step(table)
 	table.applyDelayed()
-	c.Assert(o.finish(table).Verdict, qt.Equals, rollout.VerdictAccepted)
+	c.Assert(o.finish(table).Outcome, qt.Equals, rollout.OutcomeAccepted)
 	c.Assert(table.revision, qt.Equals, uint64(1))
 }
 
@@ -168,7 +168,7 @@
 	table := newTable()
 	newOperator(head(1, "a", "")).finish(table)
 	newOperator(head(2, "b", "a")).finish(table)
-	c.Assert(newOperator(head(1, "a", "")).finish(table).Verdict, qt.Equals, rollout.VerdictAccepted)
+	c.Assert(newOperator(head(1, "a", "")).finish(table).Outcome, qt.Equals, rollout.OutcomeAccepted)
 	c.Assert(table.head.Digest, qt.Equals, filbertlever.Digest("b"))
 }
 
@@ -177,11 +177,11 @@
 func TestPlatformDownAtEachStep(t *testing.T) {
 	for _, test := range []struct {
 		step rollout.ActionKind
-		want rollout.Verdict
+		want rollout.Outcome
 	}{
-		{rollout.ActionRead, rollout.VerdictNotAccepted},
-		{rollout.ActionPut, rollout.VerdictNotAccepted},
-		{rollout.ActionSwap, rollout.VerdictUnknown},
+		{rollout.ActionRead, rollout.OutcomeNotAccepted},
+		{rollout.ActionPut, rollout.OutcomeNotAccepted},
+		{rollout.ActionSwap, rollout.OutcomeUnknown},
 	} {
 		c := qt.New(t)
 		table := newTable()
@@ -191,10 +191,10 @@
 		}
 		table.down = true
 		result := o.finish(table)
-		c.Assert(result.Verdict, qt.Equals, test.want)
+		c.Assert(result.Outcome, qt.Equals, test.want)
 		c.Assert(result.Err, qt.ErrorIs, errPlatform)
 		table.down = false
-		c.Assert(newOperator(head(1, "a", "")).finish(table).Verdict, qt.Equals, rollout.VerdictAccepted)
+		c.Assert(newOperator(head(1, "a", "")).finish(table).Outcome, qt.Equals, rollout.OutcomeAccepted)
 	}
 }
 
@@ -227,10 +227,10 @@
 			result := o.finish(table)
 			table.applyDelayed()
 			accepted := table.history[o.head.Version].Digest == o.head.Digest
-			if result.Verdict == rollout.VerdictAccepted && !accepted {
+			if result.Outcome == rollout.OutcomeAccepted && !accepted {
 				t.Fatalf("%s reported as accepted, history has %s", o.head.Digest, table.history[o.head.Version].Digest)
 			}
-			if result.Verdict == rollout.VerdictConflict && accepted {
+			if result.Outcome == rollout.OutcomeConflict && accepted {
 				t.Fatalf("%s is accepted, but the roll reported a conflict", o.head.Digest)
 			}
 			if accepted && !o.put {
@@ -249,20 +249,20 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			h := head(uint64(rapid.IntRange(1, 9).Draw(t, "version")), "", "")
 			h.Digest = filbertlever.Digest(fmt.Sprint("bundle-", h.Version))
-			before := tracker.InForce().Version
+			before := tracker.Active().Version
 			if rapid.Bool().Draw(t, "learn") {
-				if _, err := tracker.Learn(h); err != nil {
+				if _, err := tracker.Observe(h); err != nil {
 					t.Fatal(err)
 				}
 				highest = max(highest, h.Version)
 			} else {
-				tracker.Adopt(h)
+				tracker.Activate(h)
 			}
-			if tracker.InForce().Version < before {
-				t.Fatalf("active bundle went from %d to %d", before, tracker.InForce().Version)
+			if tracker.Active().Version < before {
+				t.Fatalf("active bundle went from %d to %d", before, tracker.Active().Version)
 			}
-			if tracker.InForce().Version > highest {
-				t.Fatalf("bundle %d is active but was never observed as accepted", tracker.InForce().Version)
+			if tracker.Active().Version > highest {
+				t.Fatalf("bundle %d is active but was never observed as accepted", tracker.Active().Version)
 			}
 		}
 	})
@@ -273,13 +273,13 @@
 func TestTrackerActivatesOnlyTheAcceptedBundle(t *testing.T) {
 	c := qt.New(t)
 	var tracker rollout.Tracker
-	_, err := tracker.Learn(head(1, "winner", ""))
+	_, err := tracker.Observe(head(1, "winner", ""))
 	c.Assert(err, qt.IsNil)
-	c.Assert(tracker.Adopt(head(1, "loser", "")), qt.IsFalse)
+	c.Assert(tracker.Activate(head(1, "loser", "")), qt.IsFalse)
 	c.Assert(tracker.Ready(), qt.IsFalse)
-	c.Assert(tracker.Adopt(head(1, "winner", "")), qt.IsTrue)
+	c.Assert(tracker.Activate(head(1, "winner", "")), qt.IsTrue)
 	c.Assert(tracker.Ready(), qt.IsTrue)
-	_, err = tracker.Learn(head(1, "loser", ""))
+	_, err = tracker.Observe(head(1, "loser", ""))
 	c.Assert(err, qt.ErrorIs, rollout.ErrFork)
 }
 
@@ -320,10 +320,10 @@
 	entries := names("entry", 460)
 	watchers := 0
 	for _, self := range entries {
-		if rollout.Watches(self, entries) {
+		if rollout.IsWatcher(self, entries) {
 			watchers++
 		}
 	}
 	c.Assert(watchers, qt.Equals, rollout.Watchers)
-	c.Assert(rollout.Watches("entry-new", nil), qt.IsTrue)
+	c.Assert(rollout.IsWatcher("entry-new", nil), qt.IsTrue)
 }
--- a/internal/coordination/rollout/tracker.go
+++ b/internal/coordination/rollout/tracker.go
@@ -20,10 +20,10 @@
 }
 
 // Latest returns the latest accepted head that was observed.
-func (t *Tracker) Known() state.Head { return t.latest }
+func (t *Tracker) Latest() state.Head { return t.latest }
 
 // Active returns the head whose bundle is active in this process.
-func (t *Tracker) InForce() state.Head { return t.active }
+func (t *Tracker) Active() state.Head { return t.active }
 
 // Observe takes an accepted head from the platform or a peer and reports
 // whether it is newer than the latest one.
@@ -31,7 +31,7 @@
 // An older head may arrive late, from a stale peer or a slow read, and would
 // make an earlier bundle active again. Versions only increase, so older heads
 // are ignored.
-func (t *Tracker) Learn(head state.Head) (newer bool, err error) {
+func (t *Tracker) Observe(head state.Head) (newer bool, err error) {
 	if head.Version < t.latest.Version || head.Version == 0 {
 		return false, nil
 	}
@@ -51,7 +51,7 @@
 // Fetching a bundle takes time, and the fetch of an older head may end after that
 // of a newer one. Therefore Activate accepts only a head that is newer than the
 // active one, and no head that has not been observed as accepted.
-func (t *Tracker) Adopt(head state.Head) bool {
+func (t *Tracker) Activate(head state.Head) bool {
 	if head.Version <= t.active.Version || head.Version > t.latest.Version {
 		return false
 	}
@@ -63,7 +63,7 @@
 }
 
 // Pending returns the latest head and reports whether its bundle is not active yet.
-func (t *Tracker) Missing() (state.Head, bool) {
+func (t *Tracker) Pending() (state.Head, bool) {
 	return t.latest, t.latest.Version > t.active.Version
 }
 
--- a/internal/coordination/rollout/tree.go
+++ b/internal/coordination/rollout/tree.go
@@ -40,7 +40,7 @@
 // IsWatcher reports whether self is one of the entries that poll the platform,
 // given the entries that are considered live. An entry that is missing from the
 // list counts itself in, so there is always a watcher.
-func Watches(self filbertlever.HostID, entries []filbertlever.HostID) bool {
+func IsWatcher(self filbertlever.HostID, entries []filbertlever.HostID) bool {
 	if !slices.Contains(entries, self) {
 		entries = append(slices.Clone(entries), self)
 	}
--- a/internal/coordination/routing/policies.go
+++ b/internal/coordination/routing/policies.go
@@ -30,7 +30,7 @@
 func (r *Router) chooseByPolicy(pick pickFunc, p *pool, request *Request) Choice {
 	eligible := slices.DeleteFunc(slices.Clone(p.hosts), func(i int32) bool { return !r.eligible(i, request.Avoid) })
 	if len(eligible) == 0 {
-		return Choice{Reason: ReasonNone}
+		return Choice{Reason: ReasonNoHost}
 	}
 	i := pick(r, eligible)
 	r.recordSent(i, 0)
--- a/internal/coordination/routing/predict.go
+++ b/internal/coordination/routing/predict.go
@@ -15,12 +15,12 @@
 	if owner || r.prefixCached(i, request.Prefix) {
 		prefill *= 1 - r.config.PrefixShare
 	}
-	predicted := time.Duration(prefill * float64(r.config.PrefillToken))
+	predicted := time.Duration(prefill * float64(r.config.PrefillPerToken))
 	switch {
 	case h.region != r.region:
-		predicted += r.config.OtherRegion
+		predicted += r.config.OtherRegionCost
 	case h.site != r.site:
-		predicted += r.config.OtherSite
+		predicted += r.config.OtherSiteCost
 	}
 	if request.Now > 0 {
 		// An engine prefills prompts one at a time and generates no tokens meanwhile.
@@ -36,9 +36,9 @@
 	concurrency := max(h.load.Concurrency, 1)
 	busy := h.load.Running + h.load.Queued + h.inFlight
 	position := h.queuePosition()
-	serviceTime := r.config.Service
-	if h.load.Queued > 0 && h.load.Wait > 0 {
-		serviceTime = h.load.Wait * time.Duration(concurrency) / time.Duration(h.load.Queued+1)
+	serviceTime := r.config.ServiceTime
+	if h.load.Queued > 0 && h.load.PredictedWait > 0 {
+		serviceTime = h.load.PredictedWait * time.Duration(concurrency) / time.Duration(h.load.Queued+1)
 	}
 	slotInterval := serviceTime / time.Duration(concurrency)
 	if position <= 0 {
@@ -51,7 +51,7 @@
 // willInterrupt reports whether host i is predicted to interrupt the answer before its end.
 func (r *Router) willInterrupt(i int32, request *Request, predicted time.Duration) bool {
 	interruptAt := r.hosts[i].interruptAt
-	return interruptAt > request.Now && request.Lasts > 0 && request.Now+predicted+request.Lasts > interruptAt
+	return interruptAt > request.Now && request.AnswerDuration > 0 && request.Now+predicted+request.AnswerDuration > interruptAt
 }
 
 // lastAttemptCostFactor multiplies the cost of an interruption on the last attempt: the answer is
@@ -63,10 +63,10 @@
 	switch {
 	case !willInterrupt:
 		return 0
-	case request.Final:
-		return lastAttemptCostFactor * r.config.Cut
+	case request.LastAttempt:
+		return lastAttemptCostFactor * r.config.InterruptCost
 	}
-	return r.config.Cut
+	return r.config.InterruptCost
 }
 
 // queuePosition returns how many requests above its concurrency the host would
@@ -109,7 +109,7 @@
 // addPrefill adds a request's prompt to the prefill backlog of a host.
 func (r *Router) addPrefill(i int32, request *Request) {
 	h := &r.hosts[i]
-	h.prefillUntil = max(h.prefillUntil, request.Now) + time.Duration(request.PromptTokens)*r.config.PrefillToken
+	h.prefillUntil = max(h.prefillUntil, request.Now) + time.Duration(request.PromptTokens)*r.config.PrefillPerToken
 }
 
 // batchDivisor is how many times smaller the delay in a full batch is than the delay by one queue
--- a/internal/coordination/routing/reports.go
+++ b/internal/coordination/routing/reports.go
@@ -29,7 +29,7 @@
 }
 
 // ResetHost drops the counts and observations of a host, for use when a new process runs there.
-func (r *Router) Forget(id filbertlever.HostID) {
+func (r *Router) ResetHost(id filbertlever.HostID) {
 	i, ok := r.index[id]
 	if !ok {
 		return
--- a/internal/coordination/routing/routing.go
+++ b/internal/coordination/routing/routing.go
@@ -17,18 +17,18 @@
 	Policy Policy
 	// ServiceTime is how long a request occupies a slot. It applies until load
 	// reports give an estimate.
-	Service time.Duration
+	ServiceTime time.Duration
 	// FirstToken is the time to first token of an idle host for an empty prompt.
 	FirstToken time.Duration
 	// PrefillPerToken is the time to prefill one prompt token.
-	PrefillToken time.Duration
+	PrefillPerToken time.Duration
 	// TypicalPrefill is the time to prefill a prompt of typical length. It is
 	// assumed for each request of other routers.
-	UsualPrompt time.Duration
+	TypicalPrefill time.Duration
 	// OtherSiteCost and OtherRegionCost are added for hosts at another site or in
 	// another region.
-	OtherSite   time.Duration
-	OtherRegion time.Duration
+	OtherSiteCost   time.Duration
+	OtherRegionCost time.Duration
 	// Samples is how many hosts are sampled at random for each request, besides
 	// the two owners of the prompt's prefix.
 	Samples int
@@ -36,20 +36,20 @@
 	PrefixShare float64
 	// InterruptCost is added for hosts that are predicted to interrupt the answer.
 	// It then resumes on another host, where its prompt is prefilled again.
-	Cut time.Duration
+	InterruptCost time.Duration
 	// SuspectCost is added for hosts that may have failed.
-	Doubtful time.Duration
+	SuspectCost time.Duration
 }
 
 // DefaultConfig returns the costs used in production.
 func DefaultConfig() Config {
 	return Config{
-		Service:      time.Second,
-		PrefillToken: 100 * time.Microsecond,
-		OtherSite:    time.Millisecond,
-		OtherRegion:  2 * time.Millisecond,
-		Samples:      3,
-		PrefixShare:  0.8,
+		ServiceTime:     time.Second,
+		PrefillPerToken: 100 * time.Microsecond,
+		OtherSiteCost:   time.Millisecond,
+		OtherRegionCost: 2 * time.Millisecond,
+		Samples:         3,
+		PrefixShare:     0.8,
 	}
 }
 
@@ -62,12 +62,12 @@
 	// Concurrency is how many requests the server runs at once.
 	Concurrency int
 	// PredictedWait is the queueing time that the agent predicts for a new request.
-	Wait time.Duration
+	PredictedWait time.Duration
 	// Incarnation identifies the process of the agent that made the report.
 	Incarnation filbertlever.Incarnation
 	// Received is how many requests of this router the agent had received when it
 	// made the report, so that those in transit can be added.
-	Seen uint64
+	Received uint64
 }
 
 // Target identifies a set of weights that hosts have loaded.
@@ -84,9 +84,9 @@
 	// Avoid lists the hosts where the request has already failed.
 	Avoid []filbertlever.HostID
 	// AnswerDuration is how long the answer is predicted to take, 0 if unknown.
-	Lasts time.Duration
+	AnswerDuration time.Duration
 	// LastAttempt is true if the answer cannot resume on another host again.
-	Final bool
+	LastAttempt bool
 	// Now is the time on any monotonic clock. If it is 0, prefill backlogs and the
 	// bias of slow hosts are ignored.
 	Now time.Duration
@@ -109,16 +109,16 @@
 	// Predicted is the predicted time to first token.
 	Predicted time.Duration
 	// PrefillWait is the host's prefill backlog of earlier prompts.
-	Reading time.Duration
+	PrefillWait time.Duration
 	// WillInterrupt is true if the host is predicted to interrupt the answer.
-	Cut bool
+	WillInterrupt bool
 	// QueuePosition is how many requests the host has above its concurrency, this
 	// one included. It is negative if slots are free.
-	Ahead  int
-	Reason Reason
+	QueuePosition int
+	Reason        Reason
 	// CandidateCount is how many of Candidates are set.
-	Weighed    int
-	Candidates [maxCandidates]Candidate
+	CandidateCount int
+	Candidates     [maxCandidates]Candidate
 }
 
 // Reason says why a host was chosen.
@@ -128,7 +128,7 @@
 const (
 	ReasonLeastPredicted Reason = "LeastPredicted"
 	ReasonPrefixCached   Reason = "PrefixCached"
-	ReasonNone           Reason = "NoHost"
+	ReasonNoHost         Reason = "NoHost"
 )
 
 // host is the router's state of one backend server.
@@ -219,7 +219,7 @@
 }
 
 // SetTargets sets the targets that a host serves.
-func (r *Router) SetLoaded(id filbertlever.HostID, targets []Target) {
+func (r *Router) SetTargets(id filbertlever.HostID, targets []Target) {
 	i, ok := r.index[id]
 	if !ok || slices.Equal(r.hosts[i].targets, targets) {
 		return
@@ -251,37 +251,37 @@
 		return
 	}
 	if load.Incarnation != h.load.Incarnation && h.load.Incarnation != "" {
-		h.dispatched = load.Seen
+		h.dispatched = load.Received
 	}
 	h.load = load
-	h.inFlight = int(h.dispatched - min(load.Seen, h.dispatched))
+	h.inFlight = int(h.dispatched - min(load.Received, h.dispatched))
 }
 
 // SetOtherRequests sets how many requests of other routers a host has. It replaces
 // reports if all routers exchange their counts. Each additional request adds a
 // typical prompt to the host's prefill backlog.
-func (r *Router) SetOthers(id filbertlever.HostID, count, concurrency int, now time.Duration) {
+func (r *Router) SetOtherRequests(id filbertlever.HostID, count, concurrency int, now time.Duration) {
 	i, ok := r.index[id]
 	if !ok {
 		return
 	}
 	h := &r.hosts[i]
 	if added := count - h.load.Running; added > 0 && now > 0 {
-		h.prefillUntil = max(h.prefillUntil, now) + time.Duration(added)*r.config.UsualPrompt
+		h.prefillUntil = max(h.prefillUntil, now) + time.Duration(added)*r.config.TypicalPrefill
 	}
 	h.load = Load{Running: count, Concurrency: concurrency}
 }
 
 // SetInterruptAt sets when a host interrupts its answers, for instance to change
 // its weights, 0 if it does not.
-func (r *Router) SetLeaves(id filbertlever.HostID, at time.Duration) {
+func (r *Router) SetInterruptAt(id filbertlever.HostID, at time.Duration) {
 	if i, ok := r.index[id]; ok {
 		r.hosts[i].interruptAt = at
 	}
 }
 
 // SetSuspect sets whether a host may have failed.
-func (r *Router) SetDoubtful(id filbertlever.HostID, suspect bool) {
+func (r *Router) SetSuspect(id filbertlever.HostID, suspect bool) {
 	if i, ok := r.index[id]; ok {
 		r.hosts[i].suspect = suspect
 	}
@@ -289,7 +289,7 @@
 
 // Release records that a request sent to a host ended without a load report, for
 // instance because the host failed.
-func (r *Router) Ended(id filbertlever.HostID) {
+func (r *Router) Release(id filbertlever.HostID) {
 	i, ok := r.index[id]
 	if !ok {
 		return
@@ -312,7 +312,7 @@
 	var choice Choice
 	p, ok := r.pools[request.Target]
 	if !ok || len(p.hosts) == 0 {
-		choice.Reason = ReasonNone
+		choice.Reason = ReasonNoHost
 		return choice
 	}
 	if pick, ok := pickFuncs[r.config.Policy]; ok {
@@ -322,24 +322,24 @@
 	best, owner := int32(-1), int32(-1)
 	bestCost := time.Duration(0)
 	consider := func(i int32) {
-		if choice.Weighed == maxCandidates || !r.eligible(i, request.Avoid) {
+		if choice.CandidateCount == maxCandidates || !r.eligible(i, request.Avoid) {
 			return
 		}
-		if slices.Contains(considered[:choice.Weighed], i) {
+		if slices.Contains(considered[:choice.CandidateCount], i) {
 			return
 		}
 		predicted := r.predict(i, request, i == owner)
-		considered[choice.Weighed] = i
-		choice.Candidates[choice.Weighed] = Candidate{Host: r.hosts[i].id, Predicted: predicted}
-		choice.Weighed++
+		considered[choice.CandidateCount] = i
+		choice.Candidates[choice.CandidateCount] = Candidate{Host: r.hosts[i].id, Predicted: predicted}
+		choice.CandidateCount++
 		interrupt := r.willInterrupt(i, request, predicted)
 		cost := predicted + r.interruptCost(interrupt, request)
 		if r.hosts[i].suspect {
-			cost += r.config.Doubtful
+			cost += r.config.SuspectCost
 		}
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
-			choice.Predicted, choice.Cut = predicted, interrupt
+			choice.Predicted, choice.WillInterrupt = predicted, interrupt
 		}
 	}
 	if request.Prefix != 0 {
@@ -348,8 +348,8 @@
 		consider(first)
 		consider(second)
 	}
-	r.sample(p, consider, &choice.Weighed)
-	if choice.Weighed == 0 {
+	r.sample(p, consider, &choice.CandidateCount)
+	if choice.CandidateCount == 0 {
 		// No sampled host was eligible, for instance after the failure of a site, so all hosts are
 		// considered.
 		for _, i := range p.hosts {
@@ -357,7 +357,7 @@
 		}
 	}
 	if best < 0 {
-		choice.Reason = ReasonNone
+		choice.Reason = ReasonNoHost
 		return choice
 	}
 	choice.Reason = ReasonLeastPredicted
@@ -365,8 +365,8 @@
 		choice.Reason = ReasonPrefixCached
 	}
 	choice.Host = r.hosts[best].id
-	choice.Ahead = r.hosts[best].queuePosition()
-	choice.Reading = max(r.hosts[best].prefillUntil-request.Now, 0)
+	choice.QueuePosition = r.hosts[best].queuePosition()
+	choice.PrefillWait = max(r.hosts[best].prefillUntil-request.Now, 0)
 	r.recordSent(best, request.Prefix)
 	r.addPrefill(best, request)
 	return choice
--- a/internal/coordination/routing/routing_test.go
+++ b/internal/coordination/routing/routing_test.go
@@ -19,7 +19,7 @@
 	for i := range hosts {
 		h := filbertlever.Host{ID: id(i), Site: "bilbao", Region: "basque-country"}
 		r.SetHost(h, true)
-		r.SetLoaded(h.ID, []routing.Target{drafter})
+		r.SetTargets(h.ID, []routing.Target{drafter})
 		r.Report(h.ID, routing.Load{Sequence: 1, Concurrency: 8, Incarnation: "life"})
 	}
 	return r
@@ -32,7 +32,7 @@
 	c := qt.New(t)
 	r := newRouter(1, 3)
 	for i := range 2 {
-		r.Report(id(i), routing.Load{Sequence: 2, Running: 8, Queued: 20, Concurrency: 8, Wait: 5 * time.Second, Incarnation: "life"})
+		r.Report(id(i), routing.Load{Sequence: 2, Running: 8, Queued: 20, Concurrency: 8, PredictedWait: 5 * time.Second, Incarnation: "life"})
 	}
 	for range 5 {
 		c.Assert(r.Choose(&routing.Request{Target: drafter, PromptTokens: 100}).Host, qt.Equals, id(2))
@@ -43,12 +43,12 @@
 func TestChoosesOnlyHostsServingTheTarget(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(1, 3)
-	r.SetLoaded(id(0), nil)
-	r.SetLoaded(id(1), []routing.Target{"other"})
+	r.SetTargets(id(0), nil)
+	r.SetTargets(id(1), []routing.Target{"other"})
 	for range 10 {
 		c.Assert(r.Choose(&routing.Request{Target: drafter}).Host, qt.Equals, id(2))
 	}
-	c.Assert(r.Choose(&routing.Request{Target: "missing"}).Reason, qt.Equals, routing.ReasonNone)
+	c.Assert(r.Choose(&routing.Request{Target: "missing"}).Reason, qt.Equals, routing.ReasonNoHost)
 }
 
 // Requests go to a host that is unusable, or again to a host where they failed.
@@ -115,9 +115,9 @@
 	for range 40 {
 		r.Choose(&routing.Request{Target: drafter})
 	}
-	r.Report(id(0), routing.Load{Sequence: 2, Running: 8, Queued: 2, Concurrency: 8, Incarnation: "life", Seen: 10})
+	r.Report(id(0), routing.Load{Sequence: 2, Running: 8, Queued: 2, Concurrency: 8, Incarnation: "life", Received: 10})
 	r.SetHost(filbertlever.Host{ID: "model-9", Site: "bilbao", Region: "basque-country"}, true)
-	r.SetLoaded("model-9", []routing.Target{drafter})
+	r.SetTargets("model-9", []routing.Target{drafter})
 	r.Report("model-9", routing.Load{Sequence: 1, Running: 8, Queued: 20, Concurrency: 8, Incarnation: "life"})
 	c.Assert(r.Choose(&routing.Request{Target: drafter}).Host, qt.Equals, filbertlever.HostID("model-9"))
 }
@@ -189,7 +189,7 @@
 func TestLongAnswersAvoidHostsDueForInterruption(t *testing.T) {
 	c := qt.New(t)
 	config := routing.DefaultConfig()
-	config.Cut = 150 * time.Millisecond
+	config.InterruptCost = 150 * time.Millisecond
 	const interrupted, available filbertlever.HostID = "leaving", "staying"
 	tests := []struct {
 		name           string
@@ -209,14 +209,14 @@
 		r := routing.New(config, "a", "ra", rand.New(rand.NewPCG(1, 2)))
 		for _, id := range []filbertlever.HostID{interrupted, available} {
 			r.SetHost(filbertlever.Host{ID: id, Site: "a", Region: "ra"}, true)
-			r.SetLoaded(id, []routing.Target{"m"})
-			r.SetOthers(id, 0, 16, 0)
+			r.SetTargets(id, []routing.Target{"m"})
+			r.SetOtherRequests(id, 0, 16, 0)
 		}
-		r.SetOthers(available, test.waiting, 16, 0)
-		r.SetLeaves(interrupted, 11*time.Second)
-		choice := r.Choose(&routing.Request{Target: "m", Now: 10 * time.Second, Lasts: test.answerDuration, Final: test.lastAttempt})
+		r.SetOtherRequests(available, test.waiting, 16, 0)
+		r.SetInterruptAt(interrupted, 11*time.Second)
+		choice := r.Choose(&routing.Request{Target: "m", Now: 10 * time.Second, AnswerDuration: test.answerDuration, LastAttempt: test.lastAttempt})
 		c.Check(choice.Host, qt.Equals, test.want, qt.Commentf(test.name))
-		c.Check(choice.Cut, qt.Equals, test.willInterrupt, qt.Commentf(test.name))
+		c.Check(choice.WillInterrupt, qt.Equals, test.willInterrupt, qt.Commentf(test.name))
 	}
 }
 
@@ -226,24 +226,24 @@
 func TestPrefillOfOtherRoutersIsCounted(t *testing.T) {
 	c := qt.New(t)
 	config := routing.DefaultConfig()
-	config.UsualPrompt = 30 * time.Millisecond
+	config.TypicalPrefill = 30 * time.Millisecond
 	r := routing.New(config, "a", "ra", rand.New(rand.NewPCG(1, 2)))
 	for _, id := range []filbertlever.HostID{"busy", "free"} {
 		r.SetHost(filbertlever.Host{ID: id, Site: "a", Region: "ra"}, true)
-		r.SetLoaded(id, []routing.Target{"m"})
+		r.SetTargets(id, []routing.Target{"m"})
 	}
 	now := 10 * time.Second
-	r.SetOthers("busy", 8, 16, now)
-	r.SetOthers("free", 8, 16, 0)
+	r.SetOtherRequests("busy", 8, 16, now)
+	r.SetOtherRequests("free", 8, 16, 0)
 	choice := r.Choose(&routing.Request{Target: "m", PromptTokens: 900, Now: now})
 	c.Assert(choice.Host, qt.Equals, filbertlever.HostID("free"))
-	c.Assert(choice.Reading, qt.Equals, time.Duration(0))
+	c.Assert(choice.PrefillWait, qt.Equals, time.Duration(0))
 	choice = r.Choose(&routing.Request{Target: "m", PromptTokens: 900, Now: now, Avoid: []filbertlever.HostID{"free"}})
-	c.Assert(choice.Reading, qt.Equals, 240*time.Millisecond)
+	c.Assert(choice.PrefillWait, qt.Equals, 240*time.Millisecond)
 	// Fewer requests of other routers add nothing to the prefill backlog.
-	r.SetOthers("busy", 2, 16, now+time.Second)
+	r.SetOtherRequests("busy", 2, 16, now+time.Second)
 	choice = r.Choose(&routing.Request{Target: "m", PromptTokens: 900, Now: now + time.Second, Avoid: []filbertlever.HostID{"free"}})
-	c.Assert(choice.Reading, qt.Equals, time.Duration(0))
+	c.Assert(choice.PrefillWait, qt.Equals, time.Duration(0))
 }
 
 // A prompt is sent to a host that cached its prefix, but a new process runs there now. The caches,
@@ -255,7 +255,7 @@
 	owners := r.Choose(request).Candidates
 	request.Avoid = []filbertlever.HostID{owners[0].Host, owners[1].Host}
 	first := r.Choose(request)
-	r.SetLeaves(first.Host, time.Minute)
+	r.SetInterruptAt(first.Host, time.Minute)
 	r.Observe(first.Host, 0, time.Second, time.Second)
 	other := owners[0].Host
 	for i := range 4 {
@@ -264,14 +264,14 @@
 			other = id(i)
 		}
 	}
-	r.Forget(other)
+	r.ResetHost(other)
 	c.Assert(r.Choose(request).Predicted > first.Predicted, qt.IsTrue)
-	r.Forget(first.Host)
-	request.Lasts = time.Hour
+	r.ResetHost(first.Host)
+	request.AnswerDuration = time.Hour
 	again := r.Choose(request)
 	c.Assert(again.Host, qt.Equals, first.Host, qt.Commentf("targets are set separately"))
 	c.Assert(again.Predicted, qt.Equals, first.Predicted)
-	c.Assert(again.Cut, qt.IsFalse)
-	c.Assert(again.Reading, qt.Equals, time.Duration(0))
+	c.Assert(again.WillInterrupt, qt.IsFalse)
+	c.Assert(again.PrefillWait, qt.Equals, time.Duration(0))
 	c.Assert(again.Reason, qt.Equals, routing.ReasonLeastPredicted)
 }
--- a/internal/coordination/stream/events.go
+++ b/internal/coordination/stream/events.go
@@ -11,14 +11,14 @@
 
 // ResumeAfter sets the number of the last event that the caller has received. A
 // negative number means none.
-func (e *Events) From(last int64) {
+func (e *Events) ResumeAfter(last int64) {
 	e.last, e.started = last, last >= 0
 }
 
 // Check returns what to do with the event of a number. A server that resumes a
 // stream may begin too early, which would duplicate events, or too late, which
 // would leave an undetected gap.
-func (e *Events) Next(number int64) Verdict {
+func (e *Events) Check(number int64) Verdict {
 	switch {
 	case e.started && number <= e.last:
 		return VerdictDrop
--- a/internal/coordination/stream/events_test.go
+++ b/internal/coordination/stream/events_test.go
@@ -11,21 +11,21 @@
 func TestEventsAreDeliveredOnceAndInOrder(t *testing.T) {
 	c := qt.New(t)
 	var e Events
-	e.From(-1)
-	c.Assert(e.Next(4), qt.Equals, VerdictDeliver)
-	c.Assert(e.Next(5), qt.Equals, VerdictDeliver)
-	c.Assert(e.Next(4), qt.Equals, VerdictDrop)
-	c.Assert(e.Next(5), qt.Equals, VerdictDrop)
-	c.Assert(e.Next(7), qt.Equals, VerdictBroken)
-	c.Assert(e.Next(6), qt.Equals, VerdictDeliver)
+	e.ResumeAfter(-1)
+	c.Assert(e.Check(4), qt.Equals, VerdictDeliver)
+	c.Assert(e.Check(5), qt.Equals, VerdictDeliver)
+	c.Assert(e.Check(4), qt.Equals, VerdictDrop)
+	c.Assert(e.Check(5), qt.Equals, VerdictDrop)
+	c.Assert(e.Check(7), qt.Equals, VerdictBroken)
+	c.Assert(e.Check(6), qt.Equals, VerdictDeliver)
 }
 
 // The same if the caller itself resumes the answer, after event 12.
 func TestEventsResumeAfterCallersLastEvent(t *testing.T) {
 	c := qt.New(t)
 	var e Events
-	e.From(12)
-	c.Assert(e.Next(12), qt.Equals, VerdictDrop)
-	c.Assert(e.Next(14), qt.Equals, VerdictBroken)
-	c.Assert(e.Next(13), qt.Equals, VerdictDeliver)
+	e.ResumeAfter(12)
+	c.Assert(e.Check(12), qt.Equals, VerdictDrop)
+	c.Assert(e.Check(14), qt.Equals, VerdictBroken)
+	c.Assert(e.Check(13), qt.Equals, VerdictDeliver)
 }
--- a/internal/coordination/stream/stream.go
+++ b/internal/coordination/stream/stream.go
@@ -51,7 +51,7 @@
 
 // BeginAttempt starts the next attempt and returns its number. From then on,
 // frames of earlier attempts are dropped.
-func (a *Assembler) Begin() uint32 {
+func (a *Assembler) BeginAttempt() uint32 {
 	a.attempt++
 	return a.attempt
 }
@@ -74,7 +74,7 @@
 //     attempt.
 //   - An engine that switched versions would mix two answers, so the attested
 //     digest must be the one that the answer began with.
-func (a *Assembler) Frame(frame Frame) ([]string, Verdict) {
+func (a *Assembler) Accept(frame Frame) ([]string, Verdict) {
 	if frame.Attempt != a.attempt || a.done {
 		return nil, VerdictDrop
 	}
--- a/internal/coordination/stream/stream_test.go
+++ b/internal/coordination/stream/stream_test.go
@@ -27,13 +27,13 @@
 func TestFrameOfEarlierAttemptIsDropped(t *testing.T) {
 	c := qt.New(t)
 	a := stream.New(version, nil)
-	first := a.Begin()
-	a.Frame(stream.Frame{Attempt: first, Pieces: []string{"a"}, Version: version})
-	second := a.Begin()
-	pieces, verdict := a.Frame(stream.Frame{Attempt: first, Offset: 1, Pieces: []string{"b"}, Version: version})
+	first := a.BeginAttempt()
+	a.Accept(stream.Frame{Attempt: first, Pieces: []string{"a"}, Version: version})
+	second := a.BeginAttempt()
+	pieces, verdict := a.Accept(stream.Frame{Attempt: first, Offset: 1, Pieces: []string{"b"}, Version: version})
 	c.Assert(verdict, qt.Equals, stream.VerdictDrop)
 	c.Assert(pieces, qt.HasLen, 0)
-	pieces, verdict = a.Frame(stream.Frame{Attempt: second, Offset: 0, Pieces: []string{"a", "b"}, Version: version, Done: true})
+	pieces, verdict = a.Accept(stream.Frame{Attempt: second, Offset: 0, Pieces: []string{"a", "b"}, Version: version, Done: true})
 	c.Assert(verdict, qt.Equals, stream.VerdictDone)
 	c.Assert(pieces, qt.DeepEquals, []string{"b"})
 }
@@ -42,8 +42,8 @@
 func TestGapEndsTheAttempt(t *testing.T) {
 	c := qt.New(t)
 	a := stream.New(version, nil)
-	attempt := a.Begin()
-	_, verdict := a.Frame(stream.Frame{Attempt: attempt, Offset: 1, Pieces: []string{"b"}, Version: version})
+	attempt := a.BeginAttempt()
+	_, verdict := a.Accept(stream.Frame{Attempt: attempt, Offset: 1, Pieces: []string{"b"}, Version: version})
 	c.Assert(verdict, qt.Equals, stream.VerdictBroken)
 	c.Assert(a.Delivered(), qt.HasLen, 0)
 }
@@ -53,8 +53,8 @@
 func TestOtherWeightsEndTheAttempt(t *testing.T) {
 	c := qt.New(t)
 	a := stream.New(version, []string{"a"})
-	attempt := a.Begin()
-	_, verdict := a.Frame(stream.Frame{Attempt: attempt, Offset: 1, Pieces: []string{"b"}, Version: "sha256:other"})
+	attempt := a.BeginAttempt()
+	_, verdict := a.Accept(stream.Frame{Attempt: attempt, Offset: 1, Pieces: []string{"b"}, Version: "sha256:other"})
 	c.Assert(verdict, qt.Equals, stream.VerdictBroken)
 	c.Assert(a.Delivered(), qt.DeepEquals, []string{"a"})
 }
@@ -67,10 +67,10 @@
 		a := stream.New(version, nil)
 		var delivered []string
 		var sent []stream.Frame
-		attempt := a.Begin()
+		attempt := a.BeginAttempt()
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			if rapid.IntRange(0, 9).Draw(t, "again") == 0 {
-				attempt = a.Begin()
+				attempt = a.BeginAttempt()
 			}
 			from := rapid.IntRange(0, len(complete)).Draw(t, "from")
 			to := rapid.IntRange(from, min(from+3, len(complete))).Draw(t, "to")
@@ -81,7 +81,7 @@
 			}
 			sent = append(sent, frame)
 			frame = sent[rapid.IntRange(0, len(sent)-1).Draw(t, "frame")]
-			pieces, _ := a.Frame(frame)
+			pieces, _ := a.Accept(frame)
 			delivered = append(delivered, pieces...)
 			if !slices.Equal(delivered, complete[:len(delivered)]) {
 				t.Fatalf("caller received %v", delivered)
--- a/internal/coordination/switchover/piecetime.go
+++ b/internal/coordination/switchover/piecetime.go
@@ -24,29 +24,29 @@
 //
 // The rates of sources differ several times over. With a constant estimate, the
 // fetch of a nearly complete version would be abandoned.
-type Pace struct {
+type PieceTimeEstimator struct {
 	// Initial is the estimate until pieces have arrived, or 0 for
 	// defaultPieceTime.
-	First       time.Duration
+	Initial     time.Duration
 	lastPieceAt time.Duration
 	estimate    time.Duration
 }
 
 // ObservePiece records the arrival of a piece.
-func (e *Pace) Came(now time.Duration) {
+func (e *PieceTimeEstimator) ObservePiece(now time.Duration) {
 	interval := now - e.lastPieceAt
 	hasPrevious := e.lastPieceAt != 0
 	e.lastPieceAt = now
 	if !hasPrevious || interval > minOutagePause {
 		return
 	}
-	e.estimate = e.Each()
+	e.estimate = e.Estimate()
 	e.estimate += time.Duration(newestSampleWeight * float64(interval-e.estimate))
 }
 
 // PieceTimeAtRate returns the time to fetch a piece over a link with the given
 // rate in bytes per second, or 0 if the rate is unknown.
-func PieceTime(pieceBytes int, rate float64) time.Duration {
+func PieceTimeAtRate(pieceBytes int, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
@@ -54,6 +54,6 @@
 }
 
 // Estimate returns the estimated time to fetch one piece.
-func (e *Pace) Each() time.Duration {
-	return cmp.Or(e.estimate, e.First, defaultPieceTime)
+func (e *PieceTimeEstimator) Estimate() time.Duration {
+	return cmp.Or(e.estimate, e.Initial, defaultPieceTime)
 }
--- a/internal/coordination/switchover/switchover.go
+++ b/internal/coordination/switchover/switchover.go
@@ -17,7 +17,7 @@
 	PreparationTime time.Duration
 	// DrainDuration is how long before its change a server receives no new
 	// requests, so that fewer responses have to be resumed on another server.
-	Quiet time.Duration
+	DrainDuration time.Duration
 	// LoadTime is the time that one server takes to change.
 	LoadTime time.Duration
 	// Margin is reserved for delays before the deadline.
@@ -27,12 +27,12 @@
 	MaxQueueDelay time.Duration
 	// MaxPass is the duration of an engine's longest pass. The engine processes
 	// cancellations only between two passes.
-	Pass time.Duration
+	MaxPass time.Duration
 }
 
 // WithMaxPass returns a copy of c for engines with the given longest pass.
-func (c Config) WithPass(pass time.Duration) Config {
-	c.Pass = pass
+func (c Config) WithMaxPass(pass time.Duration) Config {
+	c.MaxPass = pass
 	return c
 }
 
@@ -53,23 +53,23 @@
 func DefaultConfig(maxStaleness time.Duration) Config {
 	const fetch, drain = 2700 * time.Millisecond, 500 * time.Millisecond
 	preparation := max(fetch+stagingTime+drain, time.Duration(minPreparationShare*float64(maxStaleness)))
-	return Config{MaxStaleness: maxStaleness, PreparationTime: preparation, Quiet: drain, LoadTime: 400 * time.Millisecond, Margin: 200 * time.Millisecond, MaxQueueDelay: maxQueueDelay}
+	return Config{MaxStaleness: maxStaleness, PreparationTime: preparation, DrainDuration: drain, LoadTime: 400 * time.Millisecond, Margin: 200 * time.Millisecond, MaxQueueDelay: maxQueueDelay}
 }
 
 // TargetVersion is a version of the weights that operators want served.
-type Named struct {
+type TargetVersion struct {
 	Version uint64
 	// SetAt is when the target was set, on the clock of all other times.
-	Since time.Duration
+	SetAt time.Duration
 	// Complete is true if all pieces are on the host and verified, which they
 	// have been since CompleteAt.
-	Whole   bool
-	WholeAt time.Duration
+	Complete   bool
+	CompleteAt time.Duration
 	// MissingPieces is how many of the TotalPieces are missing. Both are valid
 	// only if SizeKnown is true.
-	Left   int
-	Pieces int
-	Known  bool
+	MissingPieces int
+	TotalPieces   int
+	SizeKnown     bool
 }
 
 // latestStart returns how long after a target is set a server may start its
@@ -91,8 +91,8 @@
 // to servers that hold it, if there are any, and state the version that must
 // answer. Requests sent to another server would wait in its queue until they
 // are cancelled.
-func (c Config) Strict() time.Duration {
-	return max(c.MaxStaleness-max(c.MaxQueueDelay, propagationDelay+c.Pass+closeDelay+startMargin+typicalStartDelay), 0)
+func (c Config) TargetOnlyAfter() time.Duration {
+	return max(c.MaxStaleness-max(c.MaxQueueDelay, propagationDelay+c.MaxPass+closeDelay+startMargin+typicalStartDelay), 0)
 }
 
 // typicalStartDelay is the maximum time that a request takes to start at a
@@ -120,13 +120,13 @@
 //
 // If the origin is unavailable when a target is set, no server holds the target
 // by its deadline. The older version serves requests until then.
-func (c Config) MayBegin(setAt, now, predicted time.Duration) bool {
-	return now+predicted+startMargin <= c.TakeBackAt(setAt)
+func (c Config) MayStartOnOlder(setAt, now, predicted time.Duration) bool {
+	return now+predicted+startMargin <= c.CancelAt(setAt)
 }
 
 // StartDeadline returns the time by which requests to a version older than the
 // target set at setAt must have started.
-func (c Config) BeginBy(setAt time.Duration) time.Duration {
+func (c Config) StartDeadline(setAt time.Duration) time.Duration {
 	return setAt + c.MaxStaleness - propagationDelay
 }
 
@@ -138,14 +138,14 @@
 // the end of the pass. Requests cancelled at the last moment started on old
 // weights 50 to 190 ms after the deadline. The delay of the close and a whole
 // pass must therefore end before the deadline.
-func (c Config) TakeBackAt(setAt time.Duration) time.Duration {
-	return c.BeginBy(setAt) - c.Pass - closeDelay
+func (c Config) CancelAt(setAt time.Duration) time.Duration {
+	return c.StartDeadline(setAt) - c.MaxPass - closeDelay
 }
 
 // OlderUsableUntil returns until when new requests may be sent to a version
 // older than the target set at setAt.
-func (c Config) AnswersUntil(setAt time.Duration) time.Duration {
-	return c.TakeBackAt(setAt) - startMargin
+func (c Config) OlderUsableUntil(setAt time.Duration) time.Duration {
+	return c.CancelAt(setAt) - startMargin
 }
 
 // NextChange returns the version that the server at an index among count
@@ -156,8 +156,8 @@
 // comes first. The server then changes to the newest complete target, so that
 // one change covers several targets. A server without weights serves no
 // requests and changes immediately.
-func (c Config) Next(held uint64, targets []Named, index, count int) (version uint64, start time.Duration, ok bool) {
-	var oldest *Named
+func (c Config) NextChange(held uint64, targets []TargetVersion, index, count int) (version uint64, start time.Duration, ok bool) {
+	var oldest *TargetVersion
 	completeAt := time.Duration(0)
 	for i := range targets {
 		t := &targets[i]
@@ -167,15 +167,15 @@
 		if oldest == nil {
 			oldest = t
 		}
-		if t.Whole {
+		if t.Complete {
 			if !ok {
-				completeAt = t.WholeAt
+				completeAt = t.CompleteAt
 			}
 			version, ok = t.Version, true
 		}
 	}
 	if held != 0 && oldest != nil {
-		start = c.startTime(oldest.Since, completeAt, index, count)
+		start = c.startTime(oldest.SetAt, completeAt, index, count)
 	}
 	return version, start, ok
 }
@@ -192,7 +192,7 @@
 	if completeAt == 0 {
 		return setAt + c.StartOffset(index, count)
 	}
-	first, last := completeAt+stagingTime+c.Quiet, setAt+c.latestStart()
+	first, last := completeAt+stagingTime+c.DrainDuration, setAt+c.latestStart()
 	if first >= last || count <= 1 {
 		return min(first, max(completeAt, last))
 	}
@@ -202,12 +202,12 @@
 // Idle reports whether a server receives no new requests, because it holds no
 // version or because a newer target is the only version that may serve by now.
 // Such a server needs no draining before its change.
-func (c Config) Idle(held uint64, targets []Named, now time.Duration) bool {
+func (c Config) Idle(held uint64, targets []TargetVersion, now time.Duration) bool {
 	if held == 0 {
 		return true
 	}
 	for _, t := range targets {
-		if t.Version > held && c.MaxStaleness > 0 && !c.MayBegin(t.Since, now, 0) {
+		if t.Version > held && c.MaxStaleness > 0 && !c.MayStartOnOlder(t.SetAt, now, 0) {
 			return true
 		}
 	}
@@ -229,7 +229,7 @@
 // queued requests are closed. When the transfer of weights filled its link
 // during that time, the closes waited for half a second behind sixteen pieces,
 // and cancelled requests started on old weights.
-func (c Config) Still(held uint64, targets []Named, now, emptyReportAt time.Duration) bool {
+func (c Config) IsDrained(held uint64, targets []TargetVersion, now, emptyReportAt time.Duration) bool {
 	if held == 0 {
 		return true
 	}
@@ -237,7 +237,7 @@
 		if t.Version <= held || c.MaxStaleness <= 0 {
 			continue
 		}
-		if now >= c.BeginBy(t.Since) || emptyReportAt >= c.AnswersUntil(t.Since)+maxReportDelay {
+		if now >= c.StartDeadline(t.SetAt) || emptyReportAt >= c.OlderUsableUntil(t.SetAt)+maxReportDelay {
 			return true
 		}
 	}
--- a/internal/coordination/switchover/switchover_test.go
+++ b/internal/coordination/switchover/switchover_test.go
@@ -20,7 +20,7 @@
 		offset := config.StartOffset(index, count)
 		c.Assert(offset >= config.PreparationTime, qt.IsTrue)
 		c.Assert(offset+config.LoadTime+config.Margin <= maxStaleness, qt.IsTrue)
-		if offset < config.PreparationTime+config.LoadTime+config.Quiet {
+		if offset < config.PreparationTime+config.LoadTime+config.DrainDuration {
 			unavailable++
 		}
 	}
@@ -32,8 +32,8 @@
 func TestLaterTargetDoesNotDelayEarlierOne(t *testing.T) {
 	c := qt.New(t)
 	config := DefaultConfig(maxStaleness)
-	targets := []Named{{Version: 2, Since: 0, Whole: true}, {Version: 3, Since: 3 * time.Second}}
-	version, start, ok := config.Next(1, targets, 26, 27)
+	targets := []TargetVersion{{Version: 2, SetAt: 0, Complete: true}, {Version: 3, SetAt: 3 * time.Second}}
+	version, start, ok := config.NextChange(1, targets, 26, 27)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(2))
 	c.Assert(start, qt.Equals, config.StartOffset(26, 27))
@@ -44,11 +44,11 @@
 func TestOneChangeCoversTwoTargets(t *testing.T) {
 	c := qt.New(t)
 	config := DefaultConfig(maxStaleness)
-	targets := []Named{{Version: 2, Since: 0, Whole: true}, {Version: 3, Since: time.Second, Whole: true}}
-	version, start, _ := config.Next(1, targets, 26, 27)
+	targets := []TargetVersion{{Version: 2, SetAt: 0, Complete: true}, {Version: 3, SetAt: time.Second, Complete: true}}
+	version, start, _ := config.NextChange(1, targets, 26, 27)
 	c.Assert(version, qt.Equals, uint64(3))
 	c.Assert(start, qt.Equals, config.StartOffset(26, 27))
-	_, _, ok := config.Next(3, targets, 26, 27)
+	_, _, ok := config.NextChange(3, targets, 26, 27)
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -56,7 +56,7 @@
 // it must not wait for its start time.
 func TestEmptyServerChangesAtOnce(t *testing.T) {
 	c := qt.New(t)
-	version, start, ok := DefaultConfig(maxStaleness).Next(0, []Named{{Version: 2, Since: time.Minute, Whole: true}}, 20, 27)
+	version, start, ok := DefaultConfig(maxStaleness).NextChange(0, []TargetVersion{{Version: 2, SetAt: time.Minute, Complete: true}}, 20, 27)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(2))
 	c.Assert(start, qt.Equals, time.Duration(0))
@@ -67,8 +67,8 @@
 func TestSupersededTargetIsNotFetched(t *testing.T) {
 	c := qt.New(t)
 	config := DefaultConfig(maxStaleness)
-	targets := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 500 * time.Millisecond}}
-	version, ok := config.Fetches(1, targets, 500*time.Millisecond, defaultPieceTime)
+	targets := []TargetVersion{{Version: 2, SetAt: 0}, {Version: 3, SetAt: 500 * time.Millisecond}}
+	version, ok := config.NextFetch(1, targets, 500*time.Millisecond, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(3))
 }
@@ -78,12 +78,12 @@
 func TestTargetNearItsDeadlineIsFetchedFirst(t *testing.T) {
 	c := qt.New(t)
 	config := DefaultConfig(maxStaleness)
-	targets := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 3 * time.Second}}
-	version, ok := config.Fetches(1, targets, 3*time.Second, defaultPieceTime)
+	targets := []TargetVersion{{Version: 2, SetAt: 0}, {Version: 3, SetAt: 3 * time.Second}}
+	version, ok := config.NextFetch(1, targets, 3*time.Second, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(2))
-	targets[0].Whole = true
-	version, ok = config.Fetches(1, targets, 3*time.Second, defaultPieceTime)
+	targets[0].Complete = true
+	version, ok = config.NextFetch(1, targets, 3*time.Second, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(3))
 }
@@ -93,8 +93,8 @@
 func TestTargetPastItsDeadlineIsNotFetched(t *testing.T) {
 	c := qt.New(t)
 	config := DefaultConfig(maxStaleness)
-	targets := []Named{{Version: 2, Since: 0}, {Version: 3, Since: 2 * time.Second}}
-	version, ok := config.Fetches(1, targets, maxStaleness, defaultPieceTime)
+	targets := []TargetVersion{{Version: 2, SetAt: 0}, {Version: 3, SetAt: 2 * time.Second}}
+	version, ok := config.NextFetch(1, targets, maxStaleness, defaultPieceTime)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(version, qt.Equals, uint64(3))
 }
@@ -106,8 +106,8 @@
 	c := qt.New(t)
 	for _, maxStaleness := range []time.Duration{maxStaleness, 10300 * time.Millisecond} {
 		config := DefaultConfig(maxStaleness)
-		c.Assert(config.Strict()+770*time.Millisecond < maxStaleness, qt.IsTrue)
-		c.Assert(config.Strict() > config.PreparationTime, qt.IsTrue)
+		c.Assert(config.TargetOnlyAfter()+770*time.Millisecond < maxStaleness, qt.IsTrue)
+		c.Assert(config.TargetOnlyAfter() > config.PreparationTime, qt.IsTrue)
 	}
 }
 
@@ -120,26 +120,26 @@
 	now := maxStaleness + 500*time.Millisecond
 	tests := []struct {
 		name         string
-		older, newer Named
+		older, newer TargetVersion
 		want         uint64
 	}{
-		{"an eighth is missing", Named{Left: 8, Known: true}, Named{Since: 4 * time.Second, Left: 64, Known: true}, 2},
-		{"the size of the newer target is unknown", Named{Left: 8, Known: true}, Named{Since: 4 * time.Second}, 2},
-		{"the older target would serve for less time than its fetch takes", Named{Left: 28, Known: true}, Named{Since: 3 * time.Second, Left: 64, Known: true}, 3},
-		{"most is missing", Named{Left: 48, Known: true}, Named{Since: 4 * time.Second, Left: 64, Known: true}, 3},
-		{"the newer target is nearer to completion", Named{Left: 8, Known: true}, Named{Since: 4 * time.Second, Left: 4, Known: true}, 3},
-		{"the newer target is soon the only one that may serve", Named{Left: 8, Known: true}, Named{Since: time.Second, Left: 64, Known: true}, 3},
-		{"no fetch has started", Named{}, Named{Since: 4 * time.Second}, 3},
+		{"an eighth is missing", TargetVersion{MissingPieces: 8, SizeKnown: true}, TargetVersion{SetAt: 4 * time.Second, MissingPieces: 64, SizeKnown: true}, 2},
+		{"the size of the newer target is unknown", TargetVersion{MissingPieces: 8, SizeKnown: true}, TargetVersion{SetAt: 4 * time.Second}, 2},
+		{"the older target would serve for less time than its fetch takes", TargetVersion{MissingPieces: 28, SizeKnown: true}, TargetVersion{SetAt: 3 * time.Second, MissingPieces: 64, SizeKnown: true}, 3},
+		{"most is missing", TargetVersion{MissingPieces: 48, SizeKnown: true}, TargetVersion{SetAt: 4 * time.Second, MissingPieces: 64, SizeKnown: true}, 3},
+		{"the newer target is nearer to completion", TargetVersion{MissingPieces: 8, SizeKnown: true}, TargetVersion{SetAt: 4 * time.Second, MissingPieces: 4, SizeKnown: true}, 3},
+		{"the newer target is soon the only one that may serve", TargetVersion{MissingPieces: 8, SizeKnown: true}, TargetVersion{SetAt: time.Second, MissingPieces: 64, SizeKnown: true}, 3},
+		{"no fetch has started", TargetVersion{}, TargetVersion{SetAt: 4 * time.Second}, 3},
 	}
 	for _, test := range tests {
 		test.older.Version, test.newer.Version = 2, 3
-		version, ok := config.Fetches(1, []Named{test.older, test.newer}, now, defaultPieceTime)
+		version, ok := config.NextFetch(1, []TargetVersion{test.older, test.newer}, now, defaultPieceTime)
 		c.Check(ok, qt.IsTrue)
 		c.Check(version, qt.Equals, test.want, qt.Commentf(test.name))
 		// A fetch in flight is abandoned only if the newer target should be fetched first.
-		c.Check(config.Abandons(2, []Named{test.older, test.newer}, now, defaultPieceTime), qt.Equals, test.want == 3, qt.Commentf(test.name))
-		c.Check(config.Abandons(3, []Named{test.older, test.newer}, now, defaultPieceTime), qt.IsFalse)
-		c.Check(config.Abandons(2, []Named{test.older, test.newer}, 0, defaultPieceTime), qt.IsFalse)
+		c.Check(config.ShouldAbandon(2, []TargetVersion{test.older, test.newer}, now, defaultPieceTime), qt.Equals, test.want == 3, qt.Commentf(test.name))
+		c.Check(config.ShouldAbandon(3, []TargetVersion{test.older, test.newer}, now, defaultPieceTime), qt.IsFalse)
+		c.Check(config.ShouldAbandon(2, []TargetVersion{test.older, test.newer}, 0, defaultPieceTime), qt.IsFalse)
 	}
 }
 
@@ -148,10 +148,10 @@
 func TestServerWithoutRequestsIsIdle(t *testing.T) {
 	c := qt.New(t)
 	config := DefaultConfig(maxStaleness)
-	targets := []Named{{Version: 2, Since: 0}}
+	targets := []TargetVersion{{Version: 2, SetAt: 0}}
 	c.Assert(config.Idle(0, targets, 0), qt.IsTrue)
 	// The server receives requests as long as they would start in time.
-	lastSend := config.AnswersUntil(0)
+	lastSend := config.OlderUsableUntil(0)
 	c.Assert(config.Idle(1, targets, lastSend), qt.IsFalse)
 	c.Assert(config.Idle(1, targets, lastSend+1), qt.IsTrue)
 	c.Assert(config.Idle(2, targets, lastSend+1), qt.IsFalse)
@@ -168,13 +168,13 @@
 	formerRefusal := config.MaxQueueDelay
 	lastSend := setAt
 	for now := setAt; now < setAt+2*maxStaleness; now += 10 * time.Millisecond {
-		if config.MayBegin(setAt, now, startDelay) {
+		if config.MayStartOnOlder(setAt, now, startDelay) {
 			lastSend = now
 		}
 	}
 	c.Assert(lastSend+startDelay+290*time.Millisecond+propagationDelay <= setAt+maxStaleness, qt.IsTrue)
 	c.Assert(setAt+maxStaleness-lastSend < formerRefusal/2, qt.IsTrue, qt.Commentf("refused for %v", setAt+maxStaleness-lastSend))
-	c.Assert(config.MayBegin(setAt, lastSend, 500*time.Millisecond), qt.IsFalse)
+	c.Assert(config.MayStartOnOlder(setAt, lastSend, 500*time.Millisecond), qt.IsFalse)
 }
 
 // After an outage of 6 s, 4 of 96 pieces of the first of two targets were
@@ -183,23 +183,23 @@
 func TestObservedRateDecidesWhichFetchIsFinished(t *testing.T) {
 	c := qt.New(t)
 	config := DefaultConfig(maxStaleness)
-	targets := []Named{{Version: 2, Left: 4, Known: true}, {Version: 3, Since: 2 * time.Second, Left: 96, Known: true}}
+	targets := []TargetVersion{{Version: 2, MissingPieces: 4, SizeKnown: true}, {Version: 3, SetAt: 2 * time.Second, MissingPieces: 96, SizeKnown: true}}
 	const recovery = 8500 * time.Millisecond
-	version, _ := config.Fetches(1, targets, recovery, defaultPieceTime)
+	version, _ := config.NextFetch(1, targets, recovery, defaultPieceTime)
 	c.Assert(version, qt.Equals, uint64(3))
-	var estimator Pace
+	var estimator PieceTimeEstimator
 	now := time.Second
 	for range 92 {
 		now += 27 * time.Millisecond
-		estimator.Came(now)
+		estimator.ObservePiece(now)
 	}
-	estimator.Came(recovery)
-	c.Assert(estimator.Each() < 30*time.Millisecond, qt.IsTrue, qt.Commentf("%v", estimator.Each()))
-	version, _ = config.Fetches(1, targets, recovery, estimator.Each())
+	estimator.ObservePiece(recovery)
+	c.Assert(estimator.Estimate() < 30*time.Millisecond, qt.IsTrue, qt.Commentf("%v", estimator.Estimate()))
+	version, _ = config.NextFetch(1, targets, recovery, estimator.Estimate())
 	c.Assert(version, qt.Equals, uint64(2))
-	c.Assert(config.Abandons(2, targets, recovery, estimator.Each()), qt.IsFalse)
-	c.Assert(config.Abandons(2, targets, recovery+time.Second, estimator.Each()), qt.IsTrue)
-	c.Assert(Worth(4, estimator.Each(), recovery, config.AnswersUntil(targets[1].Since)), qt.IsTrue)
+	c.Assert(config.ShouldAbandon(2, targets, recovery, estimator.Estimate()), qt.IsFalse)
+	c.Assert(config.ShouldAbandon(2, targets, recovery+time.Second, estimator.Estimate()), qt.IsTrue)
+	c.Assert(WorthFetching(4, estimator.Estimate(), recovery, config.OlderUsableUntil(targets[1].SetAt)), qt.IsTrue)
 }
 
 // The weights arrived after most start times had passed. All servers changed at
@@ -209,10 +209,10 @@
 	c := qt.New(t)
 	config := DefaultConfig(maxStaleness)
 	const count, completeAt = 19, 5500 * time.Millisecond
-	targets := []Named{{Version: 2, Whole: true, WholeAt: completeAt}}
+	targets := []TargetVersion{{Version: 2, Complete: true, CompleteAt: completeAt}}
 	var starts []time.Duration
 	for index := range count {
-		_, start, _ := config.Next(1, targets, index, count)
+		_, start, _ := config.NextChange(1, targets, index, count)
 		c.Assert(start >= completeAt && start <= config.latestStart(), qt.IsTrue)
 		starts = append(starts, start)
 	}
@@ -224,8 +224,8 @@
 	}
 	c.Assert(unavailable <= count/3, qt.IsTrue, qt.Commentf("%d of %d servers are unavailable at once", unavailable, count))
 	// After the deadline a server changes at once, since it may not serve while it waits.
-	targets[0].WholeAt = maxStaleness
-	_, start, _ := config.Next(1, targets, count-1, count)
+	targets[0].CompleteAt = maxStaleness
+	_, start, _ := config.NextChange(1, targets, count-1, count)
 	c.Assert(start, qt.Equals, maxStaleness)
 }
 
@@ -234,9 +234,9 @@
 // recent enough to include the last requests shows none.
 func TestIdleServerIsNotDrainedImmediately(t *testing.T) {
 	c := qt.New(t)
-	config := DefaultConfig(maxStaleness).WithPass(550 * time.Millisecond)
-	targets := []Named{{Version: 2, Since: time.Minute}}
-	usableUntil, deadline := config.AnswersUntil(time.Minute), config.BeginBy(time.Minute)
+	config := DefaultConfig(maxStaleness).WithMaxPass(550 * time.Millisecond)
+	targets := []TargetVersion{{Version: 2, SetAt: time.Minute}}
+	usableUntil, deadline := config.OlderUsableUntil(time.Minute), config.StartDeadline(time.Minute)
 	tests := []struct {
 		held               uint64
 		now, emptyReportAt time.Duration
@@ -252,7 +252,7 @@
 		{held: 2, now: deadline + time.Hour, emptyReportAt: deadline + time.Hour},
 	}
 	for _, test := range tests {
-		c.Check(config.Still(test.held, targets, test.now, test.emptyReportAt), qt.Equals, test.want, qt.Commentf("%+v", test))
+		c.Check(config.IsDrained(test.held, targets, test.now, test.emptyReportAt), qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
-	c.Check(DefaultConfig(0).Still(1, targets, time.Hour, time.Hour), qt.IsFalse)
+	c.Check(DefaultConfig(0).IsDrained(1, targets, time.Hour, time.Hour), qt.IsFalse)
 }
--- a/internal/coordination/uptime/uptime.go
+++ b/internal/coordination/uptime/uptime.go
@@ -7,7 +7,7 @@
 // MinOutage is how long the store must answer no process for that to count as an outage. It
 // is shorter than the shortest outage in which the row of a live server expires, and longer
 // than a host that watches the store waits for an answer.
-const OutageLeast = 2 * time.Second
+const MinOutage = 2 * time.Second
 
 // Span is a period in which the store answered, with no outage between two answers. Times
 // are read from one monotonic clock.
@@ -18,7 +18,7 @@
 
 // adjoins reports whether there is no outage between the two spans.
 func (s Span) adjoins(other Span) bool {
-	return s.First-other.Last < OutageLeast && other.First-s.Last < OutageLeast
+	return s.First-other.Last < MinOutage && other.First-s.Last < MinOutage
 }
 
 // union returns the span from the first to the last answer of both spans.
@@ -39,10 +39,10 @@
 const maxSpans = 2
 
 // RecordAnswer records that the store answered this process at the given time.
-func (u *Uptime) RecordAnswer(at time.Duration) { u.Report(Span{First: at, Last: at}) }
+func (u *Uptime) RecordAnswer(at time.Duration) { u.Merge(Span{First: at, Last: at}) }
 
 // Merge adds a span that another process reported. Reports may arrive late and in any order.
-func (u *Uptime) Report(span Span) {
+func (u *Uptime) Merge(span Span) {
 	var separate []Span
 	for _, known := range u.spans {
 		if known.adjoins(span) {
--- a/internal/coordination/uptime/uptime_test.go
+++ b/internal/coordination/uptime/uptime_test.go
@@ -32,7 +32,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			var u Uptime
 			for _, report := range test.reports {
-				u.Report(report)
+				u.Merge(report)
 			}
 			got, _ := u.Latest()
 			qt.Assert(t, got, qt.Equals, test.want)
@@ -59,7 +59,7 @@
 			all[process("answered")].RecordAnswer(now)
 			expected.RecordAnswer(now)
 			if span, ok := all[process("from")].Latest(); ok {
-				all[process("to")].Report(span)
+				all[process("to")].Merge(span)
 			}
 			whole, _ := expected.Latest()
 			for i := range all {
@@ -73,7 +73,7 @@
 		last, _ := expected.Latest()
 		receiver := &all[process("hearer")]
 		before, known := receiver.Latest()
-		receiver.Report(last)
+		receiver.Merge(last)
 		if after, _ := receiver.Latest(); known && before.adjoins(last) && after.First > last.First {
 			t.Fatalf("span %v was reported, but the latest span is %v", last, after)
 		}
--- a/internal/operator/roll.go
+++ b/internal/operator/roll.go
@@ -142,12 +142,12 @@
 		action = r.execute(ctx, action)
 	}
 	result := action.Result
-	switch result.Verdict {
-	case rollout.VerdictAccepted:
+	switch result.Outcome {
+	case rollout.OutcomeAccepted:
 		return nil
-	case rollout.VerdictConflict:
-		return fmt.Errorf("%w: bundle %d %s was accepted instead of this one", ErrConflict, result.Winner.Version, result.Winner.Digest.Short())
-	case rollout.VerdictNotAccepted:
+	case rollout.OutcomeConflict:
+		return fmt.Errorf("%w: bundle %d %s was accepted instead of this one", ErrConflict, result.Head.Version, result.Head.Digest.Short())
+	case rollout.OutcomeNotAccepted:
 		return fmt.Errorf("%w: %w", ErrNotRun, result.Err)
 	}
 	return fmt.Errorf("%w: %w", ErrUnknown, result.Err)
@@ -163,7 +163,7 @@
 		return r.roll.Put(r.client.PutObject(ctx, r.head.Object, r.data))
 	default:
 		applied, _, _, err := r.client.Commit(ctx,
-			platform.Write{Key: platform.KeyHead, Value: r.head, Expected: action.Revision},
+			platform.Write{Key: platform.KeyHead, Value: r.head, ExpectedRevision: action.Revision},
 			platform.Write{Key: history, Value: r.head})
 		return r.roll.Swapped(applied, err)
 	}
@@ -215,7 +215,7 @@
 		if !undo {
 			stops.Stops = append(stops.Stops, knowledge.Stop{Host: host, From: time.Now().UTC()})
 		}
-		applied, _, _, err := client.Commit(ctx, platform.Write{Key: platform.KeyStops, Value: stops, Expected: rows[0].Revision})
+		applied, _, _, err := client.Commit(ctx, platform.Write{Key: platform.KeyStops, Value: stops, ExpectedRevision: rows[0].Revision})
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrUnknown, err)
 		}
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -138,15 +138,15 @@
 func Summarize(status *control.Status) Summary {
 	summary := Summary{Version: status.Head.Version}
 	for _, host := range status.Hosts {
-		summary.Origin += host.Drawn.Origin
-		summary.Store += host.Drawn.Store
-		summary.Peer += host.Drawn.Peer
+		summary.Origin += host.Fetched.Origin
+		summary.Store += host.Fetched.Store
+		summary.Peer += host.Fetched.Peer
 		if !host.Usable {
 			continue
 		}
 		if host.Host.Role == filbertlever.RoleAgent {
 			summary.Hosts++
-			if host.InForce == status.Head.Version {
+			if host.ActiveVersion == status.Head.Version {
 				summary.Active++
 			}
 		}
--- a/internal/proof/soak.go
+++ b/internal/proof/soak.go
@@ -58,10 +58,10 @@
 	Program string
 	// FirstSeed is the first seed, and Seeds the maximum number of seeds for each
 	// removal.
-	First uint64
-	Seeds int
+	FirstSeed uint64
+	Seeds     int
 	// Duration is the duration of each run.
-	Length time.Duration
+	Duration time.Duration
 	// Parallel is the number of removals that are tested concurrently. Each run
 	// starts about 25 processes.
 	Parallel int
@@ -101,11 +101,11 @@
 	}
 	for n := range uint64(s.Seeds) {
 		result.Runs++
-		command := exec.CommandContext(ctx, s.Program, "--binary", binary, "--seed", strconv.FormatUint(s.First+n, 10),
-			"--length", s.Length.String(), "--gap", removal.Gap.String(), "--logs", filepath.Join(dir, "logs"))
+		command := exec.CommandContext(ctx, s.Program, "--binary", binary, "--seed", strconv.FormatUint(s.FirstSeed+n, 10),
+			"--length", s.Duration.String(), "--gap", removal.Gap.String(), "--logs", filepath.Join(dir, "logs"))
 		output, _ := command.CombinedOutput() // the exit status is ignored because the output lists broken promises
 		if promises := brokenPromises(string(output)); promises != "" {
-			result.Seed, result.Promise = s.First+n, promises
+			result.Seed, result.Promise = s.FirstSeed+n, promises
 			return result
 		}
 		if !strings.Contains(string(output), "broken=0") {
--- a/internal/protocol/control/control.go
+++ b/internal/protocol/control/control.go
@@ -89,24 +89,24 @@
 	Wait        time.Duration
 	// ReceivedRequests is the number of requests that the agent has received from
 	// the entry to which this report is sent.
-	Seen uint64 `json:"Seen"`
+	ReceivedRequests uint64 `json:"Seen"`
 }
 
 // Progress is the loading progress of a set of weights at one agent. It has
 // HeldChunks of Chunks chunks.
 type Progress struct {
-	Model    string
-	Version  string
-	Manifest filbertlever.Digest
-	Stage    placement.Stage
-	Held     int `json:"Held"`
-	Chunks   int
-	Failures int
-	Reason   string `json:",omitempty"`
+	Model      string
+	Version    string
+	Manifest   filbertlever.Digest
+	Stage      placement.Stage
+	HeldChunks int `json:"Held"`
+	Chunks     int
+	Failures   int
+	Reason     string `json:",omitempty"`
 }
 
 // FetchedBytes counts the bytes of weights that an agent has fetched, by source.
-type Drawn struct {
+type FetchedBytes struct {
 	Origin int64
 	Store  int64
 	Peer   int64
@@ -124,10 +124,10 @@
 type FullReport struct {
 	From Identity
 	// ActiveVersion is the version of the bundle that is active at the agent.
-	InForce uint64 `json:"InForce"`
-	Live    []LiveWeights
-	Weights []Progress
-	Drawn   Drawn `json:"Drawn"`
+	ActiveVersion uint64 `json:"InForce"`
+	Live          []LiveWeights
+	Weights       []Progress
+	Fetched       FetchedBytes `json:"Drawn"`
 }
 
 // ReportResponse is the response to a Report.
@@ -145,12 +145,12 @@
 
 // HostStatus is the status of one host as observed by an entry.
 type HostStatus struct {
-	Host    filbertlever.Host
-	Usable  bool
-	InForce uint64 `json:"InForce"`
-	Weights []Progress
-	Drawn   Drawn `json:"Drawn"`
-	Load    Load
+	Host          filbertlever.Host
+	Usable        bool
+	ActiveVersion uint64 `json:"InForce"`
+	Weights       []Progress
+	Fetched       FetchedBytes `json:"Drawn"`
+	Load          Load
 }
 
 // Status is the status of the system as observed by an entry.
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -28,8 +28,8 @@
 	// Slots is the number of requests that run concurrently. Further requests queue.
 	Slots int
 	// PrefillTime is the time to the first token, and TokenTime the time between two tokens.
-	Prefill time.Duration
-	Token   time.Duration
+	PrefillTime time.Duration
+	TokenTime   time.Duration
 	// CachedPrompts is the capacity of the prefix cache, in prompts. A request
 	// with a cached prefix takes a fifth of the prefill time.
 	CachedPrompts int
@@ -60,7 +60,7 @@
 	slots  chan struct{}
 
 	mu      sync.Mutex
-	fencing lease.Keeper
+	fencing lease.FenceChecker
 	loaded  map[string]*enginev1.LoadedWeights
 	faults  EngineFaults
 	// runningCount is the number of requests that run now. cancelledCount and
@@ -81,7 +81,7 @@
 }
 
 // AnswerToken returns token i of the answer to a prompt by the given weights.
-func Piece(weights filbertlever.Digest, prompt string, i int) string {
+func AnswerToken(weights filbertlever.Digest, prompt string, i int) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s|%s|%d", weights, prompt, i))
 	return fmt.Sprintf("%x ", sum[:3])
 }
@@ -147,7 +147,7 @@
 		if err := sleep(ctx, delay); err != nil {
 			return err
 		}
-		delay = time.Duration(slowdown * float64(e.config.Token))
+		delay = time.Duration(slowdown * float64(e.config.TokenTime))
 		if stallAfter > 0 && i-start >= stallAfter {
 			<-ctx.Done()
 			return ctx.Err()
@@ -173,7 +173,7 @@
 // prefillTime returns the time to the first token and adds the prefix to the cache.
 func (e *Engine) prefillTime(message *enginev1.GenerateRequest) time.Duration {
 	if e.config.CachedPrompts == 0 {
-		return e.config.Prefill
+		return e.config.PrefillTime
 	}
 	prefix := message.CacheScope + "\x00" + message.Prompt[:min(cachePrefixBytes, len(message.Prompt))]
 	e.mu.Lock()
@@ -182,18 +182,18 @@
 	if index >= 0 {
 		e.prefixHits++
 		e.prefixes = append(slices.Delete(e.prefixes, index, index+1), prefix)
-		return e.config.Prefill / cachedPrefillDivisor
+		return e.config.PrefillTime / cachedPrefillDivisor
 	}
 	e.prefixes = append(e.prefixes, prefix)
 	if len(e.prefixes) > e.config.CachedPrompts {
 		e.prefixes = slices.Delete(e.prefixes, 0, 1)
 	}
-	return e.config.Prefill
+	return e.config.PrefillTime
 }
 
 // GenerateCounts returns the number of calls of Generate and how many of them
 // had a cached prefix.
-func (e *Engine) Generates() (generates, hits int) {
+func (e *Engine) GenerateCounts() (generates, hits int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.generateCalls, e.prefixHits
@@ -203,7 +203,7 @@
 	if i >= int(message.MaxTokens) {
 		return &enginev1.GenerateResponse{Offset: uint32(i), VersionDigest: message.VersionDigest, Done: true}
 	}
-	token := Piece(filbertlever.Digest(message.VersionDigest), message.Prompt, i)
+	token := AnswerToken(filbertlever.Digest(message.VersionDigest), message.Prompt, i)
 	return &enginev1.GenerateResponse{Offset: uint32(i), Pieces: []string{token}, VersionDigest: message.VersionDigest}
 }
 
@@ -313,7 +313,7 @@
 }
 
 // HasLoaded reports whether a version of a model or adapter is loaded.
-func (e *Engine) Serves(model, version string) bool {
+func (e *Engine) HasLoaded(model, version string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, weights := range e.loaded {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -114,7 +114,7 @@
 }
 
 // OriginBytes returns the number of bytes that the origin has sent.
-func (p *Platform) Drawn() int64 {
+func (p *Platform) OriginBytes() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.originBytes
@@ -350,7 +350,7 @@
 	})
 	mux.HandleFunc("GET /figures", func(w http.ResponseWriter, _ *http.Request) {
 		reads, writes := p.Calls()
-		_ = json.NewEncoder(w).Encode(map[string]int64{"OriginBytes": p.Drawn(), "Reads": int64(reads), "Writes": int64(writes)})
+		_ = json.NewEncoder(w).Encode(map[string]int64{"OriginBytes": p.OriginBytes(), "Reads": int64(reads), "Writes": int64(writes)})
 	})
 	return mux
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -17,7 +17,7 @@
 // Service is a stand-in for a plain service. It counts the runs of each order.
 type Service struct {
 	// CallDuration is the duration of a call.
-	Pause time.Duration
+	CallDuration time.Duration
 
 	mu        sync.Mutex
 	runCounts map[string]int
@@ -25,7 +25,7 @@
 
 // NewService returns a service whose calls take the given time.
 func NewService(callDuration time.Duration) *Service {
-	return &Service{Pause: callDuration, runCounts: map[string]int{}}
+	return &Service{CallDuration: callDuration, runCounts: map[string]int{}}
 }
 
 // Call runs a call. It ignores cancellation, like a service that does not
@@ -36,7 +36,7 @@
 	s.runCounts[message.Organisation+"/"+message.OrderKey]++
 	run := s.runCounts[message.Organisation+"/"+message.OrderKey]
 	s.mu.Unlock()
-	time.Sleep(s.Pause)
+	time.Sleep(s.CallDuration)
 	answer := fmt.Sprintf("%s of %s: %s (run %d)", message.Call, message.Organisation, message.Body, run)
 	return connect.NewResponse(&servicev1.CallResponse{Answer: []byte(answer)}), nil
 }
--- a/internal/state/chunks.go
+++ b/internal/state/chunks.go
@@ -12,7 +12,7 @@
 
 // ChunkStore keeps verified chunks of weights by digest, in shards with a lock
 // each. The caller of Put must have verified the chunk.
-type Chunks struct {
+type ChunkStore struct {
 	seed   maphash.Seed
 	bytes  atomic.Int64
 	shards [chunkShards]chunkShard
@@ -27,8 +27,8 @@
 }
 
 // NewChunkStore returns an empty store.
-func NewChunks() *Chunks {
-	c := &Chunks{seed: maphash.MakeSeed()}
+func NewChunkStore() *ChunkStore {
+	c := &ChunkStore{seed: maphash.MakeSeed()}
 	for i := range c.shards {
 		c.shards[i].data = map[filbertlever.Digest][]byte{}
 		c.shards[i].waiters = map[filbertlever.Digest]chan struct{}{}
@@ -37,7 +37,7 @@
 }
 
 // Put stores data under digest. The caller must not change data afterwards.
-func (c *Chunks) Put(digest filbertlever.Digest, data []byte) {
+func (c *ChunkStore) Put(digest filbertlever.Digest, data []byte) {
 	shard := c.shard(digest)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -54,7 +54,7 @@
 
 // Get returns the chunk, or nil if the store does not hold it. The caller must
 // not change the chunk.
-func (c *Chunks) Get(digest filbertlever.Digest) []byte {
+func (c *ChunkStore) Get(digest filbertlever.Digest) []byte {
 	shard := c.shard(digest)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 // Wait returns the chunk, or nil and a channel that is closed when the chunk is put.
-func (c *Chunks) Wait(digest filbertlever.Digest) ([]byte, <-chan struct{}) {
+func (c *ChunkStore) Wait(digest filbertlever.Digest) ([]byte, <-chan struct{}) {
 	shard := c.shard(digest)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // Retain removes every chunk whose digest is not in keep.
-func (c *Chunks) Retain(keep map[filbertlever.Digest]bool) {
+func (c *ChunkStore) Retain(keep map[filbertlever.Digest]bool) {
 	for i := range c.shards {
 		shard := &c.shards[i]
 		shard.mu.Lock()
@@ -93,10 +93,10 @@
 }
 
 // Bytes returns the total size of the stored chunks.
-func (c *Chunks) Bytes() int64 {
+func (c *ChunkStore) Bytes() int64 {
 	return c.bytes.Load()
 }
 
-func (c *Chunks) shard(digest filbertlever.Digest) *chunkShard {
+func (c *ChunkStore) shard(digest filbertlever.Digest) *chunkShard {
 	return &c.shards[maphash.String(c.seed, string(digest))%chunkShards]
 }
--- a/internal/state/current.go
+++ b/internal/state/current.go
@@ -8,7 +8,7 @@
 
 // ActiveBundle is the bundle that is active in a process. It is immutable: a new
 // bundle replaces the whole value.
-type Current struct {
+type ActiveBundle struct {
 	Head   Head
 	Bundle *bundle.Bundle
 	// Signed is the signed bundle as stored and as sent to peers.
@@ -16,12 +16,12 @@
 }
 
 // BundleHolder holds the active bundle of a process. It is safe for concurrent use.
-type Holder struct {
-	current atomic.Pointer[Current]
+type BundleHolder struct {
+	current atomic.Pointer[ActiveBundle]
 }
 
 // Load returns the active bundle, or nil if there is none yet.
-func (h *Holder) Load() *Current { return h.current.Load() }
+func (h *BundleHolder) Load() *ActiveBundle { return h.current.Load() }
 
 // Store makes a bundle the active one.
-func (h *Holder) Store(current *Current) { h.current.Store(current) }
+func (h *BundleHolder) Store(current *ActiveBundle) { h.current.Store(current) }
--- a/internal/transport/agent/agent.go
+++ b/internal/transport/agent/agent.go
@@ -51,8 +51,8 @@
 	Network    network.Network
 	// BandwidthLimit limits the bandwidth of weight transfers on this host's link,
 	// separately for each direction.
-	Link  distribution.Pace
-	Fetch weights.FetchConfig
+	BandwidthLimit distribution.BandwidthLimit
+	Fetch          weights.FetchConfig
 }
 
 // Agent serves the requests for one backend server and manages its weights. It
@@ -86,12 +86,12 @@
 		log:        log,
 		metrics:    m,
 		httpClient: httpClient,
-		inbound:    weights.NewLimiter(config.Link),
-		outbound:   weights.NewLimiter(config.Link),
+		inbound:    weights.NewLimiter(config.BandwidthLimit),
+		outbound:   weights.NewLimiter(config.BandwidthLimit),
 		queue:      newRequestQueue(),
 		gates:      newGates(n.Incarnation()),
 	}
-	a.library = weights.NewLibrary(state.NewChunks())
+	a.library = weights.NewLibrary(state.NewChunkStore())
 	a.server = weights.NewServer(a.library, a.outbound)
 	sources := &weights.HTTPSources{Peers: a, Origin: config.Origin, Store: config.Store, Client: httpClient, Pacer: a.inbound}
 	self := distribution.Peer{ID: config.Host.ID, Site: config.Host.Site}
@@ -118,8 +118,8 @@
 // Routes registers the handlers for other processes on a mux.
 func (a *Agent) Routes(mux *http.ServeMux) {
 	path, handler := peerv1connect.NewAgentServiceHandler(a, connect.WithReadMaxBytes(maxMessageBytes), connect.WithCompressMinBytes(minCompressBytes))
-	mux.Handle(path, peer.Allow(handler, peer.RoleEntry))
-	a.server.Routes(mux, func(next http.Handler) http.Handler { return peer.Allow(next, peer.RoleAgent) })
+	mux.Handle(path, peer.RequireRole(handler, peer.RoleEntry))
+	a.server.Routes(mux, func(next http.Handler) http.Handler { return peer.RequireRole(next, peer.RoleAgent) })
 	mux.Handle(peer.ControlPath, a.node.Control())
 }
 
@@ -132,7 +132,7 @@
 
 // EngineRoutes registers the handlers that the engine on this host uses.
 func (a *Agent) EngineRoutes(mux *http.ServeMux) {
-	mux.HandleFunc("GET "+weights.PathWhole+"{digest}", a.server.Whole)
+	mux.HandleFunc("GET "+weights.PathSet+"{digest}", a.server.ServeSet)
 }
 
 // Serve runs the agent until ctx is done.
@@ -153,8 +153,8 @@
 // requests, and triggers a report if the load differs much from the one last
 // reported.
 func (a *Agent) onLoad(load control.Load) {
-	a.inbound.SetLive(load.Running)
-	a.outbound.SetLive(load.Running)
+	a.inbound.SetLiveRequests(load.Running)
+	a.outbound.SetLiveRequests(load.Running)
 	if a.reporter.loadChanged(load) {
 		a.reporter.trigger()
 	}
@@ -162,7 +162,7 @@
 
 // Drain carries out a planned stop. It returns when no request is left, or when
 // ctx is done.
-func (a *Agent) Leave(ctx context.Context) {
+func (a *Agent) Drain(ctx context.Context) {
 	a.node.AnnounceStop()
 	a.reporter.trigger()
 	interrupted := false
@@ -193,7 +193,7 @@
 func (a *Agent) Ready() error { return a.node.Ready() }
 
 // applyBundle applies the settings of a newly active bundle.
-func (a *Agent) applyBundle(current *state.Current) {
+func (a *Agent) applyBundle(current *state.ActiveBundle) {
 	if pool, ok := current.Bundle.Pool(a.config.Host.Pool); ok {
 		a.queue.resize(pool.Concurrency, pool.Queue)
 	}
--- a/internal/transport/agent/attestation.go
+++ b/internal/transport/agent/attestation.go
@@ -49,7 +49,7 @@
 		for _, w := range status.Msg.Loaded {
 			loaded = append(loaded, filbertlever.Digest(w.Digest))
 		}
-		changed = l.placements.Attested(loaded)
+		changed = l.placements.Reconcile(loaded)
 	}
 	l.mu.Unlock()
 	if changed {
--- a/internal/transport/agent/lease.go
+++ b/internal/transport/agent/lease.go
@@ -20,7 +20,7 @@
 func (l *loader) handoverDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lease.Pause(time.Now(), l.engineChecksFencing())
+	return l.lease.HandoverDelay(time.Now(), l.engineChecksFencing())
 }
 
 // confirmLease returns the fencing number if this agent may send a command to
@@ -41,7 +41,7 @@
 	if err := l.renewLease(ctx, fence == 0); err != nil {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.lease.MayActAlone(l.engineChecksFencing()) {
+		if l.lease.MayActUnconfirmed(l.engineChecksFencing()) {
 			return l.lease.Fence(), nil
 		}
 		return 0, fmt.Errorf("%w: %w", errLeaseUnconfirmed, err)
@@ -85,7 +85,7 @@
 		next := l.lease.Next(record)
 		l.mu.Unlock()
 		sent = time.Now()
-		applied, _, _, err := l.agent.platform.Commit(ctx, platform.Write{Key: key, Value: next, Expected: rows[0].Revision})
+		applied, _, _, err := l.agent.platform.Commit(ctx, platform.Write{Key: key, Value: next, ExpectedRevision: rows[0].Revision})
 		if err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 		record = next
 	}
 	l.mu.Lock()
-	l.lease.Saw(record, sent)
+	l.lease.Observe(record, sent)
 	l.mu.Unlock()
 	return nil
 }
--- a/internal/transport/agent/loader.go
+++ b/internal/transport/agent/loader.go
@@ -116,7 +116,7 @@
 		held, chunks := l.agent.library.Held(p.Weights.Manifest)
 		progress = append(progress, control.Progress{
 			Model: p.Weights.Model, Version: p.Weights.Version, Manifest: p.Weights.Manifest,
-			Stage: p.Stage, Held: held, Chunks: chunks, Failures: p.Failures, Reason: p.Reason,
+			Stage: p.Stage, HeldChunks: held, Chunks: chunks, Failures: p.Failures, Reason: p.Reason,
 		})
 	}
 	return live, progress
@@ -147,7 +147,7 @@
 
 // applyBundle replaces the wanted weights with those of a new bundle and cancels
 // transfers that are no longer wanted.
-func (l *loader) applyBundle(current *state.Current) {
+func (l *loader) applyBundle(current *state.ActiveBundle) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if current.Head.Version == l.bundleVersion {
@@ -189,13 +189,13 @@
 // A host that has just started may receive the bundle before the host list. As
 // it has no peers then, it would fetch all weights from the origin. It therefore
 // waits for the host list, for at most hostListTimeout.
-func (l *loader) startTransfers(ctx context.Context, current *state.Current) {
+func (l *loader) startTransfers(ctx context.Context, current *state.ActiveBundle) {
 	if !l.agent.hasHostList() && time.Since(l.startedAt) < hostListTimeout {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, weights := range l.placements.Fetch() {
+	for _, weights := range l.placements.Unfetched() {
 		if _, ok := l.fetching[weights]; ok {
 			continue
 		}
@@ -233,9 +233,9 @@
 	l.finishedLoads++
 	live := false
 	if err != nil {
-		l.placements.Failed(c.progress.Weights, err.Error(), now)
+		l.placements.MarkFailed(c.progress.Weights, err.Error(), now)
 	} else {
-		live = l.placements.Loaded(c.progress.Weights, attested, now)
+		live = l.placements.MarkLoaded(c.progress.Weights, attested, now)
 		l.agent.library.Retain(l.retained())
 	}
 	l.mu.Unlock()
@@ -282,7 +282,7 @@
 		Model:      w.Model,
 		Version:    w.Version,
 		Digest:     string(c.progress.Digest),
-		Url:        a.config.WeightsURL + weights.PathWhole + string(w.Manifest),
+		Url:        a.config.WeightsURL + weights.PathSet + string(w.Manifest),
 		BaseDigest: l.baseDigest(w),
 		MaxBatch:   uint32(w.MaxBatch),
 		Role:       w.Role,
--- a/internal/transport/agent/metrics.go
+++ b/internal/transport/agent/metrics.go
@@ -31,7 +31,7 @@
 	}
 	gauge("filbertlever_agent_running", "Requests that run now.", func() float64 { return float64(a.queue.load().Running) })
 	gauge("filbertlever_agent_queued", "Requests that wait now.", func() float64 { return float64(a.queue.load().Queued) })
-	gauge("filbertlever_agent_origin_bytes", "Bytes of weights drawn from the origin.", func() float64 { return float64(a.fetcher.Drawn.Origin.Load()) })
-	gauge("filbertlever_agent_store_bytes", "Bytes of weights drawn from the weight store.", func() float64 { return float64(a.fetcher.Drawn.Store.Load()) })
-	gauge("filbertlever_agent_peer_bytes", "Bytes of weights taken from other agents.", func() float64 { return float64(a.fetcher.Drawn.Peer.Load()) })
+	gauge("filbertlever_agent_origin_bytes", "Bytes of weights drawn from the origin.", func() float64 { return float64(a.fetcher.Fetched.Origin.Load()) })
+	gauge("filbertlever_agent_store_bytes", "Bytes of weights drawn from the weight store.", func() float64 { return float64(a.fetcher.Fetched.Store.Load()) })
+	gauge("filbertlever_agent_peer_bytes", "Bytes of weights taken from other agents.", func() float64 { return float64(a.fetcher.Fetched.Peer.Load()) })
 }
--- a/internal/transport/agent/orders.go
+++ b/internal/transport/agent/orders.go
@@ -25,11 +25,11 @@
 const orderTimeout = 30 * time.Second
 
 var gateAnswerMessages = map[order.GateAnswer]peerv1.GateAnswer{
-	order.GateDone:    peerv1.GateAnswer_GATE_ANSWER_DONE,
-	order.GateNever:   peerv1.GateAnswer_GATE_ANSWER_NEVER,
-	order.GateRunning: peerv1.GateAnswer_GATE_ANSWER_RUNNING,
-	order.GateUnknown: peerv1.GateAnswer_GATE_ANSWER_UNKNOWN,
-	order.GateOther:   peerv1.GateAnswer_GATE_ANSWER_OTHER_INCARNATION,
+	order.GateDone:             peerv1.GateAnswer_GATE_ANSWER_DONE,
+	order.GateFenced:           peerv1.GateAnswer_GATE_ANSWER_NEVER,
+	order.GateRunning:          peerv1.GateAnswer_GATE_ANSWER_RUNNING,
+	order.GateUnknown:          peerv1.GateAnswer_GATE_ANSWER_UNKNOWN,
+	order.GateOtherIncarnation: peerv1.GateAnswer_GATE_ANSWER_OTHER_INCARNATION,
 }
 
 // RunOrder runs a call of the plain service, at most once if Once is set.
@@ -62,8 +62,8 @@
 			reply = gate.Begin(key, incarnation, message.Fence)
 			return
 		}
-		reply = gate.Settle(key, incarnation, message.Fence)
-		if reply.Gate == order.GateNever {
+		reply = gate.Resolve(key, incarnation, message.Fence)
+		if reply.Gate == order.GateFenced {
 			reply.Reason = reasonStopping
 		}
 	})
@@ -87,7 +87,7 @@
 		default:
 			gate.Fail(key)
 		}
-		reply = gate.Settle(key, a.node.Incarnation(), message.Fence)
+		reply = gate.Resolve(key, a.node.Incarnation(), message.Fence)
 	})
 	if err != nil {
 		reply.Reason = err.Error()
@@ -121,7 +121,7 @@
 // runRepeatable runs a call that is safe to repeat, without the gate.
 func (a *Agent) runRepeatable(ctx context.Context, message *peerv1.RunOrderRequest) (*connect.Response[peerv1.RunOrderResponse], error) {
 	if !a.node.Accepts() {
-		return connect.NewResponse(toRunOrderResponse(order.GateReply{Gate: order.GateNever, Reason: reasonStopping})), nil
+		return connect.NewResponse(toRunOrderResponse(order.GateReply{Gate: order.GateFenced, Reason: reasonStopping})), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, message.Timeout.AsDuration())
 	defer cancel()
@@ -139,7 +139,7 @@
 	key := order.Key{Organisation: filbertlever.OrganisationID(message.Organisation), Key: message.IdempotencyKey}
 	var reply order.GateReply
 	a.gates.withGate(key, func(gate *order.Gate) {
-		reply = gate.Settle(key, filbertlever.Incarnation(message.Incarnation), message.Fence)
+		reply = gate.Resolve(key, filbertlever.Incarnation(message.Incarnation), message.Fence)
 	})
 	return connect.NewResponse(toRunOrderResponse(reply)), nil
 }
@@ -155,7 +155,7 @@
 		return nil, nil
 	}
 	key := order.Key{Organisation: message.Organisation, Key: message.Key}
-	a.gates.withGate(key, func(gate *order.Gate) { gate.Recorded(key, time.Now()) })
+	a.gates.withGate(key, func(gate *order.Gate) { gate.MarkRecorded(key, time.Now()) })
 	return nil, nil
 }
 
--- a/internal/transport/agent/queue.go
+++ b/internal/transport/agent/queue.go
@@ -91,7 +91,7 @@
 func (q *requestQueue) removeWaiting(id uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.queue.Withdraw(id) {
+	if !q.queue.Cancel(id) {
 		return false
 	}
 	delete(q.waiters, id)
@@ -125,7 +125,7 @@
 func (q *requestQueue) recordFirstToken(latency time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.limit.FirstToken(latency, time.Now())
+	q.limit.RecordFirstToken(latency, time.Now())
 	q.queue.Resize(q.limit.Value(), q.maxWaiting)
 }
 
@@ -133,7 +133,7 @@
 func (q *requestQueue) recordFailure() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.limit.Failed(time.Now())
+	q.limit.RecordFailure(time.Now())
 	q.queue.Resize(q.limit.Value(), q.maxWaiting)
 }
 
@@ -146,7 +146,7 @@
 		Running:     q.queue.Running(),
 		Queued:      q.queue.Waiting(),
 		Concurrency: q.limit.Value(),
-		Wait:        q.queue.Wait(),
+		Wait:        q.queue.PredictedWait(),
 	}
 }
 
--- a/internal/transport/agent/report.go
+++ b/internal/transport/agent/report.go
@@ -100,7 +100,7 @@
 	for _, entry := range entries {
 		group.Go(func() {
 			if err := r.send(ctx, entry, load, full); err != nil {
-				r.agent.node.Failed(entry)
+				r.agent.node.RecordFailure(entry)
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 func (r *reporter) send(ctx context.Context, entry filbertlever.HostID, load control.Load, full *control.FullReport) error {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	load.Seen = r.receivedFrom(entry)
+	load.ReceivedRequests = r.receivedFrom(entry)
 	report := control.Report{Incarnation: r.agent.node.Incarnation(), Load: load}
 	if !r.hasCurrent(entry, full) {
 		report.Full = full
@@ -170,13 +170,13 @@
 func (a *Agent) fullReport() *control.FullReport {
 	full := &control.FullReport{From: a.node.Self()}
 	if current := a.node.Current(); current != nil {
-		full.InForce = current.Head.Version
+		full.ActiveVersion = current.Head.Version
 	}
 	full.Live, full.Weights = a.loader.report()
-	full.Drawn = control.Drawn{
-		Origin: a.fetcher.Drawn.Origin.Load(),
-		Store:  a.fetcher.Drawn.Store.Load(),
-		Peer:   a.fetcher.Drawn.Peer.Load(),
+	full.Fetched = control.FetchedBytes{
+		Origin: a.fetcher.Fetched.Origin.Load(),
+		Store:  a.fetcher.Fetched.Store.Load(),
+		Peer:   a.fetcher.Fetched.Peer.Load(),
 	}
 	return full
 }
--- a/internal/transport/agent/requests.go
+++ b/internal/transport/agent/requests.go
@@ -37,7 +37,7 @@
 // Run generates an answer on the backend server and streams it to the entry.
 func (a *Agent) Run(ctx context.Context, request *connect.Request[peerv1.RunRequest], stream *connect.ServerStream[peerv1.RunResponse]) error {
 	message := request.Msg
-	entry := peer.CallerOf(ctx)
+	entry := peer.CallerFromContext(ctx)
 	a.reporter.recordRequest(entry)
 	ctx, cancel := context.WithTimeout(ctx, message.Timeout.AsDuration())
 	defer cancel()
--- a/internal/transport/agent/transfer.go
+++ b/internal/transport/agent/transfer.go
@@ -35,7 +35,7 @@
 	l.fetching[t.weights]()
 	delete(l.fetching, t.weights)
 	if err == nil {
-		l.placements.Verified(t.weights, digest)
+		l.placements.MarkVerified(t.weights, digest)
 	}
 	l.mu.Unlock()
 	if err == nil {
--- a/internal/transport/channel/before_send_test.go
+++ b/internal/transport/channel/before_send_test.go
@@ -27,7 +27,7 @@
 	target := channel.Server{ID: "i-1", Address: server.Listener.Addr().String()}
 	errNotAccepted := errors.New("not accepted")
 	for range 2 {
-		request := &channel.Request{Method: http.MethodGet, Target: "/", Host: "portal.example", Header: http.Header{}, Still: func() error { return errNotAccepted }}
+		request := &channel.Request{Method: http.MethodGet, Target: "/", Host: "portal.example", Header: http.Header{}, BeforeSend: func() error { return errNotAccepted }}
 		_, err := pool.Do(context.Background(), target, request, nil)
 		var failed *channel.SendError
 		c.Assert(errors.As(err, &failed), qt.IsTrue)
@@ -45,8 +45,8 @@
 	defer closePool()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	c.Assert(pool.Refused(listener.Addr().String()), qt.IsFalse)
+	c.Assert(pool.IsRefused(listener.Addr().String()), qt.IsFalse)
 	c.Assert(listener.Close(), qt.IsNil)
-	c.Assert(pool.Refused(listener.Addr().String()), qt.IsTrue)
-	c.Assert(pool.Refused("no address"), qt.IsFalse)
+	c.Assert(pool.IsRefused(listener.Addr().String()), qt.IsTrue)
+	c.Assert(pool.IsRefused("no address"), qt.IsFalse)
 }
--- a/internal/transport/channel/channel.go
+++ b/internal/transport/channel/channel.go
@@ -57,7 +57,7 @@
 	Body   []byte
 	// BeforeSend is called when a connection is available, before anything is written. If it
 	// returns an error, the request is not sent. It may be nil.
-	Still func() error
+	BeforeSend func() error
 }
 
 // SendError is the error of a request that got no response.
@@ -156,8 +156,8 @@
 		p.put(c)
 		return nil, &SendError{Address: server.Address, Err: err}
 	}
-	if request.Still != nil {
-		if err := request.Still(); err != nil {
+	if request.BeforeSend != nil {
+		if err := request.BeforeSend(); err != nil {
 			p.put(c)
 			return nil, &SendError{Address: server.Address, Err: err}
 		}
@@ -361,7 +361,7 @@
 // IsRefused connects to an address and reports whether the connection is refused, which
 // means that no process listens there. A timeout is not a refusal: the host may be
 // unreachable.
-func (p *Pool) Refused(address string) bool {
+func (p *Pool) IsRefused(address string) bool {
 	c, err := p.dialer.Dial("tcp", address)
 	if err != nil {
 		return errors.Is(err, unix.ECONNREFUSED)
--- a/internal/transport/entry/ask.go
+++ b/internal/transport/entry/ask.go
@@ -174,7 +174,7 @@
 // answer.
 func (q *modelRequest) recordFailure(host filbertlever.HostID) {
 	switch q.lastResult.end {
-	case retry.EndNotLive:
+	case retry.EndWrongWeights:
 		// The host is not excluded, as it may serve the bundle's version by now.
 		if !q.hasDelivered() {
 			q.versions, _ = q.entry.versions(q.admission.bundle, q.message.Model, q.message.Adapter)
@@ -236,7 +236,7 @@
 	if ce == nil {
 		return
 	}
-	hosts := make([]string, choice.Weighed)
+	hosts := make([]string, choice.CandidateCount)
 	for i := range hosts {
 		candidate := choice.Candidates[i]
 		hosts[i] = string(candidate.Host) + "=" + candidate.Predicted.String()
@@ -274,7 +274,7 @@
 	if !ok {
 		return attemptResult{end: retry.EndLost, reason: "address unknown"}
 	}
-	number := q.answer.Begin()
+	number := q.answer.BeginAttempt()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	tokenTimer := time.AfterFunc(e.config.FirstTokenTimeout, func() { cancel(errTokenTimeout) })
@@ -301,20 +301,20 @@
 		frame := frames.Msg()
 		e.routes.applyLoad(choice.Host, frame.Load)
 		if frame.Refusal != nil {
-			e.node.Answered(choice.Host)
+			e.node.RecordResponse(choice.Host)
 			end := retry.EndRefused
 			switch {
 			case frame.Refusal.Started:
 				end = retry.EndFailed
 			case frame.Refusal.NotLive:
-				end = retry.EndNotLive
+				end = retry.EndWrongWeights
 				e.routes.setLive(choice.Host, frame.Refusal.Live)
 			}
 			return attemptResult{end: end, reason: frame.Refusal.Reason, retryAfter: frame.Refusal.RetryAfter.AsDuration()}
 		}
 		if result, ended := q.acceptFrame(frame); ended {
 			if result.answered {
-				e.node.Answered(choice.Host)
+				e.node.RecordResponse(choice.Host)
 			}
 			return result
 		}
@@ -337,7 +337,7 @@
 	if errors.Is(context.Cause(ctx), errTokenTimeout) {
 		err = errTokenTimeout
 	}
-	q.entry.node.Failed(host)
+	q.entry.node.RecordFailure(host)
 	q.entry.routes.release(host)
 	q.entry.log.Warn("attempt failed", zap.String("RequestID", q.message.RequestId), zap.String("Peer", string(host)), zap.Error(err))
 	return attemptResult{end: retry.EndLost, reason: "backend server was lost"}
@@ -347,7 +347,7 @@
 // received yet. It also reports whether the attempt has ended.
 func (q *modelRequest) acceptFrame(frame *peerv1.RunResponse) (attemptResult, bool) {
 	offset := uint32(len(q.answer.Delivered()))
-	pieces, verdict := q.answer.Frame(stream.Frame{
+	pieces, verdict := q.answer.Accept(stream.Frame{
 		Attempt: frame.Attempt,
 		Offset:  frame.Offset,
 		Pieces:  frame.Pieces,
--- a/internal/transport/entry/callers.go
+++ b/internal/transport/entry/callers.go
@@ -67,7 +67,7 @@
 func (e *Entry) Locate(_ context.Context, request *connect.Request[filbertleverv1.LocateRequest]) (*connect.Response[filbertleverv1.LocateResponse], error) {
 	response := &filbertleverv1.LocateResponse{
 		Entries: e.entryAddresses(request.Msg.Site),
-		Keep:    durationpb.New(e.config.Keep),
+		Keep:    durationpb.New(e.config.LocateTTL),
 	}
 	if current := e.node.Current(); current != nil {
 		response.BundleVersion = current.Head.Version
@@ -177,7 +177,7 @@
 func (e *Entry) deadline(timeout *durationpb.Duration) time.Time {
 	wanted := timeout.AsDuration()
 	if wanted <= 0 {
-		wanted = e.config.Timeout
+		wanted = e.config.DefaultTimeout
 	}
 	return time.Now().Add(min(wanted, maxTimeout))
 }
--- a/internal/transport/entry/entry.go
+++ b/internal/transport/entry/entry.go
@@ -38,14 +38,14 @@
 type Config struct {
 	Host filbertlever.Host
 	// LocateTTL is how long callers may cache a response of Locate.
-	Keep time.Duration
+	LocateTTL time.Duration
 	// DefaultTimeout is the timeout of a request if the caller sets none.
-	Timeout time.Duration
+	DefaultTimeout time.Duration
 	// OrderWriteRate is the maximum number of platform writes per second for the
 	// orders of all entries together.
-	OrderWrites int
-	Routing     routing.Config
-	Retry       retry.Config
+	OrderWriteRate int
+	Routing        routing.Config
+	Retry          retry.Config
 	// FirstTokenTimeout and NextTokenTimeout limit the wait for the first frame of
 	// an attempt and for each further frame.
 	FirstTokenTimeout time.Duration
@@ -55,9 +55,9 @@
 // DefaultConfig returns the configuration used in production.
 func DefaultConfig() Config {
 	return Config{
-		Keep:              30 * time.Second,
-		Timeout:           time.Minute,
-		OrderWrites:       300,
+		LocateTTL:         30 * time.Second,
+		DefaultTimeout:    time.Minute,
+		OrderWriteRate:    300,
 		Routing:           routing.DefaultConfig(),
 		Retry:             retry.DefaultConfig(),
 		FirstTokenTimeout: 10 * time.Second,
@@ -91,7 +91,7 @@
 	e.routes.reports = map[filbertlever.HostID]control.FullReport{}
 	e.routes.loads = map[filbertlever.HostID]control.Load{}
 	e.budget.budget = retry.NewBudget(config.Retry)
-	e.orders.budget = order.NewBudget(float64(config.OrderWrites), 1)
+	e.orders.budget = order.NewBudget(float64(config.OrderWriteRate), 1)
 	e.recorder = &recorder{entry: e, queue: make(chan pendingRecord, recorderQueueSize)}
 	e.perOrganisation.inFlight = map[filbertlever.OrganisationID]int{}
 	n.AddMethod(control.MethodReport, e.handleReport)
@@ -129,7 +129,7 @@
 
 // Drain carries out a planned stop. It returns when no request and no unwritten
 // order result is left, or when ctx is done.
-func (e *Entry) Leave(ctx context.Context) {
+func (e *Entry) Drain(ctx context.Context) {
 	e.node.AnnounceStop()
 	for {
 		unfinished := int(e.inFlight.Load()) + e.recorder.pending()
@@ -165,13 +165,13 @@
 func (b *retryBudget) recordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget.Fresh()
+	b.budget.RecordRequest()
 }
 
 func (b *retryBudget) allow(attempt retry.Attempt, remaining time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.budget.Again(attempt, remaining)
+	return b.budget.Allow(attempt, remaining)
 }
 
 // orderBudget is the entry's share of the platform writes for orders. It is safe
@@ -259,7 +259,7 @@
 		}
 		entries = len(base.Members.Hosts(filbertlever.RoleEntry))
 	})
-	e.orders.setEntries(e.config.OrderWrites, entries)
+	e.orders.setEntries(e.config.OrderWriteRate, entries)
 	e.routes.mu.Lock()
 	defer e.routes.mu.Unlock()
 	for _, agent := range agents {
--- a/internal/transport/entry/orders.go
+++ b/internal/transport/entry/orders.go
@@ -89,7 +89,7 @@
 	case order.StateDone:
 		return &filbertleverv1.OrderResponse{Outcome: filbertleverv1.Outcome_OUTCOME_ANSWERED, Answer: row.Answer}
 	case order.StateUnknown:
-		return &filbertleverv1.OrderResponse{Outcome: filbertleverv1.Outcome_OUTCOME_UNKNOWN, Reason: order.ReasonLost}
+		return &filbertleverv1.OrderResponse{Outcome: filbertleverv1.Outcome_OUTCOME_UNKNOWN, Reason: order.ReasonHostFailed}
 	case order.StateReleased:
 		return &filbertleverv1.OrderResponse{Outcome: filbertleverv1.Outcome_OUTCOME_NOT_RUN}
 	default:
@@ -187,13 +187,13 @@
 		return run.Dispatched(reply, err, time.Now())
 	default:
 		reply, err := p.resolve(ctx, action.Row)
-		return run.Settled(reply, err, time.Now())
+		return run.Resolved(reply, err, time.Now())
 	}
 }
 
 // write stores the row if it has not changed, and notifies the gate of a result.
 func (p *orderRequest) write(ctx context.Context, run *order.Run, key string, action order.Action) order.Action {
-	applied, revisions, conflicts, err := p.entry.platform.Commit(ctx, platform.Write{Key: key, Value: action.Row, Expected: action.Revision})
+	applied, revisions, conflicts, err := p.entry.platform.Commit(ctx, platform.Write{Key: key, Value: action.Row, ExpectedRevision: action.Revision})
 	if err != nil {
 		return run.Wrote(false, order.Row{}, 0, err, time.Now())
 	}
@@ -248,16 +248,16 @@
 
 var gateAnswersByMessage = map[peerv1.GateAnswer]order.GateAnswer{
 	peerv1.GateAnswer_GATE_ANSWER_DONE:              order.GateDone,
-	peerv1.GateAnswer_GATE_ANSWER_NEVER:             order.GateNever,
+	peerv1.GateAnswer_GATE_ANSWER_NEVER:             order.GateFenced,
 	peerv1.GateAnswer_GATE_ANSWER_RUNNING:           order.GateRunning,
 	peerv1.GateAnswer_GATE_ANSWER_UNKNOWN:           order.GateUnknown,
-	peerv1.GateAnswer_GATE_ANSWER_OTHER_INCARNATION: order.GateOther,
+	peerv1.GateAnswer_GATE_ANSWER_OTHER_INCARNATION: order.GateOtherIncarnation,
 }
 
 // gateReply converts an agent's response, and reports a failed call to the node.
 func (p *orderRequest) gateReply(agent filbertlever.HostID, response *connect.Response[peerv1.RunOrderResponse], err error) (order.GateReply, error) {
 	if err != nil {
-		p.entry.node.Failed(agent)
+		p.entry.node.RecordFailure(agent)
 		return order.GateReply{}, fmt.Errorf("order at %s: %w", agent, err)
 	}
 	gate, ok := gateAnswersByMessage[response.Msg.Gate]
--- a/internal/transport/entry/recorder.go
+++ b/internal/transport/entry/recorder.go
@@ -53,12 +53,12 @@
 
 // enqueueRecord queues a result that is not yet stored, if there is one.
 func (p *orderRequest) enqueueRecord(key string, result order.Result) {
-	if result.Record == nil {
+	if result.PendingRow == nil {
 		return
 	}
 	r := p.entry.recorder
 	select {
-	case r.queue <- pendingRecord{order: p, key: key, row: *result.Record, revision: result.Revision}:
+	case r.queue <- pendingRecord{order: p, key: key, row: *result.PendingRow, revision: result.Revision}:
 		r.unwritten.Add(1)
 	default:
 		p.entry.log.Error("order result dropped: the queue of unwritten results is full", zap.String("Organisation", string(p.organisation)))
@@ -87,7 +87,7 @@
 // write stores a result if its row has not changed. It reports whether the record
 // needs no further attempt, which includes a row that has changed since.
 func (r *recorder) write(ctx context.Context, pending pendingRecord) bool {
-	applied, _, _, err := r.entry.platform.Commit(ctx, platform.Write{Key: pending.key, Value: pending.row, Expected: pending.revision})
+	applied, _, _, err := r.entry.platform.Commit(ctx, platform.Write{Key: pending.key, Value: pending.row, ExpectedRevision: pending.revision})
 	if err != nil {
 		return false
 	}
--- a/internal/transport/entry/routes.go
+++ b/internal/transport/entry/routes.go
@@ -51,9 +51,9 @@
 		if err := node.CheckIdentity(caller, report.Full.From); err != nil {
 			return nil, err
 		}
-		e.node.Contact(report.Full.From)
+		e.node.RecordContact(report.Full.From)
 	} else {
-		e.node.Answered(caller.Host)
+		e.node.RecordResponse(caller.Host)
 	}
 	return e.routes.applyReport(caller.Host, report), nil
 }
@@ -68,19 +68,19 @@
 		last = *full
 		r.reports[host] = last
 		r.router.SetHost(full.From.Host, !full.From.Leaving)
-		r.router.SetLoaded(host, targets(full.Live))
+		r.router.SetTargets(host, targets(full.Live))
 	} else if !ok || last.From.Incarnation != report.Incarnation {
 		return control.ReportResponse{WantFull: true}
 	}
 	r.loads[host] = report.Load
 	r.router.Report(host, routing.Load{
-		Sequence:    report.Load.Sequence,
-		Running:     report.Load.Running,
-		Queued:      report.Load.Queued,
-		Concurrency: report.Load.Concurrency,
-		Wait:        report.Load.Wait,
-		Incarnation: report.Incarnation,
-		Seen:        report.Load.Seen,
+		Sequence:      report.Load.Sequence,
+		Running:       report.Load.Running,
+		Queued:        report.Load.Queued,
+		Concurrency:   report.Load.Concurrency,
+		PredictedWait: report.Load.Wait,
+		Incarnation:   report.Incarnation,
+		Received:      report.Load.ReceivedRequests,
 	})
 	return control.ReportResponse{}
 }
@@ -97,7 +97,7 @@
 		})
 	}
 	r.reports[host] = last
-	r.router.SetLoaded(host, targets(last.Live))
+	r.router.SetTargets(host, targets(last.Live))
 }
 
 // targets returns the routing targets that a host with these weights can serve.
@@ -121,13 +121,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.router.Report(host, routing.Load{
-		Sequence:    load.Sequence,
-		Running:     int(load.Running),
-		Queued:      int(load.Queued),
-		Concurrency: int(load.Concurrency),
-		Wait:        load.Wait.AsDuration(),
-		Incarnation: filbertlever.Incarnation(load.Incarnation),
-		Seen:        load.Seen,
+		Sequence:      load.Sequence,
+		Running:       int(load.Running),
+		Queued:        int(load.Queued),
+		Concurrency:   int(load.Concurrency),
+		PredictedWait: load.Wait.AsDuration(),
+		Incarnation:   filbertlever.Incarnation(load.Incarnation),
+		Received:      load.Seen,
 	})
 }
 
@@ -142,7 +142,7 @@
 func (r *routes) release(host filbertlever.HostID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.router.Ended(host)
+	r.router.Release(host)
 }
 
 // versions returns the versions that may answer for a model and adapter: the
@@ -203,7 +203,7 @@
 	e.node.Read(func(base *knowledge.Base) {
 		for _, role := range []filbertlever.Role{filbertlever.RoleEntry, filbertlever.RoleAgent} {
 			for _, host := range base.Members.Hosts(role) {
-				host.Leaving = host.Leaving || base.Stopping(host.ID)
+				host.Leaving = host.Leaving || base.HasPlannedStop(host.ID)
 				status.Hosts = append(status.Hosts, control.HostStatus{Host: host, Usable: base.Usable(host.ID, now)})
 			}
 		}
@@ -215,16 +215,16 @@
 		if h.Host.ID == e.config.Host.ID {
 			h.Usable = !e.node.Leaving()
 			if current := e.node.Current(); current != nil {
-				h.InForce = current.Head.Version
+				h.ActiveVersion = current.Head.Version
 			}
 		}
 		report, ok := e.routes.reports[h.Host.ID]
 		if !ok {
 			continue
 		}
-		h.InForce = report.InForce
+		h.ActiveVersion = report.ActiveVersion
 		h.Weights = report.Weights
-		h.Drawn = report.Drawn
+		h.Fetched = report.Fetched
 		h.Load = e.routes.loads[h.Host.ID]
 	}
 	return status, nil
--- a/internal/transport/gateway/announcements.go
+++ b/internal/transport/gateway/announcements.go
@@ -18,22 +18,22 @@
 
 // recordAnnouncements records the announcements in the head of an answer, before any part of
 // the answer is forwarded. They are ignored if a different server answered at the address.
-func (a *attempts) takeAnnouncements(backend catalog.Backend, reply *Reply) {
+func (a *attempts) recordAnnouncements(backend catalog.Backend, reply *Reply) {
 	g := a.gateway
-	if reply.Life != "" {
+	if reply.ActualServer != "" {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
 	if reply.Draining {
-		a.reportAnnouncement(backend, announcedDraining, reply, g.fleet.NoteDraining(backend, now))
+		a.reportAnnouncement(backend, announcedDraining, reply, g.fleet.RecordDraining(backend, now))
 	}
-	if reply.Closes && g.fleet.NoteConnectionClose(backend, now) {
+	if reply.ConnectionClose && g.fleet.RecordConnectionClose(backend, now) {
 		a.reportAnnouncement(backend, announcedClose, reply, true)
 	}
 	if reply.RetryAfter > 0 {
-		a.reportAnnouncement(backend, announcedRetryAfter, reply, g.fleet.NoteRetryAfter(backend, reply.RetryAfter, now))
+		a.reportAnnouncement(backend, announcedRetryAfter, reply, g.fleet.RecordRetryAfter(backend, reply.RetryAfter, now))
 	}
 }
 
@@ -48,19 +48,19 @@
 		zap.String("What", kind), zap.Int("Status", reply.Status), zap.Duration("For", reply.RetryAfter))
 }
 
-var errServerLeft = errors.New("the server no longer accepts requests")
+var errNotAccepting = errors.New("the server no longer accepts requests")
 
 // checkBeforeSend returns an error if the request must no longer be sent to its server. It is
 // called when a connection is available, which may be some time after placement.
-func (a *attempts) still() error {
-	if a.kept() != nil {
-		return errKept
+func (a *attempts) checkBeforeSend() error {
+	if a.checkQuarantine() != nil {
+		return errQuarantined
 	}
 	g := a.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.fleet.Accepts(a.last.Backend, boottime.Now()) {
-		return errServerLeft
+	if !g.fleet.Accepts(a.placement.Backend, boottime.Now()) {
+		return errNotAccepting
 	}
 	return nil
 }
--- a/internal/transport/gateway/attempts.go
+++ b/internal/transport/gateway/attempts.go
@@ -32,16 +32,16 @@
 	// stream is the state of a streamed response; nil before its head has been received.
 	stream *eventStream
 	// placement is the server chosen for the current attempt, at placedAt.
-	last     fleet.Placement
-	placedAt time.Duration
+	placement fleet.Placement
+	placedAt  time.Duration
 	// startDeadline is when the current attempt is cancelled if its response has not started,
 	// because its server holds a version that soon may not response any more; 0 if there is no
 	// deadline.
-	beginBy    time.Duration
-	startTimer *time.Timer
+	startDeadline time.Duration
+	startTimer    *time.Timer
 	// phase records whether the response of the current attempt has started, or whether the attempt
 	// was cancelled because of startDeadline or a quarantine decision.
-	takenBack attemptPhase
+	phase attemptPhase
 	// cancelAttempt cancels the current attempt; nil if there is none. It is guarded by the
 	// gateway's mu.
 	cancelAttempt func()
@@ -50,11 +50,11 @@
 // run sends the request until it has a final response.
 func (x *exchange) run() {
 	a := &attempts{exchange: x, Attempts: forward.Attempts{
-		Class: forward.Class{Repeatable: x.route.Repeatable(), Servers: x.route.Attempts}}}
+		Class: forward.Class{Repeatable: x.route.Retryable(), MaxServers: x.route.MaxAttempts}}}
 	x.gateway.track(a)
 	defer x.gateway.untrack(a)
 	for first := true; ; first = false {
-		if response := a.kept(); response != nil {
+		if response := a.checkQuarantine(); response != nil {
 			a.fail(response)
 			return
 		}
@@ -66,7 +66,7 @@
 			a.fail(response)
 			return
 		}
-		a.last, a.placedAt = placement, boottime.Now()
+		a.placement, a.placedAt = placement, boottime.Now()
 		a.tried = append(a.tried, placement.Backend)
 		end, reply := a.try(placement)
 		if end == 0 {
@@ -85,14 +85,14 @@
 	id := placement.Backend.ID
 	defer func() {
 		g.mu.Lock()
-		g.fleet.EndedAt(placement.Backend)
+		g.fleet.ReleaseIfCurrent(placement.Backend)
 		a.cancelAttempt = nil
 		g.mu.Unlock()
 	}()
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	watch := a.watchHead(placement.Backend, cancel)
-	defer a.watchBegin(cancel)()
+	defer a.watchStart(cancel)()
 	g.mu.Lock()
 	a.cancelAttempt = cancel
 	g.mu.Unlock()
@@ -101,8 +101,8 @@
 	if err != nil {
 		return a.handleSendError(id, err), nil
 	}
-	a.takeAnnouncements(placement.Backend, reply)
-	if end := a.judge(id, reply); end != 0 {
+	a.recordAnnouncements(placement.Backend, reply)
+	if end := a.classifyReply(id, reply); end != 0 {
 		if end != forward.EndFailed {
 			reply.Finish(a.discardSmallBody(reply))
 			return end, nil
@@ -119,12 +119,12 @@
 func (a *attempts) dispatch(placement fleet.Placement) *Dispatch {
 	d := &Dispatch{
 		Call: a.call, Backend: placement.Backend, Organisation: a.organisation.ID,
-		Urgency: min(max(a.priority, 0), lowestPriority), Left: max(a.remaining(), 0), Version: placement.Version,
-		Still: a.still,
+		Priority: min(max(a.priority, 0), lowestPriority), TimeLeft: max(a.remaining(), 0), Version: placement.Version,
+		BeforeSend: a.checkBeforeSend,
 	}
 	if a.stream != nil {
 		// The caller is waiting in the middle of its response.
-		d.LastEvent, d.Urgency = a.stream.lastEvent, 0
+		d.LastEvent, d.Priority = a.stream.lastEvent, 0
 	}
 	return d
 }
@@ -151,27 +151,27 @@
 func (a *attempts) reportServerFailure(id string, end forward.End, err error) {
 	g := a.gateway
 	g.log.Warn("attempt failed", zap.String("Request", a.call.ID), zap.Stringer("Fingerprint", a.fingerprint()),
-		zap.String("Backend", id), zap.Int64("Boot", int64(a.last.Backend.Boot)), zap.Stringer("End", end), zap.Error(err))
+		zap.String("Backend", id), zap.Int64("Boot", int64(a.placement.Backend.Boot)), zap.Stringer("End", end), zap.Error(err))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case g.fleet.Followed(a.last.Backend):
+	case g.fleet.Superseded(a.placement.Backend):
 	case end == forward.EndUnsent:
-		g.fleet.Unreachable(id, boottime.Now())
+		g.fleet.RecordUnreachable(id, boottime.Now())
 	default:
-		g.fleet.Failed(id, boottime.Now())
+		g.fleet.RecordFailure(id, boottime.Now())
 	}
 }
 
 // classifyReply classifies the head of a response; 0 means that the response can be forwarded.
-func (a *attempts) judge(id string, reply *Reply) forward.End {
+func (a *attempts) classifyReply(id string, reply *Reply) forward.End {
 	switch {
-	case reply.NotRun && reply.Moved:
-		a.moved(id, reply)
-		return forward.EndMoved
+	case reply.NotRun && reply.Misdirected:
+		a.handleMisdirected(id, reply)
+		return forward.EndWrongServer
 	case reply.NotRun:
 		return forward.EndRefused
-	case !reply.Sound:
+	case !reply.Verified:
 		a.reportServerFailure(id, forward.EndLost, errNoReceipt)
 		return forward.EndLost
 	case reply.Status >= http.StatusInternalServerError:
@@ -181,28 +181,28 @@
 	g := a.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now := boottime.Now(); !g.fleet.Followed(a.last.Backend) {
-		g.fleet.Answered(id, now)
-		g.fleet.Progress(id, now)
+	if now := boottime.Now(); !g.fleet.Superseded(a.placement.Backend) {
+		g.fleet.RecordSuccess(id, now)
+		g.fleet.RecordProgress(id, now)
 	}
 	return 0
 }
 
 // handleMisdirected updates the fleet after a response from a different server at the address, or
 // from the server without the requested model.
-func (a *attempts) moved(id string, reply *Reply) {
+func (a *attempts) handleMisdirected(id string, reply *Reply) {
 	g := a.gateway
-	g.log.Info("a different server answered at the address", zap.String("Request", a.call.ID), zap.String("Backend", id), zap.String("Found", reply.Life))
+	g.log.Info("a different server answered at the address", zap.String("Request", a.call.ID), zap.String("Backend", id), zap.String("Found", reply.ActualServer))
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.fleet.Followed(a.last.Backend) {
+	if g.fleet.Superseded(a.placement.Backend) {
 		return
 	}
-	if reply.Life != "" {
-		g.fleet.Replaced(id, boottime.Now())
+	if reply.ActualServer != "" {
+		g.fleet.RecordReplaced(id, boottime.Now())
 		return
 	}
-	g.fleet.NoteModelMissing(id, boottime.Now())
+	g.fleet.RecordModelMissing(id, boottime.Now())
 }
 
 // errNoReceipt means that a response lacks the server's receipt, or was altered on the way.
@@ -222,15 +222,15 @@
 	g := a.gateway
 	if a.callerDisconnected() {
 		a.discardFailure(failure)
-		a.recordOutcome(0, reasonCallerDisconnected, zap.String("Backend", a.last.Backend.ID))
+		a.recordOutcome(0, reasonCallerDisconnected, zap.String("Backend", a.placement.Backend.ID))
 		return false
 	}
 	g.mu.Lock()
-	step := a.After(end, g.retryBudget(a.service), a.remaining(), boottime.Now(), true)
+	step := a.NextStep(end, g.retryBudget(a.service), a.remaining(), boottime.Now(), true)
 	g.mu.Unlock()
-	g.log.Info("attempt ended", zap.String("Request", a.call.ID), zap.String("Backend", a.last.Backend.ID),
+	g.log.Info("attempt ended", zap.String("Request", a.call.ID), zap.String("Backend", a.placement.Backend.ID),
 		zap.Stringer("End", end), zap.Stringer("Step", step), zap.Int("Sent", a.Sent()), zap.Duration("Left", a.remaining()))
-	if step == forward.StepAgain {
+	if step == forward.StepRetry {
 		a.discardFailure(failure)
 		if end == forward.EndLost {
 			a.awaitDecision()
@@ -238,13 +238,13 @@
 		g.metrics.retries.WithLabelValues(a.service, end.String()).Inc()
 		return true
 	}
-	if step == forward.StepPass && failure != nil && a.stream == nil {
+	if step == forward.StepForwardFailure && failure != nil && a.stream == nil {
 		a.passFailure(failure)
 		return false
 	}
 	a.discardFailure(failure)
 	response := a.errorFor(step)
-	if step == forward.StepNotRun && end == forward.EndMoved {
+	if step == forward.StepNotRun && end == forward.EndWrongServer {
 		response.retryAfter = a.retryDelayUntilReady()
 	}
 	a.fail(response)
@@ -260,7 +260,7 @@
 
 // passFailure forwards a server's own failure to the caller.
 func (a *attempts) passFailure(failure *Reply) {
-	if end := a.relayResponse(a.last.Backend.ID, failure); end != 0 {
+	if end := a.relayResponse(a.placement.Backend.ID, failure); end != 0 {
 		a.fail(a.errorFor(forward.StepUnknown))
 	}
 }
--- a/internal/transport/gateway/badrows.go
+++ b/internal/transport/gateway/badrows.go
@@ -17,7 +17,7 @@
 
 // badRowTracker tracks invalid rows of the store. The zero value is empty. The gateway's lock
 // guards it.
-type badRows struct {
+type badRowTracker struct {
 	// reported holds the revisions of the rows that were reported.
 	reported map[badRowKey]uint64
 	// withheld holds the servers that are currently not used, by ID.
@@ -37,7 +37,7 @@
 // A bad row stays in the store, and is received again with each read of its table and from
 // each entry that passes it on. If it were reported each time, it would hide all other log
 // lines, and the metric would count reads.
-func (b *badRows) isNew(bad BadRow) bool {
+func (b *badRowTracker) isNew(bad BadRow) bool {
 	key := badRowKey{bad.Table, bad.Key, bad.Cause}
 	if revision, ok := b.reported[key]; ok && bad.Revision <= revision {
 		return false
@@ -51,9 +51,9 @@
 
 // reportBadRows counts and logs invalid rows, once for each change of a row. The caller
 // holds the lock.
-func (g *Gateway) noteBad(rows []BadRow) {
+func (g *Gateway) reportBadRows(rows []BadRow) {
 	for _, bad := range rows {
-		if !g.bad.isNew(bad) {
+		if !g.badRows.isNew(bad) {
 			continue
 		}
 		g.metrics.badRows.WithLabelValues(string(bad.Table), string(bad.Cause)).Inc()
@@ -78,27 +78,27 @@
 // mistaken for the server's next start and put the live server out of use until that server's row
 // changed. Such a row is withheld until a desired state contains its service.
 func (g *Gateway) withhold(b Backends, whole bool) (present []catalog.Backend, gone []string) {
-	if whole || g.bad.withheld == nil {
-		g.bad.withheld = map[string]catalog.Backend{}
+	if whole || g.badRows.withheld == nil {
+		g.badRows.withheld = map[string]catalog.Backend{}
 	}
 	state := g.state.Load()
 	for _, backend := range b.Present {
-		g.bad.bootsReported = g.bad.bootsReported || backend.Boot != 0
+		g.badRows.bootsReported = g.badRows.bootsReported || backend.Boot != 0
 	}
-	for _, id := range b.Gone {
-		delete(g.bad.withheld, id)
-		if g.fleet.Known(id) {
+	for _, id := range b.Removed {
+		delete(g.badRows.withheld, id)
+		if g.fleet.Contains(id) {
 			gone = append(gone, id)
 		}
 	}
 	for _, backend := range b.Present {
-		if serves(state, backend) && g.bad.hasKnownBoot(backend) {
-			delete(g.bad.withheld, backend.ID)
+		if serves(state, backend) && g.badRows.hasKnownBoot(backend) {
+			delete(g.badRows.withheld, backend.ID)
 			present = append(present, backend)
 			continue
 		}
-		g.bad.withheld[backend.ID] = backend
-		if g.fleet.Known(backend.ID) {
+		g.badRows.withheld[backend.ID] = backend
+		if g.fleet.Contains(backend.ID) {
 			gone = append(gone, backend.ID)
 		}
 	}
@@ -119,7 +119,7 @@
 //
 // A row without a boot, from another program or an earlier process, would be attributed to the
 // known boot. Requests for the versions that one boot held would then be sent to the next.
-func (b *badRows) hasKnownBoot(backend catalog.Backend) bool {
+func (b *badRowTracker) hasKnownBoot(backend catalog.Backend) bool {
 	return backend.Boot != 0 || !b.bootsReported
 }
 
@@ -129,23 +129,23 @@
 	if state == nil {
 		return
 	}
-	for id, backend := range g.bad.withheld {
+	for id, backend := range g.badRows.withheld {
 		bad := BadRow{Table: TableBackends, Key: id, Revision: backend.Revision, Cause: CauseService, Err: errUnknownService}
 		if serves(state, backend) {
 			bad.Cause, bad.Err = CauseMissing, errMissingBoot
 		}
-		g.noteBad([]BadRow{bad})
+		g.reportBadRows([]BadRow{bad})
 	}
 }
 
 // releaseWithheld adds to the fleet the withheld servers whose service a new desired state
 // contains. The caller holds the lock.
-func (g *Gateway) release(state *catalog.State, now time.Duration) {
+func (g *Gateway) releaseWithheld(state *catalog.State, now time.Duration) {
 	var present []catalog.Backend
-	for id, backend := range g.bad.withheld {
-		if serves(state, backend) && g.bad.hasKnownBoot(backend) {
+	for id, backend := range g.badRows.withheld {
+		if serves(state, backend) && g.badRows.hasKnownBoot(backend) {
 			present = append(present, backend)
-			delete(g.bad.withheld, id)
+			delete(g.badRows.withheld, id)
 		}
 	}
 	g.reportWithheld(state)
@@ -155,5 +155,5 @@
 	slices.SortFunc(present, func(a, b catalog.Backend) int { return cmp.Compare(a.Revision, b.Revision) })
 	g.fleet.Apply(present, nil, false, now)
 	g.logBackends(Backends{Present: present})
-	go g.runLearn(present)
+	go g.runFetchManifests(present)
 }
--- a/internal/transport/gateway/badrows_test.go
+++ b/internal/transport/gateway/badrows_test.go
@@ -57,20 +57,20 @@
 	g, logs, registry := newBadRowGateway()
 	bad := BadRow{Table: TableBackends, Key: "x", Revision: 7, Cause: CauseRange, Err: errName}
 	for range 5 {
-		g.noteBad([]BadRow{bad, {Table: TableBackends, Cause: CauseEnvelope, Err: errName}})
+		g.reportBadRows([]BadRow{bad, {Table: TableBackends, Cause: CauseEnvelope, Err: errName}})
 	}
 	c.Assert(logs.FilterMessage("invalid row ignored").Len(), qt.Equals, 2)
 	c.Assert(badRowCount(t, registry, CauseRange), qt.Equals, 1.0)
 	bad.Revision = 9
-	g.noteBad([]BadRow{bad})
+	g.reportBadRows([]BadRow{bad})
 	bad.Revision = 7
-	g.noteBad([]BadRow{bad})
+	g.reportBadRows([]BadRow{bad})
 	c.Assert(logs.FilterMessage("invalid row ignored").Len(), qt.Equals, 3)
 	c.Assert(badRowCount(t, registry, CauseRange), qt.Equals, 2.0)
 	for n := range 3 * maxTrackedBadRows {
-		g.noteBad([]BadRow{{Table: TableBackends, Key: fmt.Sprint(n), Revision: 10, Cause: CauseRange, Err: errName}})
+		g.reportBadRows([]BadRow{{Table: TableBackends, Key: fmt.Sprint(n), Revision: 10, Cause: CauseRange, Err: errName}})
 	}
-	c.Assert(len(g.bad.reported) <= maxTrackedBadRows, qt.IsTrue)
+	c.Assert(len(g.badRows.reported) <= maxTrackedBadRows, qt.IsTrue)
 }
 
 // A live server got no requests for minutes, because another program had written a row with an
@@ -90,7 +90,7 @@
 	state := stateWithServices("orders")
 	g.fleet.SetState(state, time.Second)
 	g.state.Store(state)
-	g.release(state, time.Second)
+	g.releaseWithheld(state, time.Second)
 	for range 2 {
 		c.Assert(g.fleet.Backends("orders"), qt.DeepEquals, []catalog.Backend{live})
 		c.Assert(logs.FilterMessage("invalid row ignored").Len(), qt.Equals, 1)
@@ -99,20 +99,20 @@
 	// Once a desired state contains the service, its server is used without a new row.
 	added := catalog.Backend{ID: "i-2", Revision: 10, Service: "added", Address: "10.0.0.2:1"}
 	apply(Backends{Present: []catalog.Backend{added}}, false)
-	c.Assert(g.fleet.Known("i-2"), qt.IsFalse)
+	c.Assert(g.fleet.Contains("i-2"), qt.IsFalse)
 	state = stateWithServices("orders", "added")
 	g.fleet.SetState(state, time.Second)
 	g.state.Store(state)
-	g.release(state, time.Second)
+	g.releaseWithheld(state, time.Second)
 	c.Assert(g.fleet.Backends("added"), qt.DeepEquals, []catalog.Backend{added})
 	// A server in use whose row changes to an unknown service is no longer used.
 	live.Service = "odd"
 	apply(Backends{Present: []catalog.Backend{live}}, false)
 	c.Assert(g.fleet.Backends("orders"), qt.HasLen, 0)
 	// A withheld server that was removed is not released.
-	apply(Backends{Gone: []string{"x"}}, false)
-	g.release(stateWithServices("odd"), time.Second)
-	c.Assert(g.fleet.Known("x"), qt.IsFalse)
+	apply(Backends{Removed: []string{"x"}}, false)
+	g.releaseWithheld(stateWithServices("odd"), time.Second)
+	c.Assert(g.fleet.Contains("x"), qt.IsFalse)
 }
 
 // On an installation whose servers report no boots, every request was refused with "no server",
@@ -135,8 +135,8 @@
 	c.Assert(g.fleet.Backends("orders"), qt.HasLen, 2)
 	c.Assert(logs.Len(), qt.Equals, 0)
 	apply(row(1, 3, 1000), row(3, 4, 0))
-	c.Assert(g.fleet.Known("i-1"), qt.IsTrue)
-	c.Assert(g.fleet.Known("i-3"), qt.IsFalse)
+	c.Assert(g.fleet.Contains("i-1"), qt.IsTrue)
+	c.Assert(g.fleet.Contains("i-3"), qt.IsFalse)
 	apply(row(1, 5, 0))
 	c.Assert(g.fleet.Backends("orders"), qt.DeepEquals, []catalog.Backend{row(2, 2, 0)})
 	c.Assert(logs.FilterMessage("invalid row ignored").Len(), qt.Equals, 2)
@@ -168,18 +168,18 @@
 // server out of use permanently or direct callers to an invalid address.
 func TestDatagramsWithInvalidFieldsAreRejected(t *testing.T) {
 	c := qt.New(t)
-	for _, valid := range []string{`{}`, `{"Changed":true}`, `{"Beat":{` + validEntryJSON + `,"Named":[{"Model":"d","Version":2,"Age":5,"Known":true}]}}`,
+	for _, valid := range []string{`{}`, `{"Changed":true}`, `{"Heartbeat":{` + validEntryJSON + `,"Named":[{"Model":"d","Version":2,"Age":5,"Known":true}]}}`,
 		`{"Counts":{"From":"e","Sequence":-4,"Requests":{"i-1":3}}}`, `{"Load":{"Load":{"Address":"10.0.0.1:1","Running":3,"Models":[{"Name":"d","Version":2}],"LeavesIn":-5},"Named":[{"Model":"d","Version":2,"Age":5}]}}`} {
-		_, err := DecodeDatagram(message(valid))
+		_, err := DecodeDatagram(encodeJSONDatagram(valid))
 		c.Check(err, qt.IsNil, qt.Commentf(valid))
 	}
-	for _, invalid := range []string{``, `7`, `{"Beat":{}}`, `{"Beat":7}`, `{"Beat":{` + strings.Replace(validEntryJSON, "10.0.0.1:3", "", 1) + `}}`,
-		`{"Beat":{` + strings.Replace(validEntryJSON, `"Host":"e"`, `"Host":""`, 1) + `}}`,
-		`{"Beat":{` + validEntryJSON + `,"Named":[{"Age":-5}]}}`, `{"Beat":{` + validEntryJSON + `,"Named":[{"Version":18446744073709551615}]}}`,
+	for _, invalid := range []string{``, `7`, `{"Heartbeat":{}}`, `{"Heartbeat":7}`, `{"Heartbeat":{` + strings.Replace(validEntryJSON, "10.0.0.1:3", "", 1) + `}}`,
+		`{"Heartbeat":{` + strings.Replace(validEntryJSON, `"Host":"e"`, `"Host":""`, 1) + `}}`,
+		`{"Heartbeat":{` + validEntryJSON + `,"Named":[{"Age":-5}]}}`, `{"Heartbeat":{` + validEntryJSON + `,"Named":[{"Version":18446744073709551615}]}}`,
 		`{"Counts":{}}`, `{"Counts":{"From":"e","Requests":{"i-1":-3}}}`, `{"Counts":{"From":"e","Requests":{"i-1":1e400}}}`,
 		`{"Load":{"Load":{"Running":-1}}}`, `{"Load":{"Load":{"Queued":9000000000}}}`, `{"Load":{"Load":{"LoadedIn":9000000000000000000}}}`,
 		`{"Load":{"Load":{"Models":[{"Version":2}]}}}`, `{"Load":{"Named":[{"Age":-5}]}}`, `{"Load":{"Load":{"Pace":-1.5}}}`} {
-		_, err := DecodeDatagram(message(invalid))
+		_, err := DecodeDatagram(encodeJSONDatagram(invalid))
 		c.Check(err, qt.ErrorMatches, "(?s)decode datagram: .*", qt.Commentf(invalid))
 	}
 }
@@ -191,7 +191,7 @@
 	feed := func(revision, age string, body []byte) (FeedResponse, error) {
 		return decodeFeed(http.Header{headerRevision: {revision}, headerAge: {age}}, bytes.NewReader(body))
 	}
-	response, err := feed("7", "5", pack([]byte("[]")))
+	response, err := feed("7", "5", compressRows([]byte("[]")))
 	c.Assert(err, qt.IsNil)
 	c.Assert(response.Revision, qt.Equals, uint64(7))
 	for _, invalid := range []struct {
@@ -199,8 +199,8 @@
 		body          []byte
 	}{
 		{"", "5", nil}, {"x", "5", nil}, {"18446744073709551615", "5", nil}, {"7", "-5", nil}, {"7", "", nil},
-		{"7", "5", []byte("7")}, {"7", "5", pack([]byte("7"))}, {"7", "5", pack([]byte("[}"))},
-		{"7", "5", pack([]byte("[" + strings.Repeat(" ", maxDecompressedBytes) + "]"))},
+		{"7", "5", []byte("7")}, {"7", "5", compressRows([]byte("7"))}, {"7", "5", compressRows([]byte("[}"))},
+		{"7", "5", compressRows([]byte("[" + strings.Repeat(" ", maxDecompressedBytes) + "]"))},
 	} {
 		_, err := feed(invalid.revision, invalid.age, invalid.body)
 		c.Check(err, qt.ErrorMatches, "decode feed: .*")
--- a/internal/transport/gateway/boots_test.go
+++ b/internal/transport/gateway/boots_test.go
@@ -30,7 +30,7 @@
 	state := catalog.New(1, nil, []catalog.Service{{Name: "orders"}}, nil, catalog.Limits{})
 	g.state.Store(state)
 	g.fleet.SetState(state, boottime.Now())
-	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(1000, 1)}}, true, boottime.Now())
+	g.applyBackends(Backends{Present: []catalog.Backend{bootRow(1000, 1)}}, true, boottime.Now())
 	return g, logs
 }
 
@@ -46,9 +46,9 @@
 	c := qt.New(t)
 	g, logs := newEntryWithBoot(t)
 	c.Assert(g.fleet.Choose(fleet.Request{Service: "orders"}, boottime.Now()).Found, qt.IsTrue)
-	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, boottime.Now())
+	g.applyBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, boottime.Now())
 	c.Assert(logs.FilterMessage("backend server started again").Len(), qt.Equals, 1)
-	g.take(&Datagram{Load: &LoadReport{Load: fleet.Load{Address: "10.0.0.1:1", Boot: 3000}}}, g.socket.Address())
+	g.handleDatagram(&Datagram{Load: &LoadReport{Load: fleet.Report{Address: "10.0.0.1:1", Boot: 3000}}}, g.socket.Address())
 	lines := logs.FilterMessage("backend server started again").All()
 	c.Assert(lines, qt.HasLen, 2)
 	c.Assert(lines[0].ContextMap(), qt.DeepEquals, map[string]any{"Backend": "i-1", "Source": "Row", "Before": int64(1000), "After": int64(2000),
@@ -64,22 +64,22 @@
 	g, _ := newEntryWithBoot(t)
 	now := boottime.Now()
 	for _, entry := range []Entry{{Host: "e2"}, {Host: "e3"}} {
-		g.peers.hear(entry, true, false, now)
+		g.peers.observeHeartbeat(entry, true, false, now)
 	}
-	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, now)
+	g.applyBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, now)
 	ahead := func() int {
 		placement := g.fleet.Choose(fleet.Request{Service: "orders"}, now)
-		g.fleet.EndedAt(placement.Backend)
-		return placement.Ahead
+		g.fleet.ReleaseIfCurrent(placement.Backend)
+		return placement.QueuePosition
 	}
-	g.takeCounts(&Counts{From: "e2", Sequence: 1, Requests: map[string]int{"i-1": 20}, Silent: []string{"i-1"}}, now)
+	g.applyCounts(&Counts{From: "e2", Sequence: 1, Requests: map[string]int{"i-1": 20}, Silent: []string{"i-1"}}, now)
 	c.Assert(ahead(), qt.Equals, 1-4)
-	counts := g.counts(now)
+	counts := g.ownCounts(now)
 	c.Assert(counts.Boots, qt.HasLen, 0)
 	g.fleet.Choose(fleet.Request{Service: "orders"}, now)
-	counts = g.counts(now)
+	counts = g.ownCounts(now)
 	c.Assert(counts.Boots, qt.DeepEquals, map[string]catalog.Boot{"i-1": 2000})
-	g.takeCounts(&Counts{From: "e3", Sequence: 1, Requests: map[string]int{"i-1": 3}, Boots: counts.Boots}, now+time.Millisecond)
+	g.applyCounts(&Counts{From: "e3", Sequence: 1, Requests: map[string]int{"i-1": 3}, Boots: counts.Boots}, now+time.Millisecond)
 	c.Assert(ahead(), qt.Equals, 5-4)
 }
 
@@ -90,15 +90,15 @@
 	g, _ := newEntryWithBoot(t)
 	now := boottime.Now()
 	a := &attempts{exchange: &exchange{gateway: g, call: &Call{ID: "o1"}}}
-	a.last = g.fleet.Choose(fleet.Request{Service: "orders"}, now)
+	a.placement = g.fleet.Choose(fleet.Request{Service: "orders"}, now)
 	moved := bootRow(2000, 2)
 	moved.Address = "10.0.0.2:1"
-	g.takeBackends(Backends{Present: []catalog.Backend{moved}}, false, now)
-	a.moved("i-1", &Reply{Life: "i-9"})
-	c.Assert(g.fleet.Known("i-1"), qt.IsTrue)
-	a.last = g.fleet.Choose(fleet.Request{Service: "orders"}, now)
-	a.moved("i-1", &Reply{Life: "i-9"})
-	c.Assert(g.fleet.Known("i-1"), qt.IsFalse)
+	g.applyBackends(Backends{Present: []catalog.Backend{moved}}, false, now)
+	a.handleMisdirected("i-1", &Reply{ActualServer: "i-9"})
+	c.Assert(g.fleet.Contains("i-1"), qt.IsTrue)
+	a.placement = g.fleet.Choose(fleet.Request{Service: "orders"}, now)
+	a.handleMisdirected("i-1", &Reply{ActualServer: "i-9"})
+	c.Assert(g.fleet.Contains("i-1"), qt.IsFalse)
 }
 
 // A stalled link may deliver late answers of a server's previous boot. Counted as progress of the
@@ -109,19 +109,19 @@
 	a := &attempts{exchange: &exchange{gateway: g, call: &Call{ID: "o1"}}}
 	for range 2 {
 		// The first request to an idle server starts the time without progress.
-		a.last = g.fleet.Choose(fleet.Request{Service: "orders"}, boottime.Now()-time.Second)
+		a.placement = g.fleet.Choose(fleet.Request{Service: "orders"}, boottime.Now()-time.Second)
 	}
-	before := a.last
-	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, boottime.Now()-time.Second)
+	before := a.placement
+	g.applyBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, boottime.Now()-time.Second)
 	after := g.fleet.Choose(fleet.Request{Service: "orders"}, boottime.Now()-time.Second)
 	c.Assert(after.Found, qt.IsTrue)
 	c.Assert(g.fleet.Stalled("i-1", boottime.Now()), qt.IsTrue)
-	a.last = before
-	c.Assert(a.judge("i-1", &Reply{Sound: true, Status: 200}), qt.Equals, forward.End(0))
-	a.observe("i-1", true)
+	a.placement = before
+	c.Assert(a.classifyReply("i-1", &Reply{Verified: true, Status: 200}), qt.Equals, forward.End(0))
+	a.recordProgress("i-1", true)
 	c.Assert(g.fleet.Stalled("i-1", boottime.Now()), qt.IsTrue)
-	a.last = after
-	a.observe("i-1", true)
+	a.placement = after
+	a.recordProgress("i-1", true)
 	c.Assert(g.fleet.Stalled("i-1", boottime.Now()), qt.IsFalse)
 }
 
@@ -132,12 +132,12 @@
 	g, _ := newEntryWithBoot(t)
 	now := boottime.Now()
 	wanted := fleet.Request{Service: "orders"}
-	w := &headWatch{gateway: g, goal: time.Second, backend: g.fleet.Choose(wanted, now).Backend, wanted: wanted}
-	w.wanted.Avoid = []filbertlever.HostID{"i-1"}
+	w := &headWatch{gateway: g, goal: time.Second, backend: g.fleet.Choose(wanted, now).Backend, request: wanted}
+	w.request.Avoid = []filbertlever.HostID{"i-1"}
 	other := bootRow(1000, 2)
 	other.ID, other.Address = "i-2", "10.0.0.2:1"
-	g.takeBackends(Backends{Present: []catalog.Backend{other}}, false, now)
-	c.Assert(w.late(500*time.Millisecond), qt.IsFalse)
-	g.takeBackends(Backends{Present: []catalog.Backend{bootRow(2000, 3)}}, false, now)
-	c.Assert(w.late(500*time.Millisecond), qt.IsTrue)
+	g.applyBackends(Backends{Present: []catalog.Backend{other}}, false, now)
+	c.Assert(w.shouldReroute(500*time.Millisecond), qt.IsFalse)
+	g.applyBackends(Backends{Present: []catalog.Backend{bootRow(2000, 3)}}, false, now)
+	c.Assert(w.shouldReroute(500*time.Millisecond), qt.IsTrue)
 }
--- a/internal/transport/gateway/counts.go
+++ b/internal/transport/gateway/counts.go
@@ -10,9 +10,9 @@
 )
 
 // ownCounts returns the counts to send to the other entries. The caller holds the lock.
-func (g *Gateway) counts(now time.Duration) Counts {
-	counts := Counts{From: g.config.Self.Host, Sequence: int64(now), Requests: g.fleet.Counts(), Silent: g.fleet.Silent(now)}
-	counts.Boots = g.fleet.Boots(slices.Concat(slices.Collect(maps.Keys(counts.Requests)), counts.Silent), now)
+func (g *Gateway) ownCounts(now time.Duration) Counts {
+	counts := Counts{From: g.config.Self.Host, Sequence: int64(now), Requests: g.fleet.InFlightCounts(), Silent: g.fleet.SilentServers(now)}
+	counts.Boots = g.fleet.RecentBoots(slices.Concat(slices.Collect(maps.Keys(counts.Requests)), counts.Silent), now)
 	return counts
 }
 
@@ -45,9 +45,9 @@
 		now := boottime.Now()
 		g.mu.Lock()
 		local, remote := g.peers.regionCounts()
-		counts := g.counts(now)
-		reports := g.advanceCrashes(now)
-		g.keepVerdicts(ctx)
+		counts := g.ownCounts(now)
+		reports := g.advanceQuarantine(now)
+		g.persistHolds(ctx)
 		var everyone []string
 		if len(reports) > 0 {
 			everyone = g.peers.addresses(scopeAll)
--- a/internal/transport/gateway/crashes.go
+++ b/internal/transport/gateway/crashes.go
@@ -73,15 +73,15 @@
 func (a *attempts) maybeSuspected() bool {
 	g := a.gateway
 	g.mu.Lock()
-	noSuspects := g.crashes.Quiet()
+	noSuspects := g.crashes.NoSuspects()
 	g.mu.Unlock()
 	if noSuspects {
 		return false
 	}
-	head := a.identity().Head()
+	head := a.identity().MetadataHash()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.crashes.Knows(head)
+	return g.crashes.MaySuspect(head)
 }
 
 // checkQuarantine returns the error response for a quarantined request; nil if the request may be
@@ -90,7 +90,7 @@
 // The same request returns under another ID and crashes its server together with everything that
 // the server runs. After three crashes, neither a caller's retry nor this entry's next attempt is
 // sent.
-func (a *attempts) kept() *errorResponse {
+func (a *attempts) checkQuarantine() *errorResponse {
 	if !a.maybeSuspected() {
 		return nil
 	}
@@ -101,7 +101,7 @@
 	switch {
 	case held:
 		return unavailable(reasonQuarantined, left)
-	case g.crashes.Suspected(f, boottime.Now()) && a.duplicateInFlight(f):
+	case g.crashes.OneCrashFromHold(f, boottime.Now()) && a.duplicateInFlight(f):
 		return unavailable(reasonAlreadyInFlight, retryAfterSuspected)
 	}
 	return nil
@@ -121,7 +121,7 @@
 // matches reports whether the request has the fingerprint f. The body is hashed only if everything
 // else is the same.
 func (a *attempts) matches(f quarantine.Fingerprint) bool {
-	return a.identity().Head() == f.Head() && a.fingerprint() == f
+	return a.identity().MetadataHash() == f.MetadataHash() && a.fingerprint() == f
 }
 
 // awaitDecision delays the retry of a request that one more crash would quarantine, until it is
@@ -135,7 +135,7 @@
 	}
 	g, f := a.gateway, a.fingerprint()
 	g.mu.Lock()
-	suspected := g.crashes.Suspected(f, boottime.Now())
+	suspected := g.crashes.OneCrashFromHold(f, boottime.Now())
 	g.mu.Unlock()
 	if !suspected {
 		return
@@ -148,7 +148,7 @@
 	}
 }
 
-var errKept = errors.New("the request has been quarantined")
+var errQuarantined = errors.New("the request has been quarantined")
 
 // processOf identifies the process that a request was sent to.
 func processOf(b catalog.Backend) quarantine.Process {
@@ -158,12 +158,12 @@
 // noteIncomplete records an attempt without a complete response, and checks whether its server has
 // crashed.
 func (a *attempts) noteIncomplete(err error) {
-	g, f, backend := a.gateway, a.fingerprint(), a.last.Backend
+	g, f, backend := a.gateway, a.fingerprint(), a.placement.Backend
 	process, now := processOf(backend), boottime.Now()
 	byPeer := closedByPeer(err) && !errors.Is(err, errWriteToCaller)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.crashes.Broke(f, process, byPeer, now)
+	g.crashes.RecordFailure(f, process, byPeer, now)
 	if at, ok := g.crashes.probedAt[process]; byPeer && (!ok || now-at > probeInterval) {
 		if len(g.crashes.probedAt) >= maxProbedProcesses {
 			clear(g.crashes.probedAt)
@@ -185,7 +185,7 @@
 	g, f := a.gateway, a.fingerprint()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.crashes.Answered(f, boottime.Now())
+	g.crashes.RecordAnswer(f, boottime.Now())
 }
 
 // track adds a request to those in flight, and untrack removes it.
@@ -218,7 +218,7 @@
 func (g *Gateway) probeServer(backend catalog.Backend) {
 	for _, delay := range []time.Duration{firstProbeDelay, secondProbeDelay} {
 		time.Sleep(delay)
-		if g.sender.Gone(backend) {
+		if g.sender.ConnectionRefused(backend) {
 			g.mu.Lock()
 			g.noteServerCrash(backend, "ConnectionRefused")
 			g.mu.Unlock()
@@ -230,7 +230,7 @@
 // noteServerCrash records that a server's process has ended. The caller holds g.mu.
 func (g *Gateway) noteServerCrash(backend catalog.Backend, evidence string) {
 	now := boottime.Now()
-	requests := g.crashes.Ended(processOf(backend), now)
+	requests := g.crashes.RecordCrash(processOf(backend), now)
 	if len(requests) == 0 {
 		return
 	}
@@ -245,31 +245,31 @@
 
 // advanceQuarantine decides which requests are quarantined, cancels their attempts, and returns the
 // reports for the other entries. The caller holds g.mu.
-func (g *Gateway) advanceCrashes(now time.Duration) []quarantine.News {
-	for _, replaced := range g.fleet.Replacements() {
+func (g *Gateway) advanceQuarantine(now time.Duration) []quarantine.CrashReport {
+	for _, replaced := range g.fleet.TakeReplaced() {
 		g.noteServerCrash(replaced, "Replaced")
 	}
 	for _, f := range g.crashes.Advance(now) {
-		g.log.Warn("request quarantined", zap.Stringer("Fingerprint", f), zap.Int("Ends", g.crashes.Ends(f)))
+		g.log.Warn("request quarantined", zap.Stringer("Fingerprint", f), zap.Int("Ends", g.crashes.CrashCount(f)))
 		g.cancelAttempts(f)
 	}
-	return g.crashes.Fresh(now)
+	return g.crashes.NewReports(now)
 }
 
 // cancelAttempts cancels the attempts at a request whose responses have not started. The caller
 // holds g.mu.
 func (g *Gateway) cancelAttempts(f quarantine.Fingerprint) {
 	for a := range g.crashes.inFlight {
-		if a.cancelAttempt != nil && a.matches(f) && a.takenBack.take() {
+		if a.cancelAttempt != nil && a.matches(f) && a.phase.tryCancel() {
 			a.cancelAttempt()
 		}
 	}
 }
 
 // applyCrashReports applies another entry's reports of crashes and holds. The caller holds g.mu.
-func (g *Gateway) takeCrashes(reports *quarantine.News, from net.Addr, now time.Duration) {
-	for _, reply := range g.crashes.Take(reports, now) {
-		g.reply(Datagram{News: &reply}, from)
+func (g *Gateway) applyCrashReports(reports *quarantine.CrashReport, from net.Addr, now time.Duration) {
+	for _, reply := range g.crashes.Merge(reports, now) {
+		g.reply(Datagram{Crashes: &reply}, from)
 	}
 	for _, hold := range reports.Holds {
 		if _, held := g.crashes.Held(hold.Request, now); held {
@@ -283,9 +283,9 @@
 //
 // An entry that has just started, or was cut off, does not have these holds and would send requests
 // that all other entries refuse.
-func (g *Gateway) tellHolds(digest uint64, now time.Duration) []quarantine.News {
+func (g *Gateway) holdsForPeer(digest uint64, now time.Duration) []quarantine.CrashReport {
 	c := g.crashes
-	if c.Quiet() || digest == c.Digest(now) {
+	if c.NoSuspects() || digest == c.Digest(now) {
 		return nil
 	}
 	if now-c.repliesSince >= time.Second {
@@ -295,5 +295,5 @@
 		return nil
 	}
 	c.replies++
-	return c.Holds(now)
+	return c.HoldReports(now)
 }
--- a/internal/transport/gateway/crashreports_test.go
+++ b/internal/transport/gateway/crashreports_test.go
@@ -21,17 +21,17 @@
 	for n := range 200 {
 		process := quarantine.Process{Server: fmt.Sprintf("i-%012d", n), Boot: 1764723093000}
 		request := quarantine.Identity{Organisation: "hauler-1", Target: fmt.Sprint("/draft/", n)}
-		table.Broke(request.Fingerprint(), process, true, now)
-		table.Ended(process, now+time.Millisecond)
+		table.RecordFailure(request.Fingerprint(), process, true, now)
+		table.RecordCrash(process, now+time.Millisecond)
 	}
 	sent := 0
-	for _, report := range table.Fresh(now + 123456*time.Microsecond) {
-		data, err := EncodeDatagram(Datagram{News: &report})
+	for _, report := range table.NewReports(now + 123456*time.Microsecond) {
+		data, err := EncodeDatagram(Datagram{Crashes: &report})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, len(data) <= maxPacketBytes, qt.IsTrue, qt.Commentf("%d bytes", len(data)))
 		d, err := DecodeDatagram(data)
 		qt.Assert(t, err, qt.IsNil)
-		for _, e := range d.News.Ends {
+		for _, e := range d.Crashes.Crashes {
 			sent += len(e.Requests)
 		}
 	}
@@ -46,11 +46,11 @@
 	process := quarantine.Process{Server: "i-0b0818ed14"}
 	for n := range 2 {
 		request := quarantine.Identity{Organisation: "hauler-1", Target: fmt.Sprint("/draft/", n)}
-		table.Broke(request.Fingerprint(), process, true, time.Second)
+		table.RecordFailure(request.Fingerprint(), process, true, time.Second)
 	}
-	table.Ended(process, time.Second)
-	reports := table.Fresh(time.Second)
-	data, err := EncodeDatagram(Datagram{News: &reports[0]})
+	table.RecordCrash(process, time.Second)
+	reports := table.NewReports(time.Second)
+	data, err := EncodeDatagram(Datagram{Crashes: &reports[0]})
 	qt.Assert(b, err, qt.IsNil)
 	now := time.Second
 	for b.Loop() {
--- a/internal/transport/gateway/datagrams.go
+++ b/internal/transport/gateway/datagrams.go
@@ -33,7 +33,7 @@
 		g.metrics.badDatagrams.Inc()
 		return
 	}
-	g.take(d, from)
+	g.handleDatagram(d, from)
 }
 
 // runCloseSocket closes the socket when ctx ends, which unblocks runDatagrams.
@@ -43,40 +43,40 @@
 }
 
 // handleDatagram applies a decoded datagram.
-func (g *Gateway) take(d *Datagram, from net.Addr) {
+func (g *Gateway) handleDatagram(d *Datagram, from net.Addr) {
 	now := boottime.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if d.Beat != nil && d.Beat.Entry.Host != g.config.Self.Host {
-		if g.peers.hear(d.Beat.Entry, d.Beat.Ready, d.Beat.StoreUnreachable, now) {
+	if d.Heartbeat != nil && d.Heartbeat.Entry.Host != g.config.Self.Host {
+		if g.peers.observeHeartbeat(d.Heartbeat.Entry, d.Heartbeat.Ready, d.Heartbeat.StoreUnreachable, now) {
 			// A process that has just started discovers the others by their replies.
-			g.reply(Datagram{Beat: g.ownHeartbeat(now)}, from)
+			g.reply(Datagram{Heartbeat: g.ownHeartbeat(now)}, from)
 		}
-		for _, n := range d.Beat.Named {
+		for _, n := range d.Heartbeat.Named {
 			if n.Known {
-				g.heardNamed(n.Model, n.Version, n.Age, now)
+				g.mergeNamedAge(n.Model, n.Version, n.Age, now)
 			}
 		}
-		g.heardRestored(d.Beat, now)
-		g.peers.recordStoreAnswer(d.Beat.Entry.Host, time.Duration(d.Beat.StoreAnswerAgeMs)*time.Millisecond, now)
-		if d.Beat.StoreUptime != nil {
-			g.recordStoreUptime(d.Beat.StoreUptime.span(now), now)
+		g.noteHoldsRestored(d.Heartbeat, now)
+		g.peers.recordStoreAnswer(d.Heartbeat.Entry.Host, time.Duration(d.Heartbeat.StoreAnswerAgeMs)*time.Millisecond, now)
+		if d.Heartbeat.StoreUptime != nil {
+			g.recordStoreUptime(d.Heartbeat.StoreUptime.span(now), now)
 		}
-		for _, report := range g.tellHolds(d.Beat.Held, now) {
-			g.reply(Datagram{News: &report}, from)
+		for _, report := range g.holdsForPeer(d.Heartbeat.HeldDigest, now) {
+			g.reply(Datagram{Crashes: &report}, from)
 		}
 	}
-	if d.News != nil {
-		g.takeCrashes(d.News, from, now)
+	if d.Crashes != nil {
+		g.applyCrashReports(d.Crashes, from, now)
 	}
 	if d.Counts != nil {
-		g.takeCounts(d.Counts, now)
+		g.applyCounts(d.Counts, now)
 	}
 	if d.Load != nil {
-		d.Load.Load.Agent = from.String()
-		g.fleet.Report(d.Load.Load, now)
+		d.Load.Load.AgentAddress = from.String()
+		g.fleet.ApplyReport(d.Load.Load, now)
 		g.logRestarts()
-		if g.news(d.Load, now) {
+		if g.isAgentOutdated(d.Load, now) {
 			g.reply(Datagram{Changed: true}, from)
 		}
 	}
@@ -84,13 +84,13 @@
 
 // applyCounts applies another entry's request counts. Counts of processes that have been
 // replaced by a restart are dropped. The caller holds the lock.
-func (g *Gateway) takeCounts(counts *Counts, now time.Duration) {
+func (g *Gateway) applyCounts(counts *Counts, now time.Duration) {
 	if g.peers.acceptSequence(counts.From, counts.Sequence) {
-		current := func(id string) bool { return g.fleet.IsCurrent(id, counts.Boots[id], now) }
+		current := func(id string) bool { return g.fleet.IsCurrentBoot(id, counts.Boots[id], now) }
 		maps.DeleteFunc(counts.Requests, func(id string, _ int) bool { return !current(id) })
 		counts.Silent = slices.DeleteFunc(counts.Silent, func(id string) bool { return !current(id) })
-		g.fleet.SetCounts(counts.From, counts.Requests, now)
-		g.fleet.SetSilent(counts.Silent, now)
+		g.fleet.SetPeerCounts(counts.From, counts.Requests, now)
+		g.fleet.MarkSilent(counts.Silent, now)
 	}
 }
 
@@ -121,15 +121,15 @@
 func (g *Gateway) runHeartbeat(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	g.beat(boottime.Now(), true)
+	g.sendHeartbeat(boottime.Now(), true)
 	for tick := 1; ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.beatNow:
-			g.beat(boottime.Now(), false)
+		case <-g.heartbeatNow:
+			g.sendHeartbeat(boottime.Now(), false)
 		case <-ticker.C:
-			g.beat(boottime.Now(), tick%heartbeatsPerRemote == 0)
+			g.sendHeartbeat(boottime.Now(), tick%heartbeatsPerRemote == 0)
 			tick++
 		}
 	}
@@ -137,10 +137,10 @@
 
 // sendHeartbeat sends a heartbeat to the other entries of the region, or to all entries. It
 // also drops the counts of entries that have timed out.
-func (g *Gateway) beat(now time.Duration, all bool) {
+func (g *Gateway) sendHeartbeat(now time.Duration, all bool) {
 	g.mu.Lock()
 	for _, host := range g.peers.timedOut(now) {
-		g.fleet.SetCounts(host, nil, now)
+		g.fleet.SetPeerCounts(host, nil, now)
 	}
 	to := scopeRegion
 	if all {
@@ -148,24 +148,24 @@
 	}
 	addresses := g.peers.addresses(to)
 	heartbeat := g.ownHeartbeat(now)
-	var recent []quarantine.News
+	var recent []quarantine.CrashReport
 	if all {
-		recent = g.crashes.Recent(now)
+		recent = g.crashes.RecentReports(now)
 	}
 	g.metrics.quarantined.Set(float64(g.crashes.HeldCount(now)))
 	g.mu.Unlock()
-	g.sendTo(Datagram{Beat: heartbeat}, addresses)
+	g.sendTo(Datagram{Heartbeat: heartbeat}, addresses)
 	g.sendCrashReports(recent, addresses)
 }
 
 // sendCrashReports sends reports on requests that crash backend servers.
-func (g *Gateway) sendCrashReports(reports []quarantine.News, addresses []string) {
+func (g *Gateway) sendCrashReports(reports []quarantine.CrashReport, addresses []string) {
 	for _, report := range reports {
-		g.sendTo(Datagram{News: &report}, addresses)
+		g.sendTo(Datagram{Crashes: &report}, addresses)
 	}
 }
 
 // ownHeartbeat returns the heartbeat of this entry. The caller holds the lock.
-func (g *Gateway) ownHeartbeat(now time.Duration) *Beat {
-	return &Beat{Entry: g.config.Self, Ready: g.readyLocked(now), StoreUnreachable: g.lost(now), Named: g.namedAges(now), Held: g.crashes.Digest(now), Restored: g.restored.Load(), StoreUptime: g.storeUptime(now), StoreAnswerAgeMs: g.storeAnswerAgeMs(now)}
+func (g *Gateway) ownHeartbeat(now time.Duration) *Heartbeat {
+	return &Heartbeat{Entry: g.config.Self, Ready: g.readyLocked(now), StoreUnreachable: g.storeUnreachable(now), Named: g.namedAges(now), HeldDigest: g.crashes.Digest(now), Restored: g.holdsRestored.Load(), StoreUptime: g.storeUptime(now), StoreAnswerAgeMs: g.storeAnswerAgeMs(now)}
 }
--- a/internal/transport/gateway/deadline_test.go
+++ b/internal/transport/gateway/deadline_test.go
@@ -26,12 +26,12 @@
 // emptyOrigin is an origin that no longer has any version.
 type emptyOrigin struct{}
 
-func (emptyOrigin) Manifest(context.Context, string, catalog.NamedVersion) (relay.Manifest, error) {
-	return relay.Manifest{}, relay.ErrGone
+func (emptyOrigin) Manifest(context.Context, string, catalog.ModelVersion) (relay.Manifest, error) {
+	return relay.Manifest{}, relay.ErrRemoved
 }
 
-func (emptyOrigin) Piece(context.Context, string, catalog.NamedVersion, int) ([]byte, error) {
-	return nil, relay.ErrGone
+func (emptyOrigin) Piece(context.Context, string, catalog.ModelVersion, int) ([]byte, error) {
+	return nil, relay.ErrRemoved
 }
 
 // newEntryWithServer returns an entry without named versions, whose only server holds a version.
@@ -41,7 +41,7 @@
 	socket, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { _ = socket.Close() })
-	g.log, g.socket, g.peers, g.named = zap.NewNop(), datagrams.New(socket), newPeers(Entry{Host: "self"}, now), map[string][]named{}
+	g.log, g.socket, g.peers, g.versionsByModel = zap.NewNop(), datagrams.New(socket), newPeers(Entry{Host: "self"}, now), map[string][]namedVersion{}
 	g.stop, g.metrics = drain.New(drain.Config{}), newMetrics(prometheus.NewRegistry())
 	g.relay = relay.New(relays.Entry{Host: "self"}, relayView{g}, emptyOrigin{}, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	g.fleet.Apply([]catalog.Backend{{ID: switchoverBackend, Boot: 1, Revision: 2, Service: switchoverService, Address: "10.0.0.1:1", Site: "a",
@@ -55,7 +55,7 @@
 	defer g.mu.Unlock()
 	a := newSwitchoverAttempt(g, 900, false)
 	placement := a.choose(now)
-	return placement.Found, a.beginBy
+	return placement.Found, a.startDeadline
 }
 
 // Two versions were named 2 s apart, and an entry that started afterwards read only the newest from
@@ -66,10 +66,10 @@
 	g := newEntryWithServer(t, 1)
 	now := boottime.Now()
 	g.mu.Lock()
-	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 3}}, true, now-6*time.Second)
+	g.setNamed([]catalog.ModelVersion{{Model: switchoverModel, Version: 3}}, true, now-6*time.Second)
 	g.mu.Unlock()
 	age := switchoverBound + 100*time.Millisecond
-	g.take(&Datagram{Beat: &Beat{Entry: Entry{Host: "peer", Datagrams: g.socket.Address().String()}, Named: []NamedAge{
+	g.handleDatagram(&Datagram{Heartbeat: &Heartbeat{Entry: Entry{Host: "peer", Datagrams: g.socket.Address().String()}, Named: []NamedAge{
 		{Model: switchoverModel, Version: 2, Age: age, Known: true},
 		{Model: switchoverModel, Version: 3, Age: age - 2*time.Second, Known: true},
 	}}}, g.socket.Address())
@@ -86,12 +86,12 @@
 	g := newEntryWithServer(t, 1)
 	now := boottime.Now()
 	g.mu.Lock()
-	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 2}}, false, now-25*time.Second)
+	g.setNamed([]catalog.ModelVersion{{Model: switchoverModel, Version: 2}}, false, now-25*time.Second)
 	g.mu.Unlock()
 	found, _ := g.placeTypicalRequest(now)
 	c.Assert(found, qt.IsFalse)
 	g.mu.Lock()
-	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 3}}, false, now)
+	g.setNamed([]catalog.ModelVersion{{Model: switchoverModel, Version: 3}}, false, now)
 	g.mu.Unlock()
 	found, _ = g.placeTypicalRequest(now)
 	c.Assert(found, qt.IsFalse, qt.Commentf("sent to version 1, 14.7 s after the deadline of version 2"))
@@ -109,7 +109,7 @@
 	g.fleet.Apply([]catalog.Backend{{ID: "order-1", Boot: 1, Revision: 3, Service: "orders", Address: "10.0.0.2:1", Site: "a", Slots: 6}}, nil, false, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.setNamed([]catalog.NamedVersion{{Model: switchoverModel, Version: 2}}, false, now-25*time.Second)
+	g.setNamed([]catalog.ModelVersion{{Model: switchoverModel, Version: 2}}, false, now-25*time.Second)
 	a := newSwitchoverAttempt(g, 0, false)
 	a.service = "orders"
 	c.Assert(a.choose(now).Found, qt.IsTrue)
@@ -164,16 +164,16 @@
 // a desired state was observed that much later. Its deadline counts from the observation, and
 // only 0.15 s are reserved for that delay.
 func TestVersionIsObservedInTimeAfterAnotherChange(t *testing.T) {
-	maxDelay := switchoverBound - switchover.DefaultConfig(switchoverBound).BeginBy(0)
+	maxDelay := switchoverBound - switchover.DefaultConfig(switchoverBound).StartDeadline(0)
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		for seed := range uint64(10) {
 			store := &burstStore{head: 1, changed: make(chan struct{})}
 			g := &Gateway{crashes: newCrashes(), store: store, log: zap.NewNop(), feeds: newFeeds(), rng: rand.New(rand.NewPCG(seed, 1)), peers: newPeers(Entry{Host: "self"}, 0)}
-			g.listed.Store(true)
+			g.entriesListed.Store(true)
 			observed := make(chan time.Time, 1)
 			ctx, cancel := context.WithCancel(context.Background())
-			w := &watch{gateway: g, table: TableDesired, wait: followWait, apply: func(rows Rows, _ uint64, _, _ bool) error {
+			w := &tableWatch{gateway: g, table: TableDesired, wait: followWait, apply: func(rows Rows, _ uint64, _, _ bool) error {
 				if rows.Revision == 3 {
 					select {
 					case observed <- time.Now():
--- a/internal/transport/gateway/decode.go
+++ b/internal/transport/gateway/decode.go
@@ -30,18 +30,18 @@
 	// seconds.
 	maxLookahead = time.Hour
 	// maxRevision is the limit up to which JSON decoders represent integers exactly.
-	revisionMost = 1 << 53
+	maxRevision = 1 << 53
 )
 
 // Validation errors.
 var (
-	errAddress  = errors.New("expected HOST:PORT")
-	errName     = fmt.Errorf("expected a name of 1 to %d bytes", maxNameBytes)
-	errRequests = fmt.Errorf("expected 0 to %d requests", maxRequests)
-	errPace     = fmt.Errorf("expected a pace of 0 to %d", maxPace)
-	errAge      = errors.New("value out of range")
-	errRevision = fmt.Errorf("expected a revision of up to %d", uint64(revisionMost))
-	errTooLarge = errors.New("response too large")
+	errAddress    = errors.New("expected HOST:PORT")
+	errName       = fmt.Errorf("expected a name of 1 to %d bytes", maxNameBytes)
+	errRequests   = fmt.Errorf("expected 0 to %d requests", maxRequests)
+	errPace       = fmt.Errorf("expected a pace of 0 to %d", maxPace)
+	errOutOfRange = errors.New("value out of range")
+	errRevision   = fmt.Errorf("expected a revision of up to %d", uint64(maxRevision))
+	errTooLarge   = errors.New("response too large")
 )
 
 // decodeResponse decodes a JSON response of at most maxPeerResponse bytes.
@@ -90,7 +90,7 @@
 }
 
 // check validates a heartbeat, or nil.
-func (b *Beat) check() error {
+func (b *Heartbeat) check() error {
 	if b == nil {
 		return nil
 	}
@@ -99,8 +99,8 @@
 
 func checkNamed(named []NamedAge) error {
 	for _, n := range named {
-		if n.Age < 0 || n.Version > revisionMost {
-			return fmt.Errorf("named: version %d, age %v: %w", n.Version, n.Age, errAge)
+		if n.Age < 0 || n.Version > maxRevision {
+			return fmt.Errorf("named: version %d, age %v: %w", n.Version, n.Age, errOutOfRange)
 		}
 	}
 	return nil
@@ -132,7 +132,7 @@
 		return fmt.Errorf("load: %d running, %d queued: %w", load.Running, load.Queued, errRequests)
 	}
 	if load.LeavesIn > maxLookahead || load.LoadedIn > maxLookahead {
-		return fmt.Errorf("load: leaves in %v, loaded in %v: %w", load.LeavesIn, load.LoadedIn, errAge)
+		return fmt.Errorf("load: leaves in %v, loaded in %v: %w", load.LeavesIn, load.LoadedIn, errOutOfRange)
 	}
 	if !(load.Pace >= 0 && load.Pace <= maxPace) {
 		return fmt.Errorf("load: pace %v: %w", load.Pace, errPace)
@@ -142,7 +142,7 @@
 
 func checkModels(models []catalog.Model) error {
 	for _, m := range models {
-		if m.Name == "" || len(m.Name) > maxNameBytes || m.Version > revisionMost || len(models) > maxModels {
+		if m.Name == "" || len(m.Name) > maxNameBytes || m.Version > maxRevision || len(models) > maxModels {
 			return fmt.Errorf("models: %w", errName)
 		}
 	}
