--- a/internal/transport/gateway/feeds.go
+++ b/internal/transport/gateway/feeds.go
@@ -19,13 +19,13 @@
 // instead of the number of entries.
 const (
 	// feedPollWait is how long the reader may hold a follower's request while it waits for a change.
-	readerWait = 700 * time.Millisecond
+	feedPollWait = 700 * time.Millisecond
 	// maxFeedAge is the maximum age of a reader's view that a follower accepts. The age of
 	// a reader's view stays below the duration of two calls to the store, so a reader that is
 	// disconnected from the store soon exceeds the limit.
-	readerAge = 2300 * time.Millisecond
+	maxFeedAge = 2300 * time.Millisecond
 	// maxEntriesFeedAge is the same limit for the list of entries, whose calls wait longer.
-	maxEntriesFeedAge = 2 * entriesWait
+	maxEntriesFeedAge = 2 * entriesFollowWait
 	// feedTransferTimeout bounds a call to the reader beyond its waiting time.
 	feedTransferTimeout = 400 * time.Millisecond
 	// maxFeedBatches limits the store's answers that an entry keeps for its followers, and
@@ -35,7 +35,7 @@
 	// snapshotTimeout is how long the second entry of a region waits for a snapshot of a table from
 	// the first entry, which may itself still be reading the table. The third entry waits twice as
 	// long, and so on up to maxSnapshotTurns times.
-	wholeTimeout     = 600 * time.Millisecond
+	snapshotTimeout  = 600 * time.Millisecond
 	maxSnapshotTurns = 8
 	// maxSnapshotDuration bounds the whole fetch of a snapshot. A transfer that has begun may
 	// take longer than the timeouts above.
@@ -78,7 +78,7 @@
 func newFeeds() *feeds { return &feeds{tables: map[Table]*feedLog{}, resetSignal: make(chan struct{})} }
 
 // reset replaces a table's log after the whole table was read.
-func (f *feeds) restart(table Table, rows Rows, sentAt time.Duration) {
+func (f *feeds) reset(table Table, rows Rows, sentAt time.Duration) {
 	snapshot := newRowBatch(rows)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +124,7 @@
 
 // markUnreachable records that the store does not answer, and wakes waiting followers.
 // Followers that went on waiting for a disconnected reader would observe changes too late.
-func (f *feeds) lose(table Table) {
+func (f *feeds) markUnreachable(table Table) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	log, ok := f.tables[table]
@@ -137,7 +137,7 @@
 }
 
 // isUnreachable reports whether the store does not answer calls for a table.
-func (f *feeds) lost(table Table) bool {
+func (f *feeds) isUnreachable(table Table) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	log, ok := f.tables[table]
@@ -158,8 +158,8 @@
 // changesSince returns the changes after a revision, and waits if there are none yet.
 // With revision 0 it returns the whole table. It returns false if the log does not
 // reach back to the revision.
-func (f *feeds) since(ctx context.Context, table Table, after uint64) (FeedResponse, bool) {
-	timer := time.NewTimer(readerWait)
+func (f *feeds) changesSince(ctx context.Context, table Table, after uint64) (FeedResponse, bool) {
+	timer := time.NewTimer(feedPollWait)
 	defer timer.Stop()
 	for timedOut := false; ; {
 		response, changed, ok := f.available(table, after)
@@ -207,7 +207,7 @@
 
 // selectReader returns the host and the peer address of the entry that reads the store
 // for this region. It returns false if that is this entry.
-func (g *Gateway) reader(now time.Duration) (filbertlever.HostID, string, bool) {
+func (g *Gateway) selectReader(now time.Duration) (filbertlever.HostID, string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var readers []relays.Reader
@@ -218,9 +218,9 @@
 			continue
 		}
 		addresses[e.Host] = e.Peers
-		reader := relays.Reader{Host: e.Host, Lost: !g.peers.isReader(e.Host), Answered: g.peers.isAnswered(e.Host, now)}
+		reader := relays.Reader{Host: e.Host, Unavailable: !g.peers.canReadStore(e.Host), StoreAnswered: g.peers.hasRecentStoreAnswer(e.Host, now)}
 		if self {
-			reader.Lost, reader.Answered = g.lost(now), g.answered(now)
+			reader.Unavailable, reader.StoreAnswered = g.storeUnreachable(now), g.hasRecentStoreAnswer(now)
 		}
 		readers = append(readers, reader)
 	}
@@ -230,26 +230,28 @@
 
 // isReader reports whether this entry reads the store for its region.
 func (g *Gateway) isReader(now time.Duration) bool {
-	_, _, remote := g.reader(now)
+	_, _, remote := g.selectReader(now)
 	return !remote
 }
 
 // storeUnreachable reports whether the store recently refused to serve this entry, so that
 // another entry should read for the region. The caller holds the lock.
-func (g *Gateway) lost(now time.Duration) bool { return now < time.Duration(g.lostUntil.Load()) }
+func (g *Gateway) storeUnreachable(now time.Duration) bool {
+	return now < time.Duration(g.readerSuspendedUntil.Load())
+}
 
 // readerBackoff is how long an entry that the store refused to serve leaves reading to other
 // entries before it tries again.
-const lostFor = 3 * time.Second
+const readerBackoff = 3 * time.Second
 
 // markStoreUnreachable records that the store refuses to serve this entry. If that is new, it sends
 // a heartbeat to the other entries.
-func (g *Gateway) loseStore(table Table) {
+func (g *Gateway) markStoreUnreachable(table Table) {
 	now := boottime.Now()
-	notified := now < time.Duration(g.lostUntil.Swap(int64(now+lostFor)))
-	g.feeds.lose(table)
+	notified := now < time.Duration(g.readerSuspendedUntil.Swap(int64(now+readerBackoff)))
+	g.feeds.markUnreachable(table)
 	if !notified {
-		g.beat(now, false)
+		g.sendHeartbeat(now, false)
 	}
 }
 
@@ -273,7 +275,7 @@
 	var previous filbertlever.HostID
 	for range maxReaderAttempts {
 		sentAt := boottime.Now()
-		host, address, remote := g.reader(sentAt)
+		host, address, remote := g.selectReader(sentAt)
 		if !remote {
 			return Rows{}, 0, false, nil
 		}
@@ -283,27 +285,27 @@
 		}
 		previous = host
 		response, err := g.fetchFeed(ctx, address, table, after, feedTimeout)
-		if !errors.Is(err, errReaderLost) {
+		if !errors.Is(err, errReaderDisconnected) {
 			rows, at, ok := g.acceptFeed(table, host, after, sentAt, response, err)
 			return rows, at, ok, nil
 		}
 		g.log.Info("reader disconnected from the store", zap.String("Table", string(table)), zap.String("Reader", string(host)))
 		g.mu.Lock()
-		g.peers.noteLost(host)
-		readsItself := table == TableBackends && !g.lost(sentAt) && g.storeIsUp(sentAt)
+		g.peers.markStoreUnreachable(host)
+		readsItself := table == TableBackends && !g.storeUnreachable(sentAt) && g.storeIsUp(sentAt)
 		g.mu.Unlock()
 		if readsItself {
 			return Rows{}, 0, false, nil
 		}
 	}
-	return Rows{}, 0, false, errReaderLost
+	return Rows{}, 0, false, errReaderDisconnected
 }
 
 // maxReaderAttempts limits how many readers are asked one after the other.
 const maxReaderAttempts = 3
 
 // errReaderDisconnected means that the store does not answer the reader.
-var errReaderLost = errors.New("the reader is disconnected from the store")
+var errReaderDisconnected = errors.New("the reader is disconnected from the store")
 
 // acceptFeed returns the rows of a reader's response. It returns false if the call failed or
 // the reader's view is too old.
@@ -315,7 +317,7 @@
 		g.log.Info("asking the store instead of the reader", zap.String("Table", string(table)), zap.String("Reader", string(host)), zap.Error(err))
 		return Rows{}, 0, false
 	}
-	rows := Rows{Revision: max(response.Revision, after), Raw: joinRows(response.Raw), packed: response.Compressed}
+	rows := Rows{Revision: max(response.Revision, after), Raw: joinRows(response.Raw), compressed: response.Compressed}
 	return rows, sentAt - response.Age, true
 }
 
@@ -324,7 +326,7 @@
 	if table == TableEntries {
 		return maxEntriesFeedAge
 	}
-	return readerAge
+	return maxFeedAge
 }
 
 // fetchSnapshot asks the entry that reads the store for this region for a whole table. If
@@ -341,40 +343,40 @@
 // After the store dropped its history, a reader that asked its own followers would get no newer
 // table. The reader therefore reads the store. The other entries wait for that, but each only for
 // a short time, because their views become outdated.
-func (g *Gateway) wholeFromReader(ctx context.Context, table Table, goneRevision uint64) (Rows, time.Duration, bool) {
+func (g *Gateway) fetchSnapshot(ctx context.Context, table Table, goneRevision uint64) (Rows, time.Duration, bool) {
 	if table == TableEntries || goneRevision > 0 && g.isReader(boottime.Now()) {
 		return Rows{}, 0, false
 	}
 	g.awaitEntryList(ctx)
-	g.sleep(ctx, heartbeatReplyWait)
+	g.sleepJittered(ctx, heartbeatReplyWait)
 	ctx, cancel := context.WithTimeout(ctx, maxSnapshotDuration)
 	defer cancel()
 	startedAt := boottime.Now()
 	for lastEmptyAt := startedAt; ctx.Err() == nil; {
 		sentAt := boottime.Now()
-		host, address, remote := g.starter(sentAt)
+		host, address, remote := g.snapshotSource(sentAt)
 		if !remote {
 			return Rows{}, 0, false
 		}
-		timeout := wholeTimeout - (sentAt - startedAt)
-		if goneRevision == 0 && sentAt-lastEmptyAt < wholeTimeout {
+		timeout := snapshotTimeout - (sentAt - startedAt)
+		if goneRevision == 0 && sentAt-lastEmptyAt < snapshotTimeout {
 			timeout = startedAt + g.snapshotWait(sentAt) - sentAt
 		}
 		if timeout <= 0 {
 			break
 		}
 		response, err := g.fetchFeed(ctx, address, table, 0, min(timeout, feedTimeout))
-		if err == nil && response.Age <= readerAge && response.Revision > goneRevision {
-			return Rows{Revision: response.Revision, Raw: joinRows(response.Raw), packed: response.Compressed}, sentAt - response.Age, true
+		if err == nil && response.Age <= maxFeedAge && response.Revision > goneRevision {
+			return Rows{Revision: response.Revision, Raw: joinRows(response.Raw), compressed: response.Compressed}, sentAt - response.Age, true
 		}
 		g.log.Debug("no snapshot from the reader", zap.String("Table", string(table)), zap.String("Reader", string(host)), zap.Error(err))
-		if errors.Is(err, ErrHistoryGone) {
+		if errors.Is(err, ErrRevisionPruned) {
 			break
 		}
 		if err == nil && response.Revision == 0 {
 			lastEmptyAt = boottime.Now()
 		}
-		g.sleep(ctx, snapshotRetryPause)
+		g.sleepJittered(ctx, snapshotRetryPause)
 	}
 	g.log.Info("reading a whole table from the store", zap.String("Table", string(table)))
 	return Rows{}, 0, false
@@ -382,22 +384,22 @@
 
 // awaitEntryList waits until the list of entries has been read, up to entryListWait.
 func (g *Gateway) awaitEntryList(ctx context.Context) {
-	for end := boottime.Now() + entryListWait; boottime.Now() < end && !g.listed.Load() && ctx.Err() == nil; {
-		g.sleep(ctx, snapshotRetryPause/2)
+	for end := boottime.Now() + entryListWait; boottime.Now() < end && !g.entriesListed.Load() && ctx.Err() == nil; {
+		g.sleepJittered(ctx, snapshotRetryPause/2)
 	}
 }
 
 // snapshotSource returns the host and the peer address of the entry to ask for snapshots: a ready
 // entry of this region, or, if none is ready because all have just started, the entry that all of
 // them select as their reader. It returns false if that is this entry.
-func (g *Gateway) starter(now time.Duration) (filbertlever.HostID, string, bool) {
+func (g *Gateway) snapshotSource(now time.Duration) (filbertlever.HostID, string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ready, all, addresses := g.observedEntries(now)
 	if len(ready) > 0 {
 		all = ready
 	}
-	host := relays.Home(all, g.config.Self.Region, readerPiece)
+	host := relays.Home(all, g.config.Self.Region, readerHashKey)
 	return host, addresses[host], host != g.config.Self.Host
 }
 
@@ -407,13 +409,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, all, _ := g.observedEntries(now)
-	turn := relays.Turn(g.config.Self.Host, all, g.config.Self.Region, readerPiece)
-	return wholeTimeout * time.Duration(max(min(turn, maxSnapshotTurns), 1))
+	turn := relays.Rank(g.config.Self.Host, all, g.config.Self.Region, readerHashKey)
+	return snapshotTimeout * time.Duration(max(min(turn, maxSnapshotTurns), 1))
 }
 
 // readerHashKey is the key that determines the order of a region's entries as readers of the
 // store when all have just started.
-const readerPiece = "reader"
+const readerHashKey = "reader"
 
 // observedEntries returns the entries of this region whose heartbeats have been received, those of
 // them that are ready, and their peer addresses. The caller holds the lock.
@@ -423,7 +425,7 @@
 func (g *Gateway) observedEntries(now time.Duration) (ready, all []relays.Entry, addresses map[filbertlever.HostID]string) {
 	addresses = map[filbertlever.HostID]string{}
 	for _, e := range g.peers.alive(now) {
-		if e.Region != g.config.Self.Region || e.Host != g.config.Self.Host && !g.peers.isHeard(e.Host) {
+		if e.Region != g.config.Self.Region || e.Host != g.config.Self.Host && !g.peers.hasHeartbeat(e.Host) {
 			continue
 		}
 		entry := relays.Entry{Host: e.Host, Site: e.Region}
--- a/internal/transport/gateway/feeds_test.go
+++ b/internal/transport/gateway/feeds_test.go
@@ -27,9 +27,9 @@
 func TestSnapshotIncludesAllLaterChanges(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
-	f.restart(TableDesired, rows(5, `[{"a":1}]`), time.Second)
+	f.reset(TableDesired, rows(5, `[{"a":1}]`), time.Second)
 	f.publish(TableDesired, 5, rows(7, `[{"b":2}]`), 2*time.Second)
-	response, ok := f.since(context.Background(), TableDesired, 0)
+	response, ok := f.changesSince(context.Background(), TableDesired, 0)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(response.Revision, qt.Equals, uint64(7))
 	lists, err := decompressRows(response.Compressed)
@@ -38,9 +38,9 @@
 	for n := range uint64(maxFeedBatches) {
 		f.publish(TableDesired, 7+n, rows(8+n, `[{"c":3}]`), 3*time.Second)
 	}
-	_, ok = f.since(context.Background(), TableDesired, 0)
+	_, ok = f.changesSince(context.Background(), TableDesired, 0)
 	c.Assert(ok, qt.IsFalse)
-	_, ok = f.since(context.Background(), TableDesired, 20)
+	_, ok = f.changesSince(context.Background(), TableDesired, 20)
 	c.Assert(ok, qt.IsTrue)
 }
 
@@ -49,7 +49,7 @@
 func TestFeedLogSizeIsBounded(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
-	f.restart(TableDesired, rows(1, `[]`), time.Second)
+	f.reset(TableDesired, rows(1, `[]`), time.Second)
 	large := `[{"x":"` + strings.Repeat("x", 200<<10) + `"}]`
 	for n := range uint64(50) {
 		f.publish(TableDesired, 1+n, rows(2+n, large), time.Second)
@@ -71,9 +71,9 @@
 	f := newFeeds()
 	go func() {
 		time.Sleep(20 * time.Millisecond)
-		f.restart(TableBackends, rows(3, `[{"a":1}]`), time.Second)
+		f.reset(TableBackends, rows(3, `[{"a":1}]`), time.Second)
 	}()
-	response, ok := f.since(context.Background(), TableBackends, 0)
+	response, ok := f.changesSince(context.Background(), TableBackends, 0)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(response.Revision, qt.Equals, uint64(3))
 }
@@ -83,13 +83,13 @@
 func TestNoSnapshotFromLogWithGap(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
-	f.restart(TableDesired, rows(5, `[{"a":1}]`), time.Second)
+	f.reset(TableDesired, rows(5, `[{"a":1}]`), time.Second)
 	f.publish(TableDesired, 9, rows(12, `[{"c":3}]`), 2*time.Second)
-	_, ok := f.since(context.Background(), TableDesired, 0)
+	_, ok := f.changesSince(context.Background(), TableDesired, 0)
 	c.Assert(ok, qt.IsFalse)
-	_, ok = f.since(context.Background(), TableDesired, 7)
+	_, ok = f.changesSince(context.Background(), TableDesired, 7)
 	c.Assert(ok, qt.IsFalse)
-	response, ok := f.since(context.Background(), TableDesired, 9)
+	response, ok := f.changesSince(context.Background(), TableDesired, 9)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(response.Revision, qt.Equals, uint64(12))
 }
@@ -99,14 +99,14 @@
 func TestFollowersAreNotifiedThatStoreIsUnreachable(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
-	f.restart(TableBackends, rows(3, `[{"a":1}]`), time.Second)
+	f.reset(TableBackends, rows(3, `[{"a":1}]`), time.Second)
 	began := time.Now()
-	time.AfterFunc(20*time.Millisecond, func() { f.lose(TableBackends) })
-	_, ok := f.since(context.Background(), TableBackends, 3)
+	time.AfterFunc(20*time.Millisecond, func() { f.markUnreachable(TableBackends) })
+	_, ok := f.changesSince(context.Background(), TableBackends, 3)
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(time.Since(began) < readerWait/2, qt.IsTrue)
+	c.Assert(time.Since(began) < feedPollWait/2, qt.IsTrue)
 	f.publish(TableBackends, 3, rows(4, `[{"b":1}]`), 2*time.Second)
-	response, ok := f.since(context.Background(), TableBackends, 3)
+	response, ok := f.changesSince(context.Background(), TableBackends, 3)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(response.Revision, qt.Equals, uint64(4))
 }
@@ -135,7 +135,7 @@
 	const linkRate, followers = 40e6, 14
 	large := largeStateRows(1400)
 	reader := &Gateway{crashes: newCrashes(), feeds: newFeeds()}
-	reader.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), boottime.Now())
+	reader.feeds.reset(TableDesired, rows(5, `[{"a":1}]`), boottime.Now())
 	reader.feeds.publish(TableDesired, 5, Rows{Revision: 6, Raw: large}, boottime.Now())
 	var sent atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -169,27 +169,27 @@
 	c := qt.New(t)
 	now := boottime.Now()
 	reader := &Gateway{crashes: newCrashes(), feeds: newFeeds()}
-	reader.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now)
+	reader.feeds.reset(TableDesired, rows(5, `[{"a":1}]`), now)
 	reader.feeds.publish(TableDesired, 5, rows(6, `[{"b":2}]`), now)
 	server := httptest.NewServer(http.HandlerFunc(reader.serveFeed))
 	t.Cleanup(server.Close)
 
 	self := entryAt("e1", "a", "ra")
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, peers: newPeers(self, now), feeds: newFeeds(), client: server.Client(), log: zap.NewNop()}
-	g.lostUntil.Store(int64(now + time.Minute))
+	g.readerSuspendedUntil.Store(int64(now + time.Minute))
 	other := entryAt("e2", "a", "ra")
 	other.Peers = server.Listener.Addr().String()
-	g.peers.hear(other, true, false, now)
-	g.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now-time.Minute)
-	w := &watch{gateway: g, table: TableDesired, revision: 5, apply: func(Rows, uint64, bool, bool) error { return nil }}
-	changed, err := w.turn(context.Background())
+	g.peers.observeHeartbeat(other, true, false, now)
+	g.feeds.reset(TableDesired, rows(5, `[{"a":1}]`), now-time.Minute)
+	w := &tableWatch{gateway: g, table: TableDesired, revision: 5, apply: func(Rows, uint64, bool, bool) error { return nil }}
+	changed, err := w.poll(context.Background())
 	c.Assert(err, qt.IsNil)
 	c.Assert(changed, qt.IsTrue)
-	response, ok := g.feeds.since(context.Background(), TableDesired, 5)
+	response, ok := g.feeds.changesSince(context.Background(), TableDesired, 5)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(response.Revision, qt.Equals, uint64(6))
-	c.Assert(response.Age < readerAge, qt.IsTrue, qt.Commentf("age %v", response.Age))
-	whole, ok := g.feeds.since(context.Background(), TableDesired, 0)
+	c.Assert(response.Age < maxFeedAge, qt.IsTrue, qt.Commentf("age %v", response.Age))
+	whole, ok := g.feeds.changesSince(context.Background(), TableDesired, 0)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(whole.Revision, qt.Equals, uint64(6))
 }
@@ -198,11 +198,11 @@
 // that decompressed to more than the memory of a small host ended the process and all its requests.
 func TestDecompressedFeedSizeIsBounded(t *testing.T) {
 	c := qt.New(t)
-	large := pack([]byte("[" + strings.Repeat(" ", 4*maxDecompressedBytes) + "]"))
+	large := compressRows([]byte("[" + strings.Repeat(" ", 4*maxDecompressedBytes) + "]"))
 	c.Assert(len(large) < maxDecompressedBytes/10, qt.IsTrue)
 	_, err := decompressRows(large)
 	c.Assert(err, qt.ErrorIs, errTooLarge)
-	half := pack([]byte("[" + strings.Repeat(" ", maxDecompressedBytes/2) + "]"))
+	half := compressRows([]byte("[" + strings.Repeat(" ", maxDecompressedBytes/2) + "]"))
 	_, err = decompressRows(half)
 	c.Assert(err, qt.IsNil)
 	_, err = decompressRows(append(bytes.Clone(half), half...))
@@ -212,12 +212,12 @@
 // A truncated or altered response must not be accepted as an answer of the store.
 func TestDamagedFeedIsRejected(t *testing.T) {
 	c := qt.New(t)
-	compressed := pack([]byte(`[{"a":1},{"b":2}]`))
+	compressed := compressRows([]byte(`[{"a":1},{"b":2}]`))
 	for n := range len(compressed) - 1 {
 		_, err := decompressRows(compressed[:n+1])
 		c.Check(err, qt.IsNotNil, qt.Commentf("truncated after %d bytes", n+1))
 	}
-	_, err := decompressRows(pack([]byte(`{"a":1}`)))
+	_, err := decompressRows(compressRows([]byte(`{"a":1}`)))
 	c.Assert(err, qt.IsNotNil)
 }
 
@@ -227,13 +227,13 @@
 	b.SetBytes(int64(len(large)))
 	b.ReportAllocs()
 	for b.Loop() {
-		pack(large)
+		compressRows(large)
 	}
 }
 
 // BenchmarkDecompressLargeState measures what each follower does for such a desired state.
 func BenchmarkDecompressLargeState(b *testing.B) {
-	compressed := pack(largeStateRows(1400))
+	compressed := compressRows(largeStateRows(1400))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := decompressRows(compressed); err != nil {
@@ -248,13 +248,13 @@
 func TestDisconnectedReaderServesSnapshotOnly(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
-	f.restart(TableDesired, rows(5, `[{"a":1}]`), boottime.Now()-time.Second)
-	f.lose(TableDesired)
-	response, ok := f.since(context.Background(), TableDesired, 0)
+	f.reset(TableDesired, rows(5, `[{"a":1}]`), boottime.Now()-time.Second)
+	f.markUnreachable(TableDesired)
+	response, ok := f.changesSince(context.Background(), TableDesired, 0)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(response.Revision, qt.Equals, uint64(5))
 	c.Assert(response.Age >= time.Second, qt.IsTrue)
-	_, ok = f.since(context.Background(), TableDesired, 5)
+	_, ok = f.changesSince(context.Background(), TableDesired, 5)
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -263,15 +263,15 @@
 func TestEmptySnapshotIsServedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	f := newFeeds()
-	f.restart(TableBackends, rows(5, ""), boottime.Now())
+	f.reset(TableBackends, rows(5, ""), boottime.Now())
 	began := time.Now()
-	response, ok := f.since(context.Background(), TableBackends, 0)
+	response, ok := f.changesSince(context.Background(), TableBackends, 0)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(response.Revision, qt.Equals, uint64(5))
-	c.Assert(time.Since(began) < readerWait/2, qt.IsTrue, qt.Commentf("served after %v", time.Since(began)))
+	c.Assert(time.Since(began) < feedPollWait/2, qt.IsTrue, qt.Commentf("served after %v", time.Since(began)))
 	// A call for changes still waits.
 	began = time.Now()
-	_, ok = f.since(context.Background(), TableBackends, 5)
+	_, ok = f.changesSince(context.Background(), TableBackends, 5)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(time.Since(began) >= readerWait, qt.IsTrue)
+	c.Assert(time.Since(began) >= feedPollWait, qt.IsTrue)
 }
--- a/internal/transport/gateway/feedwire.go
+++ b/internal/transport/gateway/feedwire.go
@@ -26,9 +26,9 @@
 }
 
 func newRowBatch(rows Rows) rowBatch {
-	compressed := rows.packed
+	compressed := rows.compressed
 	if compressed == nil && len(rows.Raw) > 0 {
-		compressed = pack(rows.Raw)
+		compressed = compressRows(rows.Raw)
 	}
 	return rowBatch{revision: rows.Revision, compressed: compressed, uncompressedSize: len(rows.Raw)}
 }
@@ -58,8 +58,8 @@
 	headerAge = "Feed-Age"
 	// headerStoreFirst and headerStoreLast are the bounds of the store's uptime, in milliseconds
 	// before the response.
-	headerFirst = "Store-First"
-	headerLast  = "Store-Last"
+	headerStoreFirst = "Store-First"
+	headerStoreLast  = "Store-Last"
 )
 
 // maxDecompressedBytes bounds the size of a response: a whole table of the store, and twice the
@@ -77,7 +77,7 @@
 //
 // An uncompressed large desired state would saturate the reader's link. The followers would time
 // out and fetch it from the store. It is compressed once, and the result is sent to all followers.
-func pack(raw []byte) []byte {
+func compressRows(raw []byte) []byte {
 	var compressed bytes.Buffer
 	w := gzipWriters.Get().(*gzip.Writer)
 	defer gzipWriters.Put(w)
@@ -129,8 +129,8 @@
 		http.Error(w, "After: expected a number", http.StatusBadRequest)
 		return
 	}
-	response, ok := g.feeds.since(r.Context(), Table(r.URL.Query().Get("Table")), after)
-	if !ok && g.feeds.lost(Table(r.URL.Query().Get("Table"))) {
+	response, ok := g.feeds.changesSince(r.Context(), Table(r.URL.Query().Get("Table")), after)
+	if !ok && g.feeds.isUnreachable(Table(r.URL.Query().Get("Table"))) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -146,14 +146,14 @@
 	store := g.storeUptime(boottime.Now())
 	g.mu.Unlock()
 	if store != nil {
-		w.Header().Set(headerFirst, strconv.Itoa(int(store.First)))
-		w.Header().Set(headerLast, strconv.Itoa(int(store.Last)))
+		w.Header().Set(headerStoreFirst, strconv.Itoa(int(store.First)))
+		w.Header().Set(headerStoreLast, strconv.Itoa(int(store.Last)))
 	}
 	_, _ = w.Write(response.Compressed)
 }
 
 // feedTimeout bounds a call for changes.
-const feedTimeout = readerWait + feedTransferTimeout
+const feedTimeout = feedPollWait + feedTransferTimeout
 
 // fetchFeed asks another entry for the changes of a table after a revision, or for the whole table
 // if the revision is 0. Changes must arrive completely within the timeout. A whole table must
@@ -181,13 +181,13 @@
 		}
 		feed, err := decodeFeed(response.Header, body)
 		if err == nil {
-			g.noteReported(feed.Store)
+			g.recordReportedUptime(feed.Store)
 		}
 		return feed, err
 	case http.StatusGone:
-		return FeedResponse{}, ErrHistoryGone
+		return FeedResponse{}, ErrRevisionPruned
 	case http.StatusServiceUnavailable:
-		return FeedResponse{}, errReaderLost
+		return FeedResponse{}, errReaderDisconnected
 	}
 	return FeedResponse{}, fmt.Errorf("feed of table %s from %s: answered %d", table, address, response.StatusCode)
 }
@@ -222,17 +222,17 @@
 	switch {
 	case err != nil:
 		return FeedResponse{}, fmt.Errorf("decode feed: %s: %w", headerAge, err)
-	case revision > revisionMost:
+	case revision > maxRevision:
 		return FeedResponse{}, fmt.Errorf("decode feed: Revision: %w", errRevision)
 	case age < 0:
-		return FeedResponse{}, fmt.Errorf("decode feed: Age: %w", errAge)
+		return FeedResponse{}, fmt.Errorf("decode feed: Age: %w", errOutOfRange)
 	}
 	feed := FeedResponse{Revision: revision, Age: time.Duration(age)}
-	if header.Get(headerFirst) != "" {
-		first, firstErr := strconv.ParseUint(header.Get(headerFirst), 10, 16)
-		last, lastErr := strconv.ParseUint(header.Get(headerLast), 10, 16)
+	if header.Get(headerStoreFirst) != "" {
+		first, firstErr := strconv.ParseUint(header.Get(headerStoreFirst), 10, 16)
+		last, lastErr := strconv.ParseUint(header.Get(headerStoreLast), 10, 16)
 		if err := errors.Join(firstErr, lastErr); err != nil {
-			return FeedResponse{}, fmt.Errorf("decode feed: %s: %w", headerFirst, err)
+			return FeedResponse{}, fmt.Errorf("decode feed: %s: %w", headerStoreFirst, err)
 		}
 		feed.Store = &StoreUptime{First: uint16(first), Last: uint16(last)}
 	}
--- a/internal/transport/gateway/fuzz_test.go
+++ b/internal/transport/gateway/fuzz_test.go
@@ -15,8 +15,8 @@
 		if err != nil {
 			return
 		}
-		if d.Beat != nil && (d.Beat.Entry.Host == "" || checkAddress("", d.Beat.Entry.Datagrams) != nil) {
-			t.Fatalf("heartbeat without a valid entry: %+v", d.Beat)
+		if d.Heartbeat != nil && (d.Heartbeat.Entry.Host == "" || checkAddress("", d.Heartbeat.Entry.Datagrams) != nil) {
+			t.Fatalf("heartbeat without a valid entry: %+v", d.Heartbeat)
 		}
 		if d.Load != nil && (d.Load.Load.Running < 0 || d.Load.Load.Queued < 0 || d.Load.Load.LeavesIn > maxLookahead) {
 			t.Fatalf("load out of range: %+v", d.Load)
@@ -36,7 +36,7 @@
 func FuzzFeed(f *testing.F) {
 	header := http.Header{headerRevision: {"7"}, headerAge: {"5"}}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for _, body := range [][]byte{data, pack(data)} {
+		for _, body := range [][]byte{data, compressRows(data)} {
 			answer, err := decodeFeed(header, bytes.NewReader(body))
 			if err != nil {
 				continue
--- a/internal/transport/gateway/gateway.go
+++ b/internal/transport/gateway/gateway.go
@@ -33,10 +33,10 @@
 	Regions map[string]string
 	// RevocationDelay is the maximum time for which a revoked key still works. Keys are refused
 	// once the desired state is older than this. 0 means no limit.
-	Revoke time.Duration
+	RevocationDelay time.Duration
 	// SwitchoverTimeout is the time after an operator names a model version by which no older
 	// version may answer any more.
-	Bound time.Duration
+	MaxStaleness time.Duration
 	// RetryRatio and RetrySlack limit the retries of all entries together within any RetryWindow.
 	RetryRatio  float64
 	RetrySlack  float64
@@ -45,11 +45,11 @@
 	// returned the list of entries.
 	Seeds []string
 	// LocateTTL is how long callers may cache a result of Locate.
-	Keep time.Duration
+	LocateTTL time.Duration
 	// DrainGracePeriod is how long new requests are accepted after shutdown is announced.
 	// DrainTimeout is the time from that announcement by which the process must have ended.
-	Grace time.Duration
-	Leave time.Duration
+	DrainGracePeriod time.Duration
+	DrainTimeout     time.Duration
 }
 
 // Gateway is one entry. It serves callers' requests by forwarding them to backend servers.
@@ -68,20 +68,20 @@
 	state atomic.Pointer[catalog.State]
 	// stateConfirmedAt is when the last read that confirmed the state was sent; 0 if there was
 	// none.
-	confirmed atomic.Int64
+	stateConfirmedAt atomic.Int64
 	// inFlight is the number of callers' requests being served.
 	inFlight atomic.Int64
 	// readerSuspendedUntil is the time until which another entry should read the store for the
 	// region, because the store does not answer this one.
-	lostUntil atomic.Int64
+	readerSuspendedUntil atomic.Int64
 	// entriesListed is true once the list of entries has been read from the store.
-	listed atomic.Bool
+	entriesListed atomic.Bool
 	// holdsRestored is true once this entry has the quarantine holds that were placed before it
 	// started.
-	restored atomic.Bool
+	holdsRestored atomic.Bool
 	// stateKnown is closed once a desired state is known. started is when this process started.
-	stated  chan struct{}
-	started time.Duration
+	stateKnown chan struct{}
+	started    time.Duration
 	// revocationDelay is Config.RevocationDelay, which Reconfigure may change.
 	revocationDelay atomic.Int64
 
@@ -96,18 +96,18 @@
 	outages map[string]*admission.Outage
 	peers   *peers
 	// namedVersions are the versions of each model that operators want, oldest first.
-	named map[string][]named
+	versionsByModel map[string][]namedVersion
 	// namedChanged receives a value when a version has been named.
-	namedNews chan struct{}
-	bad       badRows
+	namedChanged chan struct{}
+	badRows      badRowTracker
 	// backendsInterval is the time between the last two updates of the list of backend servers.
-	viewGap time.Duration
-	uptime  uptime.Uptime
+	backendsInterval time.Duration
+	uptime           uptime.Uptime
 	// storeAnsweredAt is when the store last answered this entry; 0 if it has not.
-	answeredAt time.Duration
+	storeAnsweredAt time.Duration
 	// heartbeatNow requests an immediate heartbeat to the region.
-	beatNow chan struct{}
-	stop    *drain.Stop
+	heartbeatNow chan struct{}
+	stop         *drain.Stop
 }
 
 // New returns a gateway whose loops run until ctx ends. The socket receives heartbeats and load
@@ -117,13 +117,13 @@
 	fleetConfig := fleet.DefaultConfig()
 	fleetConfig.Site, fleetConfig.Region, fleetConfig.Regions = config.Self.Site, config.Self.Region, config.Regions
 	g := &Gateway{
-		stated: make(chan struct{}), started: boottime.Now(), beatNow: make(chan struct{}, 1), namedNews: make(chan struct{}, 1),
+		stateKnown: make(chan struct{}), started: boottime.Now(), heartbeatNow: make(chan struct{}, 1), namedChanged: make(chan struct{}, 1),
 		config: config, store: store, codec: codec, sender: sender, log: log, socket: datagrams.New(socket), client: client, feeds: newFeeds(),
 		metrics: newMetrics(registry), rng: rng, fleet: fleet.New(fleetConfig, rng), gate: admission.DefaultEntryGate(),
-		retryBudgets: map[string]*retry.Window{}, outages: map[string]*admission.Outage{}, waitQueue: newWaitQueue(), crashes: newCrashes(), peers: newPeers(config.Self, boottime.Now()), named: map[string][]named{},
-		stop: drain.New(drain.Config{Grace: config.Grace, Move: config.Leave}),
+		retryBudgets: map[string]*retry.Window{}, outages: map[string]*admission.Outage{}, waitQueue: newWaitQueue(), crashes: newCrashes(), peers: newPeers(config.Self, boottime.Now()), versionsByModel: map[string][]namedVersion{},
+		stop: drain.New(drain.Config{GracePeriod: config.DrainGracePeriod, MoveStreamsAfter: config.DrainTimeout}),
 	}
-	g.revocationDelay.Store(int64(config.Revoke))
+	g.revocationDelay.Store(int64(config.RevocationDelay))
 	g.relay = relay.New(relays.Entry{Host: config.Self.Host, Site: config.Self.Site}, relayView{g}, origin, client, log, registry)
 	for _, loop := range []func(context.Context){g.runDesired, g.runBackends, g.runEntries, g.runHeartbeat, g.runCounts, g.runSeeds, g.runRestore, g.runVersions} {
 		go loop(ctx)
@@ -134,7 +134,7 @@
 
 // stateAge returns the age of the desired state; false if no state is known.
 func (g *Gateway) stateAge(now time.Duration) (time.Duration, bool) {
-	confirmed := g.confirmed.Load()
+	confirmed := g.stateConfirmedAt.Load()
 	return now - time.Duration(confirmed), confirmed != 0
 }
 
@@ -162,7 +162,7 @@
 
 // readyLocked is Ready for callers that hold g.mu.
 func (g *Gateway) readyLocked(now time.Duration) bool {
-	return !g.stop.Leaving() && g.state.Load() != nil && g.keysFresh(now)
+	return !g.stop.Announced() && g.state.Load() != nil && g.keysFresh(now)
 }
 
 // Limits returns the limits that the desired state sets for callers; zero values while no state is
@@ -180,7 +180,7 @@
 	ready := g.Ready()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.peers.locate(site, ready, boottime.Now()), g.config.Keep
+	return g.peers.locate(site, ready, boottime.Now()), g.config.LocateTTL
 }
 
 // retryBudget returns the retry budget of a service. The caller holds g.mu.
@@ -195,11 +195,11 @@
 
 // retryWindow returns this entry's share of the retry limit.
 func (g *Gateway) retryWindow() retry.WindowConfig {
-	return retry.SharedWindow(g.config.RetryWindow, g.config.RetryRatio, g.config.RetrySlack, g.peers.registered())
+	return retry.SharedWindow(g.config.RetryWindow, g.config.RetryRatio, g.config.RetrySlack, g.peers.registeredCount())
 }
 
 // resizeRetryBudgets adjusts the retry budgets to the number of entries. The caller holds g.mu.
-func (g *Gateway) resizeBudgets() {
+func (g *Gateway) resizeRetryBudgets() {
 	for _, b := range g.retryBudgets {
 		b.Resize(g.retryWindow())
 	}
@@ -212,20 +212,20 @@
 func (g *Gateway) Reconfigure(config Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.revocationDelay.Store(int64(config.Revoke))
-	g.config.Bound, g.config.Keep = config.Bound, config.Keep
+	g.revocationDelay.Store(int64(config.RevocationDelay))
+	g.config.MaxStaleness, g.config.LocateTTL = config.MaxStaleness, config.LocateTTL
 	g.config.RetryRatio, g.config.RetrySlack = config.RetryRatio, config.RetrySlack
-	g.resizeBudgets()
+	g.resizeRetryBudgets()
 }
 
 // Shutdown announces that this entry is draining, keeps accepting requests for the grace period,
 // and returns when all requests have ended or ctx ends.
-func (g *Gateway) Leave(ctx context.Context) {
+func (g *Gateway) Shutdown(ctx context.Context) {
 	g.mu.Lock()
 	g.stop.Announce(time.Now())
 	g.mu.Unlock()
 	g.log.Info("leaving", zap.Int64("Running", g.inFlight.Load()))
-	g.beat(boottime.Now(), true)
+	g.sendHeartbeat(boottime.Now(), true)
 	go g.unregister(ctx)
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
@@ -255,7 +255,7 @@
 func (g *Gateway) discoveryElapsed() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return boottime.Now()-g.peers.started > startTrust
+	return boottime.Now()-g.peers.startedAt > startupGrace
 }
 
 // relayView gives the relay access to the origin, the holders of weights and the other entries.
@@ -269,7 +269,7 @@
 // origin's connections.
 func (v relayView) Origin() (address, site string, ok bool) {
 	state := v.gateway.state.Load()
-	if state == nil || !v.gateway.listed.Load() && !v.gateway.discoveryElapsed() {
+	if state == nil || !v.gateway.entriesListed.Load() && !v.gateway.discoveryElapsed() {
 		return "", "", false
 	}
 	origin, ok := state.Origin()
@@ -277,14 +277,14 @@
 }
 
 // Holders returns the hosts of this site whose servers hold a version.
-func (v relayView) Holders(named catalog.NamedVersion) []relays.Holder {
+func (v relayView) Holders(named catalog.ModelVersion) []relays.Holder {
 	v.gateway.mu.Lock()
 	defer v.gateway.mu.Unlock()
 	return v.gateway.fleet.Holders(named.Model, named.Version, boottime.Now())
 }
 
-// Relays returns the live entries and their peer addresses.
-func (v relayView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+// Entries returns the live entries and their peer addresses.
+func (v relayView) Entries() ([]relays.Entry, map[filbertlever.HostID]string) {
 	v.gateway.mu.Lock()
 	defer v.gateway.mu.Unlock()
 	alive := v.gateway.peers.alive(boottime.Now())
--- a/internal/transport/gateway/headwatch.go
+++ b/internal/transport/gateway/headwatch.go
@@ -30,22 +30,22 @@
 	goal    time.Duration
 	backend catalog.Backend
 	// request is the request as another server would have to accept it.
-	wanted fleet.Request
-	cancel func()
-	done   chan struct{}
+	request fleet.Request
+	cancel  func()
+	done    chan struct{}
 }
 
 // watchHead cancels the attempt if its server does not begin its answer in time. It returns
 // nil if no other server may run the request.
 func (a *attempts) watchHead(backend catalog.Backend, cancel func()) *headWatch {
-	if !a.Class.Repeatable || a.Sent()+1 >= a.Class.Servers || a.route.Goal <= 0 {
+	if !a.Class.Repeatable || a.Sent()+1 >= a.Class.MaxServers || a.route.FirstByteGoal <= 0 {
 		return nil
 	}
 	a.gateway.mu.Lock()
-	request := a.wanted(boottime.Now())
+	request := a.placementRequest(boottime.Now())
 	a.gateway.mu.Unlock()
 	request.Avoid = slices.Clone(request.Avoid)
-	w := &headWatch{gateway: a.gateway, goal: a.route.Goal, backend: backend, wanted: request, cancel: cancel, done: make(chan struct{})}
+	w := &headWatch{gateway: a.gateway, goal: a.route.FirstByteGoal, backend: backend, request: request, cancel: cancel, done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -62,7 +62,7 @@
 			return
 		case <-timer.C:
 		}
-		if w.late(time.Since(start)) {
+		if w.shouldReroute(time.Since(start)) {
 			w.cancel()
 			return
 		}
@@ -78,15 +78,15 @@
 //
 // If no other server has a free place the attempt continues, since the server may only be
 // slow and the request would fail.
-func (w *headWatch) late(waited time.Duration) bool {
+func (w *headWatch) shouldReroute(waited time.Duration) bool {
 	g, now := w.gateway, boottime.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	abandoned := g.fleet.Followed(w.backend) || g.fleet.Stalled(w.backend.ID, now)
+	abandoned := g.fleet.Superseded(w.backend) || g.fleet.Stalled(w.backend.ID, now)
 	if waited < max(headTimeoutFactor*w.goal, minHeadTimeout) && !abandoned {
 		return false
 	}
-	return g.fleet.Elsewhere(w.wanted, g.gate.Waiting, now)
+	return g.fleet.HasAlternative(w.request, g.gate.MaxQueuePosition, now)
 }
 
 // end stops the watch. The receiver may be nil.
--- a/internal/transport/gateway/holds.go
+++ b/internal/transport/gateway/holds.go
@@ -37,7 +37,7 @@
 // requests that all entries had refused before.
 func (g *Gateway) runRestore(ctx context.Context) {
 	started := boottime.Now()
-	for !g.restored.Load() {
+	for !g.holdsRestored.Load() {
 		pause := restorePollInterval
 		if boottime.Now()-started >= g.restoreDelay() {
 			if err := g.restore(ctx); err == nil {
@@ -75,9 +75,9 @@
 	}
 	g.mu.Lock()
 	stale := g.crashes.Restore(holds, boottime.Now())
-	g.noteBad(bad)
+	g.reportBadRows(bad)
 	g.mu.Unlock()
-	g.restored.Store(true)
+	g.holdsRestored.Store(true)
 	g.log.Info("quarantine holds read from the store", zap.Int("Held", len(holds)-len(stale)), zap.Int("Past", len(stale)))
 	if len(stale) > 0 {
 		g.deleteHolds(ctx, stale)
@@ -87,7 +87,7 @@
 
 // deleteHolds deletes expired holds from the store.
 func (g *Gateway) deleteHolds(ctx context.Context, requests []quarantine.Fingerprint) {
-	if err := g.store.DropHolds(ctx, requests); err != nil {
+	if err := g.store.DeleteHolds(ctx, requests); err != nil {
 		// The next entry that reads the holds deletes them.
 		g.log.Warn("could not delete expired quarantine holds", zap.Error(err))
 	}
@@ -97,7 +97,7 @@
 func (g *Gateway) saveHold(ctx context.Context, hold quarantine.Hold) {
 	for range maxSaveAttempts {
 		hold.Age = boottime.Now() - hold.At
-		err := g.store.KeepHold(ctx, hold)
+		err := g.store.SaveHold(ctx, hold)
 		if err == nil {
 			return
 		}
@@ -112,8 +112,8 @@
 
 // persistHolds saves the holds that this entry placed, and deletes the expired ones, in the store.
 // The caller holds g.mu.
-func (g *Gateway) keepVerdicts(ctx context.Context) {
-	placed, expired := g.crashes.Verdicts()
+func (g *Gateway) persistHolds(ctx context.Context) {
+	placed, expired := g.crashes.TakeStoreChanges()
 	for _, hold := range placed {
 		go g.saveHold(ctx, hold)
 	}
@@ -124,8 +124,8 @@
 
 // noteHoldsRestored records that another entry has restored the holds and has the same ones as this
 // entry. The caller holds g.mu.
-func (g *Gateway) heardRestored(heartbeat *Beat, now time.Duration) {
-	if heartbeat.Restored && !g.restored.Load() && heartbeat.Held == g.crashes.Digest(now) {
-		g.restored.Store(true)
+func (g *Gateway) noteHoldsRestored(heartbeat *Heartbeat, now time.Duration) {
+	if heartbeat.Restored && !g.holdsRestored.Load() && heartbeat.HeldDigest == g.crashes.Digest(now) {
+		g.holdsRestored.Store(true)
 	}
 }
--- a/internal/transport/gateway/messages.go
+++ b/internal/transport/gateway/messages.go
@@ -17,7 +17,7 @@
 // guaranteed.
 type Datagram struct {
 	// Heartbeat is the heartbeat of an entry.
-	Beat *Beat `cbor:"1,keyasint,omitempty"`
+	Heartbeat *Heartbeat `cbor:"1,keyasint,omitempty"`
 	// Counts are the requests of an entry in flight at backend servers.
 	Counts *Counts `cbor:"2,keyasint,omitempty"`
 	// Load is an agent's report on its backend server.
@@ -25,11 +25,11 @@
 	// Changed notifies an agent that its view of the named versions is outdated.
 	Changed bool `cbor:"4,keyasint,omitempty"`
 	// Crashes reports requests that crash backend servers.
-	News *quarantine.News `cbor:"5,keyasint,omitempty"`
+	Crashes *quarantine.CrashReport `cbor:"5,keyasint,omitempty"`
 }
 
 // Heartbeat reports the state of an entry to the others.
-type Beat struct {
+type Heartbeat struct {
 	Entry Entry `cbor:"1,keyasint"`
 	// Ready is true if the entry accepts callers.
 	Ready bool `cbor:"2,keyasint,omitempty"`
@@ -39,7 +39,7 @@
 	Named []NamedAge `cbor:"4,keyasint,omitempty"`
 	// HeldDigest is a digest of the quarantined requests; 0 if there are none. It differs
 	// between entries that hold different ones.
-	Held uint64 `cbor:"5,keyasint,omitempty"`
+	HeldDigest uint64 `cbor:"5,keyasint,omitempty"`
 	// Restored is true once the entry has the quarantine verdicts from before its start.
 	Restored bool `cbor:"6,keyasint,omitempty"`
 	// StoreUptime is the latest period in which the store answered, by the reports that
@@ -76,7 +76,7 @@
 // LoadReport is the load of a backend server, and the versions that its agent has in its
 // view.
 type LoadReport struct {
-	Load fleet.Load `cbor:"1,keyasint"`
+	Load fleet.Report `cbor:"1,keyasint"`
 	// Named are the named versions of the agent's view; nil before it has a view.
 	Named []NamedAge `cbor:"2,keyasint"`
 }
@@ -114,7 +114,7 @@
 	if err := decMode.Unmarshal(data, &d); err != nil {
 		return nil, fmt.Errorf("decode datagram: %w", err)
 	}
-	if err := errors.Join(d.Beat.check(), d.Counts.check(), d.Load.check(), d.News.Check()); err != nil {
+	if err := errors.Join(d.Heartbeat.check(), d.Counts.check(), d.Load.check(), d.Crashes.Validate()); err != nil {
 		return nil, fmt.Errorf("decode datagram: %w", err)
 	}
 	return &d, nil
--- a/internal/transport/gateway/messages_test.go
+++ b/internal/transport/gateway/messages_test.go
@@ -21,7 +21,7 @@
 
 // encodeJSONDatagram encodes a JSON text as a CBOR datagram, with integer keys in place of
 // field names and values of any type. A text that is not JSON is returned unchanged.
-func message(text string) []byte {
+func encodeJSONDatagram(text string) []byte {
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.UseNumber()
 	var value any
@@ -87,10 +87,10 @@
 	c := qt.New(t)
 	for _, d := range []Datagram{
 		{Changed: true},
-		{Beat: &Beat{Entry: Entry{Host: "e", Site: "a", Region: "ra", Callers: "10.0.0.1:1", Peers: "10.0.0.1:2", Datagrams: "10.0.0.1:3", Incarnation: "x"},
+		{Heartbeat: &Heartbeat{Entry: Entry{Host: "e", Site: "a", Region: "ra", Callers: "10.0.0.1:1", Peers: "10.0.0.1:2", Datagrams: "10.0.0.1:3", Incarnation: "x"},
 			Ready: true, StoreUnreachable: true, Named: []NamedAge{{Model: "d", Version: 2, Age: time.Second, Known: true}}}},
 		{Counts: &Counts{From: "e", Sequence: 1 << 60, Requests: map[string]int{"i-1": 3}, Silent: []string{"i-2"}, Boots: map[string]catalog.Boot{"i-1": 7}}},
-		{Load: &LoadReport{Load: fleet.Load{Address: "10.0.0.1:1", Boot: 5, Before: []catalog.Boot{3}, Sequence: 1 << 63, Running: 3, Queued: 1, Pace: 1.5,
+		{Load: &LoadReport{Load: fleet.Report{Address: "10.0.0.1:1", Boot: 5, PreviousBoots: []catalog.Boot{3}, Sequence: 1 << 63, Running: 3, Queued: 1, Pace: 1.5,
 			Switching: true, Models: []catalog.Model{{Name: "d", Version: 2}}, LeavesIn: time.Second, LoadedIn: time.Minute},
 			Named: []NamedAge{{Model: "d", Version: 3}}}},
 	} {
@@ -123,7 +123,7 @@
 	text, err := json.Marshal(counts)
 	c.Assert(err, qt.IsNil)
 	c.Check(len(data) < len(text)*9/10, qt.IsTrue, qt.Commentf("%d bytes, %d as text", len(data), len(text)))
-	heartbeat, err := EncodeDatagram(Datagram{Beat: &Beat{Entry: Entry{Host: "edge-nave-erandio-13", Site: "nave-erandio", Region: "norte-vasco", Callers: "10.1.0.40:8005",
+	heartbeat, err := EncodeDatagram(Datagram{Heartbeat: &Heartbeat{Entry: Entry{Host: "edge-nave-erandio-13", Site: "nave-erandio", Region: "norte-vasco", Callers: "10.1.0.40:8005",
 		Peers: "10.1.0.40:7701", Datagrams: "10.1.0.40:7700", Incarnation: "d0mqyhbvrq2n"}, Ready: true}})
 	c.Assert(err, qt.IsNil)
 	c.Check(len(heartbeat) < 150, qt.IsTrue, qt.Commentf("%d bytes", len(heartbeat)))
--- a/internal/transport/gateway/named.go
+++ b/internal/transport/gateway/named.go
@@ -15,7 +15,7 @@
 
 // namedVersion is a version of a model that operators have named, which requests that it be served.
 // Its deadline is Config.Bound after the naming. From then on older versions may not answer.
-type named struct {
+type namedVersion struct {
 	version uint64
 	// namedAt is when the version was named, as far as that is known.
 	namedAt time.Duration
@@ -24,13 +24,13 @@
 }
 
 // minVersion returns the oldest version of a model that may answer now, or 0 if any may.
-func (g *Gateway) least(model string, now time.Duration) uint64 {
-	if g.config.Bound <= 0 {
+func (g *Gateway) minVersion(model string, now time.Duration) uint64 {
+	if g.config.MaxStaleness <= 0 {
 		return 0
 	}
-	strict := g.switchoverConfig(model).Strict()
+	strict := g.switchoverConfig(model).TargetOnlyAfter()
 	minimum := uint64(0)
-	for _, n := range g.named[model] {
+	for _, n := range g.versionsByModel[model] {
 		if now-n.namedAt >= strict {
 			minimum = max(minimum, n.version)
 		}
@@ -40,9 +40,9 @@
 
 // switchoverConfig returns the time limits for changes of a model's version.
 func (g *Gateway) switchoverConfig(model string) switchover.Config {
-	config := switchover.DefaultConfig(g.config.Bound)
+	config := switchover.DefaultConfig(g.config.MaxStaleness)
 	if state := g.state.Load(); state != nil {
-		config = config.WithPass(state.LongestPass(model))
+		config = config.WithMaxPass(state.MaxPassTime(model))
 	}
 	return config
 }
@@ -54,21 +54,21 @@
 // Every request to older weights has such a time, including those that are sent long before the
 // deadline of the newer version and those that resume an answer, because they may wait in the
 // server's queue past that deadline.
-func (g *Gateway) takeBackAt(model string, now time.Duration, p fleet.Placement) (time.Duration, bool) {
-	if g.config.Bound <= 0 || g.plain(p.Backend.Service) {
+func (g *Gateway) cancelDeadline(model string, now time.Duration, p fleet.Placement) (time.Duration, bool) {
+	if g.config.MaxStaleness <= 0 || g.isPlain(p.Backend.Service) {
 		return 0, true
 	}
 	config := g.switchoverConfig(model)
-	config.Pass = time.Duration(float64(config.Pass) * max(p.Pace, 1))
+	config.MaxPass = time.Duration(float64(config.MaxPass) * max(p.Slowdown, 1))
 	cancelAt := time.Duration(0)
-	for _, n := range g.named[model] {
-		if n.version <= p.Holds {
+	for _, n := range g.versionsByModel[model] {
+		if n.version <= p.HeldVersion {
 			continue
 		}
-		if !config.MayBegin(n.namedAt, now, p.Predicted) {
+		if !config.MayStartOnOlder(n.namedAt, now, p.PredictedLatency) {
 			return 0, false
 		}
-		if limit := config.TakeBackAt(n.namedAt); cancelAt == 0 || limit < cancelAt {
+		if limit := config.CancelAt(n.namedAt); cancelAt == 0 || limit < cancelAt {
 			cancelAt = limit
 		}
 	}
@@ -77,46 +77,46 @@
 
 // setNamed adds versions that operators have named. first is true if they come from the first read
 // of the store. The caller holds the lock.
-func (g *Gateway) setNamed(versions []catalog.NamedVersion, first bool, now time.Duration) {
+func (g *Gateway) setNamed(versions []catalog.ModelVersion, first bool, now time.Duration) {
 	for _, v := range versions {
 		if v.Version <= g.newestVersion(v.Model) {
 			continue
 		}
-		n := named{version: v.Version, namedAt: now}
+		n := namedVersion{version: v.Version, namedAt: now}
 		if first {
 			// The version was named at an unknown time before this process started,
 			// so its deadline may have passed already.
-			n.namedAt, n.estimated = now-g.config.Bound, true
+			n.namedAt, n.estimated = now-g.config.MaxStaleness, true
 		}
 		g.addNamed(v.Model, n, now)
 		if !first {
-			g.relay.Announce(v)
+			g.relay.AddVersion(v)
 		}
 		select {
-		case g.namedNews <- struct{}{}:
+		case g.namedChanged <- struct{}{}:
 		default:
 		}
 	}
 }
 
 // addNamed adds a version that is not known yet, and keeps the list in the order of versions.
-func (g *Gateway) addNamed(model string, n named, now time.Duration) {
-	list := append(slices.Clone(g.named[model]), n)
-	slices.SortFunc(list, func(a, b named) int { return cmp.Compare(a.version, b.version) })
-	g.named[model] = pruneSuperseded(list, g.config.Bound, now)
-	g.fleet.SetNamed(model, g.namedVersions(model), now)
+func (g *Gateway) addNamed(model string, n namedVersion, now time.Duration) {
+	list := append(slices.Clone(g.versionsByModel[model]), n)
+	slices.SortFunc(list, func(a, b namedVersion) int { return cmp.Compare(a.version, b.version) })
+	g.versionsByModel[model] = pruneSuperseded(list, g.config.MaxStaleness, now)
+	g.fleet.SetNamedVersions(model, g.namedVersions(model), now)
 	g.log.Info("version named", zap.String("Model", model), zap.Uint64("Version", n.version), zap.Duration("Age", now-n.namedAt), zap.Bool("BeforeStart", n.estimated))
-	for _, newer := range g.named[model] {
-		g.supersedeOlder(catalog.NamedVersion{Model: model, Version: newer.version}, newer.namedAt)
+	for _, newer := range g.versionsByModel[model] {
+		g.supersedeOlder(catalog.ModelVersion{Model: model, Version: newer.version}, newer.namedAt)
 	}
 	g.updateRelayPlan(model)
 }
 
 // updateRelayPlan passes the named versions of a model to the relay. The caller holds the lock.
 func (g *Gateway) updateRelayPlan(model string) {
-	plan := relay.Plan{Bounds: g.switchoverConfig(model), OriginRate: g.originRate()}
-	for _, n := range g.named[model] {
-		plan.Named = append(plan.Named, switchover.Named{Version: n.version, Since: n.namedAt})
+	plan := relay.Plan{Config: g.switchoverConfig(model), OriginRate: g.originRate()}
+	for _, n := range g.versionsByModel[model] {
+		plan.Versions = append(plan.Versions, switchover.TargetVersion{Version: n.version, SetAt: n.namedAt})
 	}
 	g.relay.SetPlan(model, plan)
 }
@@ -132,13 +132,13 @@
 }
 
 // supersedeOlder passes to the relay when the versions before a named version become useless.
-func (g *Gateway) supersedeOlder(v catalog.NamedVersion, namedAt time.Duration) {
-	if g.config.Bound <= 0 {
+func (g *Gateway) supersedeOlder(v catalog.ModelVersion, namedAt time.Duration) {
+	if g.config.MaxStaleness <= 0 {
 		return
 	}
-	for _, older := range g.named[v.Model] {
+	for _, older := range g.versionsByModel[v.Model] {
 		if older.version < v.Version {
-			g.relay.Supersede(catalog.NamedVersion{Model: v.Model, Version: older.version}, g.switchoverConfig(v.Model).AnswersUntil(namedAt))
+			g.relay.Supersede(catalog.ModelVersion{Model: v.Model, Version: older.version}, g.switchoverConfig(v.Model).OlderUsableUntil(namedAt))
 		}
 	}
 }
@@ -148,7 +148,7 @@
 // A version must not be pruned because of its age alone. Versions used to be pruned twice Config.Bound
 // after their naming when the next one was named. The entry then no longer knew that the deadline
 // had passed, and servers that had never loaded the version got requests again.
-func pruneSuperseded(list []named, bound, now time.Duration) []named {
+func pruneSuperseded(list []namedVersion, bound, now time.Duration) []namedVersion {
 	for i := len(list) - 1; i > 0; i-- {
 		if bound > 0 && !list[i].estimated && now-list[i].namedAt >= bound {
 			return list[i:]
@@ -159,7 +159,7 @@
 
 // newestVersion returns the newest named version of a model, or 0.
 func (g *Gateway) newestVersion(model string) uint64 {
-	list := g.named[model]
+	list := g.versionsByModel[model]
 	if len(list) == 0 {
 		return 0
 	}
@@ -169,7 +169,7 @@
 // namedVersions returns the named versions of a model from the oldest to the newest.
 func (g *Gateway) namedVersions(model string) []uint64 {
 	var versions []uint64
-	for _, n := range g.named[model] {
+	for _, n := range g.versionsByModel[model] {
 		versions = append(versions, n.version)
 	}
 	return versions
@@ -182,23 +182,23 @@
 //
 // An entry that starts reads only the newest version from the store. Only its peers know of a version
 // that was named shortly before the newest one and has an earlier deadline.
-func (g *Gateway) heardNamed(model string, version uint64, age, now time.Duration) {
-	list := g.named[model]
-	i := slices.IndexFunc(list, func(n named) bool { return n.version == version })
+func (g *Gateway) mergeNamedAge(model string, version uint64, age, now time.Duration) {
+	list := g.versionsByModel[model]
+	i := slices.IndexFunc(list, func(n namedVersion) bool { return n.version == version })
 	switch {
 	case i < 0 && g.isSuperseded(list, version, now):
 	case i < 0:
-		g.addNamed(model, named{version: version, namedAt: now - age}, now)
+		g.addNamed(model, namedVersion{version: version, namedAt: now - age}, now)
 	case list[i].estimated || now-age < list[i].namedAt-ageTolerance:
-		list[i] = named{version: version, namedAt: now - age}
+		list[i] = namedVersion{version: version, namedAt: now - age}
 		g.updateRelayPlan(model)
 	}
 }
 
 // isSuperseded reports whether the deadline of a newer version than this one has passed.
-func (g *Gateway) isSuperseded(list []named, version uint64, now time.Duration) bool {
+func (g *Gateway) isSuperseded(list []namedVersion, version uint64, now time.Duration) bool {
 	for _, n := range list {
-		if n.version > version && !n.estimated && g.config.Bound > 0 && now-n.namedAt >= g.config.Bound {
+		if n.version > version && !n.estimated && g.config.MaxStaleness > 0 && now-n.namedAt >= g.config.MaxStaleness {
 			return true
 		}
 	}
--- a/internal/transport/gateway/named_test.go
+++ b/internal/transport/gateway/named_test.go
@@ -21,14 +21,14 @@
 func TestEarliestReportedNamingTimeWins(t *testing.T) {
 	c := qt.New(t)
 	const now, age = 25 * time.Second, 7 * time.Second
-	g := &Gateway{crashes: newCrashes(), named: map[string][]named{"drafter": {{version: 2, namedAt: now}}},
+	g := &Gateway{crashes: newCrashes(), versionsByModel: map[string][]namedVersion{"drafter": {{version: 2, namedAt: now}}},
 		relay: relay.New(relays.Entry{}, nil, nil, nil, zap.NewNop(), prometheus.NewRegistry())}
-	g.heardNamed("drafter", 2, age, now)
-	c.Assert(g.named["drafter"][0].namedAt, qt.Equals, now-age)
+	g.mergeNamedAge("drafter", 2, age, now)
+	c.Assert(g.versionsByModel["drafter"][0].namedAt, qt.Equals, now-age)
 	// Neither a later naming time nor the propagation delay changes anything.
-	g.heardNamed("drafter", 2, time.Second, now)
-	g.heardNamed("drafter", 2, age+ageTolerance/2, now)
-	c.Assert(g.named["drafter"][0].namedAt, qt.Equals, now-age)
+	g.mergeNamedAge("drafter", 2, time.Second, now)
+	g.mergeNamedAge("drafter", 2, age+ageTolerance/2, now)
+	c.Assert(g.versionsByModel["drafter"][0].namedAt, qt.Equals, now-age)
 }
 
 // An agent whose view comes from an entry with outdated versions or naming times changes its server
@@ -40,35 +40,35 @@
 	reportedAge := func(version uint64, age time.Duration, known bool) NamedAge {
 		return NamedAge{Model: switchoverModel, Version: version, Age: age, Known: known}
 	}
-	longAgo := 2 * g.config.Bound
+	longAgo := 2 * g.config.MaxStaleness
 	for _, test := range []struct {
 		name     string
-		named    []named
+		named    []namedVersion
 		reported []NamedAge
 		outdated bool
 	}{
-		{"the agent has no view and asks for one in any case", []named{{version: 2, namedAt: now}}, nil, false},
+		{"the agent has no view and asks for one in any case", []namedVersion{{version: 2, namedAt: now}}, nil, false},
 		{"no version was named", nil, []NamedAge{reportedAge(1, 0, false)}, false},
-		{"the version is missing", []named{{version: 2, namedAt: now}}, []NamedAge{reportedAge(1, 0, false)}, true},
-		{"the next version is missing", []named{{version: 2, namedAt: now - time.Second}, {version: 3, namedAt: now}}, []NamedAge{reportedAge(2, time.Second, true)}, true},
-		{"the same version", []named{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, time.Second, true)}, false},
-		{"the ages differ by the propagation delay", []named{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, time.Second-ageTolerance, true)}, false},
-		{"the version was named earlier than reported", []named{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, time.Second/2, true)}, true},
-		{"the version was named later than reported", []named{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, 2*time.Second, true)}, false},
-		{"the agent does not know the naming time", []named{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, 2*time.Second, false)}, true},
-		{"neither knows the naming time", []named{{version: 2, namedAt: now - time.Second, estimated: true}}, []NamedAge{reportedAge(2, 0, false)}, false},
-		{"an older version before its deadline is missing", []named{{version: 2, namedAt: now - time.Second}, {version: 3, namedAt: now}}, []NamedAge{reportedAge(3, 0, true)}, true},
-		{"an older version that other entries have pruned", []named{{version: 2, namedAt: now - longAgo}, {version: 3, namedAt: now - longAgo}}, []NamedAge{reportedAge(3, longAgo, true)}, false},
-		{"the agent knows more", []named{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, time.Second, true), reportedAge(3, 0, true)}, false},
+		{"the version is missing", []namedVersion{{version: 2, namedAt: now}}, []NamedAge{reportedAge(1, 0, false)}, true},
+		{"the next version is missing", []namedVersion{{version: 2, namedAt: now - time.Second}, {version: 3, namedAt: now}}, []NamedAge{reportedAge(2, time.Second, true)}, true},
+		{"the same version", []namedVersion{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, time.Second, true)}, false},
+		{"the ages differ by the propagation delay", []namedVersion{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, time.Second-ageTolerance, true)}, false},
+		{"the version was named earlier than reported", []namedVersion{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, time.Second/2, true)}, true},
+		{"the version was named later than reported", []namedVersion{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, 2*time.Second, true)}, false},
+		{"the agent does not know the naming time", []namedVersion{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, 2*time.Second, false)}, true},
+		{"neither knows the naming time", []namedVersion{{version: 2, namedAt: now - time.Second, estimated: true}}, []NamedAge{reportedAge(2, 0, false)}, false},
+		{"an older version before its deadline is missing", []namedVersion{{version: 2, namedAt: now - time.Second}, {version: 3, namedAt: now}}, []NamedAge{reportedAge(3, 0, true)}, true},
+		{"an older version that other entries have pruned", []namedVersion{{version: 2, namedAt: now - longAgo}, {version: 3, namedAt: now - longAgo}}, []NamedAge{reportedAge(3, longAgo, true)}, false},
+		{"the agent knows more", []namedVersion{{version: 2, namedAt: now - time.Second}}, []NamedAge{reportedAge(2, time.Second, true), reportedAge(3, 0, true)}, false},
 	} {
-		g.named[switchoverModel] = test.named
+		g.versionsByModel[switchoverModel] = test.named
 		g.mu.Lock()
-		got := g.news(&LoadReport{Load: fleet.Load{Address: "10.0.0.1:1"}, Named: test.reported}, now)
+		got := g.isAgentOutdated(&LoadReport{Load: fleet.Report{Address: "10.0.0.1:1"}, Named: test.reported}, now)
 		g.mu.Unlock()
 		c.Check(got, qt.Equals, test.outdated, qt.Commentf(test.name))
 	}
 	// Versions of another service's models do not matter.
-	c.Check(g.news(&LoadReport{Load: fleet.Load{Address: "10.0.0.9:9"}, Named: []NamedAge{reportedAge(1, 0, false)}}, now), qt.IsFalse)
+	c.Check(g.isAgentOutdated(&LoadReport{Load: fleet.Report{Address: "10.0.0.9:9"}, Named: []NamedAge{reportedAge(1, 0, false)}}, now), qt.IsFalse)
 }
 
 // A request sent to old weights just before the deadline may wait longer than predicted. It must
@@ -77,24 +77,24 @@
 	c := qt.New(t)
 	for _, starts := range []bool{false, true} {
 		ctx, cancel := context.WithCancel(context.Background())
-		a := &attempts{beginBy: 1}
+		a := &attempts{startDeadline: 1}
 		if starts {
-			a.beginBy = 1 << 62
+			a.startDeadline = 1 << 62
 		}
-		end := a.watchBegin(cancel)
+		end := a.watchStart(cancel)
 		if starts {
 			// Another attempt, with a late deadline too.
 			end()
-			end = a.watchBegin(cancel)
-			a.hasBegun()
+			end = a.watchStart(cancel)
+			a.markStarted()
 			c.Check(ctx.Err(), qt.IsNil)
-			c.Check(a.takenBack.Load(), qt.IsFalse)
+			c.Check(a.phase.isCancelled(), qt.IsFalse)
 		} else {
 			select {
 			case <-ctx.Done():
 			case <-time.After(2 * time.Second):
 			}
-			c.Check(a.takenBack.Load(), qt.IsTrue)
+			c.Check(a.phase.isCancelled(), qt.IsTrue)
 		}
 		end()
 		cancel()
@@ -106,16 +106,16 @@
 func TestStartedAnswerIsNotCancelled(t *testing.T) {
 	c := qt.New(t)
 	cancelled := 0
-	a := &attempts{beginBy: 1 << 62}
-	end := a.watchBegin(func() { cancelled++ })
-	a.hasBegun()
-	c.Assert(a.takenBack.take(), qt.IsFalse)
-	c.Assert(a.takenBack.Load(), qt.IsFalse)
+	a := &attempts{startDeadline: 1 << 62}
+	end := a.watchStart(func() { cancelled++ })
+	a.markStarted()
+	c.Assert(a.phase.tryCancel(), qt.IsFalse)
+	c.Assert(a.phase.isCancelled(), qt.IsFalse)
 	end()
 	// The next attempt is cancelled independently.
-	a.beginBy = 1
-	a.watchBegin(func() { cancelled++ })()
-	c.Assert(a.takenBack.Load(), qt.IsTrue)
+	a.startDeadline = 1
+	a.watchStart(func() { cancelled++ })()
+	c.Assert(a.phase.isCancelled(), qt.IsTrue)
 	c.Assert(cancelled, qt.Equals, 1)
 }
 
@@ -127,14 +127,14 @@
 	for _, pace := range []float64{0, 1, 3, 7.5} {
 		g := newSwitchoverEntry(engine, 1)
 		sentAt := switchoverNamedAt + switchoverBound - 2*time.Second
-		g.fleet.Report(fleet.Load{Address: "10.0.0.1:1", Boot: 1, Sequence: 1, Pace: pace, Models: []catalog.Model{{Name: switchoverModel, Version: 2}}}, sentAt)
+		g.fleet.ApplyReport(fleet.Report{Address: "10.0.0.1:1", Boot: 1, Sequence: 1, Pace: pace, Models: []catalog.Model{{Name: switchoverModel, Version: 2}}}, sentAt)
 		a := newSwitchoverAttempt(g, 900, false)
 		placement := a.choose(sentAt)
-		pass := time.Duration(max(pace, 1) * float64(engine.LongestPass()))
+		pass := time.Duration(max(pace, 1) * float64(engine.MaxPassTime()))
 		comment := qt.Commentf("pace %v", pace)
 		c.Check(placement.Found, qt.Equals, pace < 3, comment)
 		if placement.Found {
-			c.Check(a.beginBy+pass < switchoverNamedAt+switchoverBound, qt.IsTrue, comment)
+			c.Check(a.startDeadline+pass < switchoverNamedAt+switchoverBound, qt.IsTrue, comment)
 		}
 	}
 }
--- a/internal/transport/gateway/peers.go
+++ b/internal/transport/gateway/peers.go
@@ -21,7 +21,7 @@
 	remoteHeartbeatTimeout = 5 * time.Second
 	// startupGrace is how long a newly discovered entry of the region counts as alive
 	// without a heartbeat. For entries of other regions it is remoteHeartbeatTimeout.
-	startTrust = 1500 * time.Millisecond
+	startupGrace = 1500 * time.Millisecond
 )
 
 // minSiteEntries is the number of entries at a caller's own site from which on entries of
@@ -34,9 +34,9 @@
 // peers tracks the other entries of the installation. The gateway's lock guards it.
 type peers struct {
 	self Entry
-	// started is when this entry started.
-	started time.Duration
-	byHost  map[filbertlever.HostID]*peer
+	// startedAt is when this entry started.
+	startedAt time.Duration
+	byHost    map[filbertlever.HostID]*peer
 	// order caches the entries of byHost sorted by host, and regionCount how many of them
 	// are in this entry's region. order is nil if it is out of date.
 	order       []*peer
@@ -63,7 +63,7 @@
 }
 
 func newPeers(self Entry, now time.Duration) *peers {
-	return &peers{self: self, started: now, byHost: map[filbertlever.HostID]*peer{}}
+	return &peers{self: self, startedAt: now, byHost: map[filbertlever.HostID]*peer{}}
 }
 
 // applyRows applies changes of the store's entry table: added or changed entries, and the
@@ -112,7 +112,7 @@
 
 // observeHeartbeat records a heartbeat, and reports whether it is the first one of that
 // process.
-func (p *peers) hear(entry Entry, ready, storeUnreachable bool, now time.Duration) (first bool) {
+func (p *peers) observeHeartbeat(entry Entry, ready, storeUnreachable bool, now time.Duration) (first bool) {
 	other, ok := p.byHost[entry.Host]
 	if !ok {
 		// The entry is alive, but its row has not been read yet.
@@ -154,7 +154,7 @@
 	case remote:
 		return now-max(other.heartbeatAt, other.discoveredAt) < remoteHeartbeatTimeout
 	case other.heartbeatAt == 0:
-		return now-other.discoveredAt < startTrust
+		return now-other.discoveredAt < startupGrace
 	}
 	return now-other.heartbeatAt < heartbeatTimeout
 }
@@ -167,7 +167,7 @@
 
 // canReadStore reports whether an entry may read the store for its region: it is ready, and
 // the store answers it.
-func (p *peers) isReader(host filbertlever.HostID) bool {
+func (p *peers) canReadStore(host filbertlever.HostID) bool {
 	other, ok := p.byHost[host]
 	return ok && other.ready && !other.storeUnreachable
 }
@@ -182,14 +182,14 @@
 
 // hasRecentStoreAnswer reports whether the store has answered an entry within
 // storeAnswerTTL.
-func (p *peers) isAnswered(host filbertlever.HostID, now time.Duration) bool {
+func (p *peers) hasRecentStoreAnswer(host filbertlever.HostID, now time.Duration) bool {
 	other, ok := p.byHost[host]
 	return ok && other.storeAnsweredAt != 0 && now-other.storeAnsweredAt < storeAnswerTTL
 }
 
 // markStoreUnreachable records that the store does not answer an entry. The entry's next
 // heartbeat overrides this.
-func (p *peers) noteLost(host filbertlever.HostID) {
+func (p *peers) markStoreUnreachable(host filbertlever.HostID) {
 	if other, ok := p.byHost[host]; ok {
 		other.storeUnreachable = true
 	}
@@ -197,13 +197,13 @@
 
 // hasHeartbeat reports whether a heartbeat of an entry has arrived. Entries that are only
 // listed have none.
-func (p *peers) isHeard(host filbertlever.HostID) bool {
+func (p *peers) hasHeartbeat(host filbertlever.HostID) bool {
 	other, ok := p.byHost[host]
 	return ok && other.heartbeatAt != 0
 }
 
 // registeredCount returns the number of registered entries, including this one.
-func (p *peers) registered() int { return len(p.byHost) + 1 }
+func (p *peers) registeredCount() int { return len(p.byHost) + 1 }
 
 // sorted returns the other entries, sorted by host.
 func (p *peers) sorted() []*peer {
--- a/internal/transport/gateway/peers_test.go
+++ b/internal/transport/gateway/peers_test.go
@@ -26,12 +26,12 @@
 	c := qt.New(t)
 	p := newPeers(entryAt("e1", "a", "ra"), 0)
 	other := entryAt("e2", "a", "ra")
-	p.hear(other, true, false, time.Second)
+	p.observeHeartbeat(other, true, false, time.Second)
 	c.Assert(p.acceptSequence("e2", 5), qt.IsTrue)
 	c.Assert(p.acceptSequence("e2", 4), qt.IsFalse)
 	c.Assert(p.acceptSequence("e2", 6), qt.IsTrue)
 	other.Incarnation = "2"
-	p.hear(other, true, false, time.Second)
+	p.observeHeartbeat(other, true, false, time.Second)
 	c.Assert(p.acceptSequence("e2", 1), qt.IsTrue)
 	c.Assert(p.acceptSequence("unknown", 1), qt.IsFalse)
 }
@@ -40,7 +40,7 @@
 func TestLocate(t *testing.T) {
 	const now = 10 * time.Second
 	observe := func(p *peers, host, site string, ready bool, at time.Duration) {
-		p.hear(entryAt(host, site, "r"+site), ready, false, at)
+		p.observeHeartbeat(entryAt(host, site, "r"+site), ready, false, at)
 	}
 	tests := []struct {
 		name      string
@@ -88,10 +88,10 @@
 		return text
 	}
 	c.Check(names(3*time.Second), qt.Equals, "far near self ")
-	c.Check(names(2*time.Second+startTrust), qt.Equals, "far self ")
+	c.Check(names(2*time.Second+startupGrace), qt.Equals, "far self ")
 	c.Check(names(2*time.Second+remoteHeartbeatTimeout), qt.Equals, "self ")
-	p.hear(Entry{Host: "far", Site: "b", Region: "rb"}, true, false, 8*time.Second)
-	p.hear(Entry{Host: "near", Site: "a", Region: "ra"}, true, false, 8*time.Second)
+	p.observeHeartbeat(Entry{Host: "far", Site: "b", Region: "rb"}, true, false, 8*time.Second)
+	p.observeHeartbeat(Entry{Host: "near", Site: "a", Region: "ra"}, true, false, 8*time.Second)
 	c.Check(names(8*time.Second+heartbeatTimeout), qt.Equals, "far self ")
 }
 
@@ -107,10 +107,10 @@
 		return ok
 	}
 	c.Check(fetches(), qt.IsFalse)
-	g.listed.Store(true)
+	g.entriesListed.Store(true)
 	c.Check(fetches(), qt.IsTrue)
-	g.listed.Store(false)
-	g.peers.started -= startTrust + time.Millisecond
+	g.entriesListed.Store(false)
+	g.peers.startedAt -= startupGrace + time.Millisecond
 	c.Check(fetches(), qt.IsTrue)
 }
 
@@ -127,11 +127,11 @@
 		listed = append(listed, entryAt(host, "a", "ra"))
 	}
 	g.peers.applyRows(listed, nil, true, now)
-	_, _, other := g.starter(now)
+	_, _, other := g.snapshotSource(now)
 	c.Assert(other, qt.IsFalse)
-	c.Assert(g.peers.hear(listed[2], true, false, now), qt.IsTrue)
-	c.Assert(g.peers.hear(listed[2], true, false, now), qt.IsFalse)
-	host, _, other := g.starter(now)
+	c.Assert(g.peers.observeHeartbeat(listed[2], true, false, now), qt.IsTrue)
+	c.Assert(g.peers.observeHeartbeat(listed[2], true, false, now), qt.IsFalse)
+	host, _, other := g.snapshotSource(now)
 	c.Assert(other, qt.IsTrue)
 	c.Assert(host, qt.Equals, listed[2].Host)
 }
@@ -144,31 +144,31 @@
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, peers: newPeers(self, 0)}
 	now := boottime.Now()
 	for _, host := range []string{"e2", "e3"} {
-		g.peers.hear(entryAt(host, "a", "ra"), true, false, now)
+		g.peers.observeHeartbeat(entryAt(host, "a", "ra"), true, false, now)
 	}
 	readers := map[filbertlever.HostID]bool{}
 	for range 3 {
-		host, _, other := g.reader(now)
+		host, _, other := g.selectReader(now)
 		if !other {
-			g.lostUntil.Store(int64(now + lostFor))
+			g.readerSuspendedUntil.Store(int64(now + readerBackoff))
 			host = "e1"
 		} else {
-			g.peers.hear(entryAt(string(host), "a", "ra"), true, true, now)
+			g.peers.observeHeartbeat(entryAt(string(host), "a", "ra"), true, true, now)
 		}
 		readers[host] = true
 	}
 	c.Assert(readers, qt.HasLen, 3)
 	// The store is unreachable for all entries: the initial reader keeps retrying for all.
-	g.lostUntil.Store(0)
+	g.readerSuspendedUntil.Store(0)
 	for _, host := range []string{"e2", "e3"} {
-		g.peers.hear(entryAt(host, "a", "ra"), true, false, now)
+		g.peers.observeHeartbeat(entryAt(host, "a", "ra"), true, false, now)
 	}
-	first, _, _ := g.reader(now)
-	g.lostUntil.Store(int64(now + lostFor))
+	first, _, _ := g.selectReader(now)
+	g.readerSuspendedUntil.Store(int64(now + readerBackoff))
 	for _, host := range []string{"e2", "e3"} {
-		g.peers.hear(entryAt(host, "a", "ra"), true, true, now)
+		g.peers.observeHeartbeat(entryAt(host, "a", "ra"), true, true, now)
 	}
-	again, _, _ := g.reader(now)
+	again, _, _ := g.selectReader(now)
 	c.Assert(again, qt.Equals, first)
 }
 
@@ -185,16 +185,16 @@
 		g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, peers: newPeers(self, now), feeds: newFeeds(), client: &http.Client{}, log: zap.NewNop()}
 		for _, other := range names {
 			if other != name {
-				g.peers.hear(entryAt(other, "a", "ra"), true, false, now)
+				g.peers.observeHeartbeat(entryAt(other, "a", "ra"), true, false, now)
 			}
 		}
-		host, _, other := g.reader(now)
+		host, _, other := g.selectReader(now)
 		if !other {
 			// This entry is the reader.
 			continue
 		}
-		g.peers.noteLost(host)
-		if _, _, other := g.reader(now); !other {
+		g.peers.markStoreUnreachable(host)
+		if _, _, other := g.selectReader(now); !other {
 			direct++
 		}
 	}
@@ -205,16 +205,16 @@
 // retry time, and had no retry left. It must wait for the desired state.
 func TestRequestWaitsForDesiredStateAfterStart(t *testing.T) {
 	c := qt.New(t)
-	g := &Gateway{crashes: newCrashes(), stated: make(chan struct{}), started: boottime.Now()}
+	g := &Gateway{crashes: newCrashes(), stateKnown: make(chan struct{}), started: boottime.Now()}
 	state := catalog.New(1, nil, nil, nil, catalog.Limits{})
 	time.AfterFunc(20*time.Millisecond, func() {
 		g.state.Store(state)
-		close(g.stated)
+		close(g.stateKnown)
 	})
 	c.Assert(g.awaitState(context.Background()), qt.Equals, state)
 	// Long after the start the store is unreachable for an unknown time: no wait.
-	old := &Gateway{crashes: newCrashes(), stated: make(chan struct{}), started: boottime.Now() - stateExpected - 1}
+	old := &Gateway{crashes: newCrashes(), stateKnown: make(chan struct{}), started: boottime.Now() - startupWindow - 1}
 	start := time.Now()
 	c.Assert(old.awaitState(context.Background()), qt.IsNil)
-	c.Assert(time.Since(start) < stateWait/2, qt.IsTrue)
+	c.Assert(time.Since(start) < stateWaitTimeout/2, qt.IsTrue)
 }
--- a/internal/transport/gateway/phase.go
+++ b/internal/transport/gateway/phase.go
@@ -23,10 +23,12 @@
 )
 
 // isCancelled reports whether the attempt was cancelled.
-func (p *attemptPhase) Load() bool { return p.state.Load() == attemptCancelled }
+func (p *attemptPhase) isCancelled() bool { return p.state.Load() == attemptCancelled }
 
 // tryCancel marks the attempt as cancelled unless its response has started.
-func (p *attemptPhase) take() bool { return p.state.CompareAndSwap(attemptPending, attemptCancelled) }
+func (p *attemptPhase) tryCancel() bool {
+	return p.state.CompareAndSwap(attemptPending, attemptCancelled)
+}
 
 // watchStart cancels the attempt if its response has not started by startDeadline. The returned
 // function stops the timer.
@@ -34,23 +36,23 @@
 // A request that waits at its server longer than predicted would start on a version that may not
 // answer any more, and its caller would get a response from old weights after the switchover
 // timeout. The connection is closed early enough for the server to drop the request before that.
-func (a *attempts) watchBegin(cancel func()) func() {
-	a.takenBack.state.Store(attemptPending)
-	if a.beginBy == 0 {
+func (a *attempts) watchStart(cancel func()) func() {
+	a.phase.state.Store(attemptPending)
+	if a.startDeadline == 0 {
 		return func() {}
 	}
 	expire := func() {
-		if a.takenBack.take() {
+		if a.phase.tryCancel() {
 			cancel()
 		}
 	}
-	left := a.beginBy - boottime.Now()
+	left := a.startDeadline - boottime.Now()
 	if left <= 0 {
 		expire()
-		return a.hasBegun
+		return a.markStarted
 	}
 	a.startTimer = time.AfterFunc(left, expire)
-	return a.hasBegun
+	return a.markStarted
 }
 
 // markStarted records that the response of the current attempt has started, or that the attempt has
@@ -58,8 +60,8 @@
 //
 // The timer may fire while the first event is being read. Whichever comes first wins, so a response
 // that has started is not cut off.
-func (a *attempts) hasBegun() {
-	a.takenBack.state.CompareAndSwap(attemptPending, attemptStarted)
+func (a *attempts) markStarted() {
+	a.phase.state.CompareAndSwap(attemptPending, attemptStarted)
 	if a.startTimer != nil {
 		a.startTimer.Stop()
 		a.startTimer = nil
@@ -73,11 +75,11 @@
 		a.noteIncomplete(err)
 	}
 	switch {
-	case a.callerDisconnected(), errors.Is(err, errKept), errors.Is(err, errServerLeft):
-	case a.takenBack.Load():
+	case a.callerDisconnected(), errors.Is(err, errQuarantined), errors.Is(err, errNotAccepting):
+	case a.phase.isCancelled():
 		a.gateway.metrics.cancelledAttempts.WithLabelValues(a.service).Inc()
 		a.gateway.log.Info("attempt taken back", zap.String("Request", a.call.ID), zap.String("Backend", id),
-			zap.Uint64("Holds", a.last.Holds), zap.Duration("Predicted", a.last.Predicted), zap.Duration("Waited", boottime.Now()-a.placedAt))
+			zap.Uint64("Holds", a.placement.HeldVersion), zap.Duration("Predicted", a.placement.PredictedLatency), zap.Duration("Waited", boottime.Now()-a.placedAt))
 	case a.remaining() > 0:
 		a.reportServerFailure(id, end, err)
 	}
--- a/internal/transport/gateway/placement.go
+++ b/internal/transport/gateway/placement.go
@@ -18,26 +18,26 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if first {
-		g.retryBudget(a.service).Fresh(now)
+		g.retryBudget(a.service).RecordRequest(now)
 	}
 	placement := a.choose(now)
 	fields := []zap.Field{zap.String("Request", a.call.ID), zap.String("Service", a.service),
-		zap.String("Backend", placement.Backend.ID), zap.Duration("Predicted", placement.Predicted), zap.Int("Ahead", placement.Ahead),
-		zap.Int("Weighed", placement.Weighed), zap.Duration("ReportAge", placement.ReportAge), zap.String("Why", string(placement.Reason)), zap.Bool("Cut", placement.Cut), zap.Duration("Reading", placement.Reading)}
+		zap.String("Backend", placement.Backend.ID), zap.Duration("Predicted", placement.PredictedLatency), zap.Int("Ahead", placement.QueuePosition),
+		zap.Int("Weighed", placement.Candidates), zap.Duration("ReportAge", placement.ReportAge), zap.String("Why", string(placement.Reason)), zap.Bool("Cut", placement.WillInterrupt), zap.Duration("Reading", placement.PrefillWait)}
 	fields = append(fields, a.startFields(placement, now)...)
 	fields = append(fields, g.viewFields(placement, now)...)
 	if !placement.Found {
 		g.log.Info("no server available", fields...)
 		return placement, unavailable(reasonNoServer, g.retryDelayUntilReady(a.service, placement.ReadyIn, a.remaining(), now))
 	}
-	admitted, retryAfter := g.gate.Admit(forecast(placement), admission.Caller{Left: a.remaining(), Goal: a.route.Goal}, g.rng)
-	if a.stream != nil || g.plain(a.service) {
+	admitted, retryAfter := g.gate.Admit(forecast(placement), admission.Caller{Remaining: a.remaining(), Goal: a.route.FirstByteGoal}, g.rng)
+	if a.stream != nil || g.isPlain(a.service) {
 		// A stream that has started is resumed on any server. A plain service has its own short
 		// queue and refuses requests itself.
 		admitted = true
 	}
 	if !admitted {
-		g.fleet.Ended(placement.Backend.ID)
+		g.fleet.Release(placement.Backend.ID)
 		g.log.Info("refused", fields...)
 		return placement, unavailable(reasonBusy, retryAfter)
 	}
@@ -48,22 +48,22 @@
 
 // forecast returns the part of a placement that admission control needs.
 func forecast(p fleet.Placement) admission.Forecast {
-	return admission.Forecast{Ahead: p.Ahead, Reading: p.Reading, Predicted: p.Predicted}
+	return admission.Forecast{QueuePosition: p.QueuePosition, PrefillWait: p.PrefillWait, Predicted: p.PredictedLatency}
 }
 
 // viewFields returns log fields with the age of the view of the servers, and how long the chosen
 // server has been missing from the list.
 func (g *Gateway) viewFields(placement fleet.Placement, now time.Duration) []zap.Field {
 	fields := []zap.Field{zap.Duration("ViewAge", g.feeds.age(TableBackends, now))}
-	if placement.Missing > 0 {
-		fields = append(fields, zap.Duration("Missing", placement.Missing))
+	if placement.MissingFor > 0 {
+		fields = append(fields, zap.Duration("Missing", placement.MissingFor))
 	}
 	return fields
 }
 
 // countMissing counts placements on servers that are missing from the list.
 func (g *Gateway) countMissing(service string, placement fleet.Placement) {
-	if placement.Missing > 0 {
+	if placement.MissingFor > 0 {
 		g.metrics.placedMissing.WithLabelValues(service).Inc()
 	}
 }
@@ -71,9 +71,9 @@
 // startFields returns log fields with the version that the server is assumed to hold, and the time
 // within which the response must start.
 func (a *attempts) startFields(placement fleet.Placement, now time.Duration) []zap.Field {
-	fields := []zap.Field{zap.Uint64("Holds", placement.Holds)}
-	if a.beginBy != 0 {
-		fields = append(fields, zap.Duration("BeginIn", a.beginBy-now))
+	fields := []zap.Field{zap.Uint64("Holds", placement.HeldVersion)}
+	if a.startDeadline != 0 {
+		fields = append(fields, zap.Duration("BeginIn", a.startDeadline-now))
 	}
 	return fields
 }
@@ -82,16 +82,16 @@
 func (a *attempts) choose(now time.Duration) fleet.Placement {
 	g := a.gateway
 	placement := a.pickServer(now)
-	a.beginBy = 0
+	a.startDeadline = 0
 	if !placement.Found {
 		return placement
 	}
-	at, ok := g.takeBackAt(a.call.Model, now, placement)
+	at, ok := g.cancelDeadline(a.call.Model, now, placement)
 	if !ok {
-		g.fleet.Ended(placement.Backend.ID)
-		return fleet.Placement{Reason: routing.ReasonNone, Weighed: placement.Weighed, ReadyIn: g.fleet.ReadyIn(a.service, now)}
+		g.fleet.Release(placement.Backend.ID)
+		return fleet.Placement{Reason: routing.ReasonNoHost, Candidates: placement.Candidates, ReadyIn: g.fleet.ReadyIn(a.service, now)}
 	}
-	a.beginBy = at
+	a.startDeadline = at
 	return placement
 }
 
@@ -103,16 +103,16 @@
 // caller would repeat a truncated request and get the newer version anyway.
 func (a *attempts) pickServer(now time.Duration) fleet.Placement {
 	g := a.gateway
-	wanted := a.wanted(now)
+	wanted := a.placementRequest(now)
 	placement := g.fleet.Choose(wanted, now)
 	if wanted.Version == 0 {
 		return a.pickOlderVersion(wanted, placement, now)
 	}
-	if placement.Found && placement.Predicted < a.route.Pause && !placement.Cut && a.startsInTime(placement, now) {
+	if placement.Found && placement.PredictedLatency < a.route.MaxEventGap && !placement.WillInterrupt && a.startsInTime(placement, now) {
 		return placement
 	}
 	if placement.Found {
-		g.fleet.Ended(placement.Backend.ID)
+		g.fleet.Release(placement.Backend.ID)
 	}
 	wanted.Version = 0
 	return g.fleet.Choose(wanted, now)
@@ -121,7 +121,7 @@
 // startsInTime reports whether the response is predicted to start before the start deadline of the
 // server's version.
 func (a *attempts) startsInTime(placement fleet.Placement, now time.Duration) bool {
-	_, ok := a.gateway.takeBackAt(a.call.Model, now, placement)
+	_, ok := a.gateway.cancelDeadline(a.call.Model, now, placement)
 	return ok
 }
 
@@ -129,38 +129,38 @@
 // with the wanted one, if the response is sure to start there before the switchover timeout.
 func (a *attempts) pickOlderVersion(wanted fleet.Request, found fleet.Placement, now time.Duration) fleet.Placement {
 	g := a.gateway
-	if wanted.Least == 0 || found.Found && found.Ahead <= g.gate.Waiting {
+	if wanted.MinVersion == 0 || found.Found && found.QueuePosition <= g.gate.MaxQueuePosition {
 		return found
 	}
-	wanted.Least = 0
+	wanted.MinVersion = 0
 	older := g.fleet.Choose(wanted, now)
 	if !older.Found {
 		return found
 	}
-	if older.Ahead > 0 || !a.startsInTime(older, now) {
-		g.fleet.Ended(older.Backend.ID)
+	if older.QueuePosition > 0 || !a.startsInTime(older, now) {
+		g.fleet.Release(older.Backend.ID)
 		return found
 	}
 	if found.Found {
-		g.fleet.Ended(found.Backend.ID)
+		g.fleet.Release(found.Backend.ID)
 	}
 	return older
 }
 
 // isPlain reports whether a service has no inference engine.
-func (g *Gateway) plain(service string) bool {
+func (g *Gateway) isPlain(service string) bool {
 	state := g.state.Load()
 	return state != nil && state.Services[service].Engine == nil
 }
 
 // placementRequest describes the request for placement. The caller holds g.mu.
-func (a *attempts) wanted(now time.Duration) fleet.Request {
+func (a *attempts) placementRequest(now time.Duration) fleet.Request {
 	request := fleet.Request{Service: a.service, Model: a.call.Model, PromptTokens: a.call.PromptTokens,
-		AnswerTokens: a.call.AnswerTokens, Final: a.Sent()+1 >= a.Class.Servers, Avoid: a.gateway.fleet.Avoid(a.tried)}
+		AnswerTokens: a.call.AnswerTokens, LastAttempt: a.Sent()+1 >= a.Class.MaxServers, Avoid: a.gateway.fleet.ServersToAvoid(a.tried)}
 	if a.call.Model != "" {
-		request.Least = a.gateway.least(a.call.Model, now)
+		request.MinVersion = a.gateway.minVersion(a.call.Model, now)
 	}
-	if a.stream != nil && a.stream.version >= request.Least {
+	if a.stream != nil && a.stream.version >= request.MinVersion {
 		request.Version = a.stream.version
 	}
 	return request
--- a/internal/transport/gateway/ports.go
+++ b/internal/transport/gateway/ports.go
@@ -29,8 +29,8 @@
 	Header http.Header
 	Key    string
 	// HasTimeout is true if the caller sent a timeout, which is then in Timeout.
-	Bounded bool
-	Left    time.Duration
+	HasTimeout bool
+	Timeout    time.Duration
 	// Model is empty for plain services.
 	Model        string
 	PromptTokens int
@@ -54,16 +54,16 @@
 	Backend      catalog.Backend
 	Organisation filbertlever.OrganisationID
 	// Priority is 0 for the most urgent requests. If negative, no priority is sent.
-	Urgency int
+	Priority int
 	// TimeLeft is the time that the server has to answer.
-	Left time.Duration
+	TimeLeft time.Duration
 	// Version is the only version of the weights that may answer; 0 means any.
 	Version uint64
 	// LastEvent is the ID of the event after which a stream is resumed; may be empty.
 	LastEvent string
 	// BeforeSend is called immediately before the request is sent. If it returns an error, the
 	// request is not sent.
-	Still func() error
+	BeforeSend func() error
 }
 
 // Reply is the head of a backend server's response.
@@ -74,19 +74,19 @@
 	// Length is negative if the server did not send a length.
 	Length int64
 	// Verified is true if the response carries the server's receipt and was not altered on the way.
-	Sound bool
+	Verified bool
 	// Stream is true if the body is an event stream.
 	Stream bool
 	// NotRun is true if the server states that it did not run the request.
 	NotRun bool
 	// Misdirected is true if a different server, or different weights, were found at the address.
-	Moved bool
+	Misdirected bool
 	// ActualServer identifies the server that answered if it is not the expected one.
-	Life string
+	ActualServer string
 	// Draining is true if the server announces that it is about to stop.
 	Draining bool
 	// ConnectionClose is true if the server closes the connection after this response.
-	Closes bool
+	ConnectionClose bool
 	// RetryAfter is how long the server wants no more requests from this entry; 0 if unspecified.
 	RetryAfter time.Duration
 	// Version is the version of the weights that answer; 0 if unknown.
@@ -100,15 +100,15 @@
 type Sender interface {
 	Send(ctx context.Context, dispatch *Dispatch) (*Reply, error)
 	// ConnectionRefused reports whether nothing listens at a server's address.
-	Gone(backend catalog.Backend) bool
+	ConnectionRefused(backend catalog.Backend) bool
 }
 
 // ErrRevisionPruned means that a feed no longer holds all changes since the requested revision.
-var ErrHistoryGone = errors.New("the requested revision is no longer in the history")
+var ErrRevisionPruned = errors.New("the requested revision is no longer in the history")
 
 // ErrStoreRejected means that the store is reachable but refuses to serve this process: it answers
 // with a refusal, or refuses the connection.
-var ErrTurnedAway = errors.New("the store refuses to serve this process")
+var ErrStoreRejected = errors.New("the store refuses to serve this process")
 
 // Table names a table of the store.
 type Table string
@@ -129,7 +129,7 @@
 	// Raw is opaque. It is empty if there are no rows.
 	Raw []byte
 	// compressed is Raw as another entry compressed it; nil if the rows came from the store.
-	packed []byte
+	compressed []byte
 }
 
 // Cause is why a row cannot be used.
@@ -176,7 +176,7 @@
 type Desired struct {
 	// State is nil if it has not changed.
 	State *catalog.State
-	Named []catalog.NamedVersion
+	Named []catalog.ModelVersion
 	Bad   []BadRow
 }
 
@@ -184,8 +184,8 @@
 type Backends struct {
 	Present []catalog.Backend
 	// Removed also lists servers whose row can no longer be used.
-	Gone []string
-	Bad  []BadRow
+	Removed []string
+	Bad     []BadRow
 }
 
 // Entry is the registration of an entry.
@@ -206,8 +206,8 @@
 type Entries struct {
 	Present []Entry
 	// Removed also lists entries whose row can no longer be used.
-	Gone []string
-	Bad  []BadRow
+	Removed []string
+	Bad     []BadRow
 }
 
 // Store is an entry's access to the platform's store. Follow returns after wait at the latest, even
@@ -217,19 +217,19 @@
 type Store interface {
 	Read(ctx context.Context, table Table) (Rows, error)
 	Follow(ctx context.Context, table Table, after uint64, wait time.Duration) (Rows, error)
-	Desired(rows Rows, after uint64) (Desired, error)
-	Backends(rows Rows, after uint64) (Backends, error)
-	Entries(rows Rows, after uint64) (Entries, error)
+	DecodeDesired(rows Rows, after uint64) (Desired, error)
+	DecodeBackends(rows Rows, after uint64) (Backends, error)
+	DecodeEntries(rows Rows, after uint64) (Entries, error)
 	Register(ctx context.Context, entry Entry) error
 	Unregister(ctx context.Context, entry Entry) error
 	// Holds returns the quarantined requests and the rows that cannot be read. SaveHold writes one
 	// hold, and DeleteHolds removes those that have expired.
 	Holds(ctx context.Context) ([]quarantine.Hold, []BadRow, error)
-	KeepHold(ctx context.Context, hold quarantine.Hold) error
-	DropHolds(ctx context.Context, requests []quarantine.Fingerprint) error
+	SaveHold(ctx context.Context, hold quarantine.Hold) error
+	DeleteHolds(ctx context.Context, requests []quarantine.Fingerprint) error
 	// SaveVersions records when a host learned of the named versions. Versions returns what hosts
 	// have recorded, as ages at the time of the call or slightly more, and the rows that cannot be
 	// read.
-	KeepVersions(ctx context.Context, host filbertlever.HostID, named []NamedAge) error
+	SaveVersions(ctx context.Context, host filbertlever.HostID, named []NamedAge) error
 	Versions(ctx context.Context) ([]NamedAge, []BadRow, error)
 }
--- a/internal/transport/gateway/seeds.go
+++ b/internal/transport/gateway/seeds.go
@@ -29,7 +29,7 @@
 func (g *Gateway) runSeeds(ctx context.Context) {
 	ticker := time.NewTicker(seedInterval)
 	defer ticker.Stop()
-	for !g.listed.Load() {
+	for !g.entriesListed.Load() {
 		for _, seed := range g.config.Seeds {
 			if seed != g.config.Self.Peers {
 				go g.runSeed(ctx, seed)
@@ -53,7 +53,7 @@
 	g.mu.Lock()
 	g.peers.addDiscovered(entries, boottime.Now())
 	g.mu.Unlock()
-	g.beat(boottime.Now(), true)
+	g.sendHeartbeat(boottime.Now(), true)
 }
 
 // fetchEntries returns the entries that the entry at an address counts as alive.
--- a/internal/transport/gateway/serve.go
+++ b/internal/transport/gateway/serve.go
@@ -125,7 +125,7 @@
 		return &errorResponse{status: http.StatusNotFound, reason: reasonNoRoute}
 	}
 	x.route = route
-	x.service = route.Service(call.ID)
+	x.service = route.PickService(call.ID)
 	if response := x.checkKey(); response != nil {
 		return response
 	}
@@ -137,22 +137,22 @@
 const (
 	// stateWaitTimeout is how long a request waits for the desired state, which normally arrives
 	// soon after the start. Refusing the request would cost the caller one of its attempts.
-	stateWait = 400 * time.Millisecond
+	stateWaitTimeout = 400 * time.Millisecond
 	// startupWindow is the time after the start in which the desired state is expected to arrive
 	// soon. After that, the store is unavailable for an unknown time and requests do not wait.
-	stateExpected = 1500 * time.Millisecond
+	startupWindow = 1500 * time.Millisecond
 )
 
 // awaitState returns the desired state, for which requests wait briefly while this process has just
 // started; nil if none is known.
 func (g *Gateway) awaitState(ctx context.Context) *catalog.State {
-	if state := g.state.Load(); state != nil || boottime.Now()-g.started > stateExpected {
+	if state := g.state.Load(); state != nil || boottime.Now()-g.started > startupWindow {
 		return state
 	}
-	timer := time.NewTimer(stateWait)
+	timer := time.NewTimer(stateWaitTimeout)
 	defer timer.Stop()
 	select {
-	case <-g.stated:
+	case <-g.stateKnown:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -165,7 +165,7 @@
 	g := x.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.stop.Leaving() {
+	if g.stop.Announced() {
 		x.writer.Header().Set("Connection", "close")
 	}
 	return g.stop.Accepts()
@@ -174,18 +174,18 @@
 // checkSize enforces the limits on the size of headers and body.
 func (x *exchange) checkSize() *errorResponse {
 	limits := x.state.Limits
-	if limits.Header > 0 {
+	if limits.MaxHeaderBytes > 0 {
 		size := 0
 		for name, values := range x.request.Header {
 			for _, value := range values {
 				size += len(name) + len(value) + len(": \r\n")
 			}
 		}
-		if size > limits.Header {
+		if size > limits.MaxHeaderBytes {
 			return &errorResponse{status: http.StatusRequestHeaderFieldsTooLarge, reason: reasonHeaderTooLarge, closeConnection: true}
 		}
 	}
-	if limits.Body > 0 && x.request.ContentLength > limits.Body {
+	if limits.MaxBodyBytes > 0 && x.request.ContentLength > limits.MaxBodyBytes {
 		return &errorResponse{status: http.StatusRequestEntityTooLarge, reason: reasonBodyTooLarge, closeConnection: true}
 	}
 	return nil
@@ -194,7 +194,7 @@
 // checkKey finds the organisation that the request's key belongs to.
 func (x *exchange) checkKey() *errorResponse {
 	x.priority = x.route.Priority
-	if !x.state.Keyed || x.route.Anonymous {
+	if !x.state.RequireKeys || x.route.Anonymous {
 		return nil
 	}
 	if !x.gateway.keysFresh(boottime.Now()) {
@@ -215,8 +215,8 @@
 // timeout.
 func (x *exchange) setDeadline() {
 	timeout := defaultTimeout
-	if x.call.Bounded {
-		timeout = x.call.Left
+	if x.call.HasTimeout {
+		timeout = x.call.Timeout
 	}
 	if x.route.Timeout > 0 {
 		timeout = min(timeout, x.route.Timeout)
@@ -233,7 +233,7 @@
 	}
 	controller := http.NewResponseController(x.writer)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyReadTimeout))
-	limit := x.state.Limits.Body
+	limit := x.state.Limits.MaxBodyBytes
 	if limit <= 0 {
 		limit = 1 << 30
 	}
@@ -336,7 +336,7 @@
 func (g *Gateway) retryDelay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return admission.ReturnTime(0, g.rng)
+	return admission.RetryAfter(0, g.rng)
 }
 
 // retryDelayUntilReady returns when a caller should retry a service that no server can serve now.
@@ -347,7 +347,7 @@
 		outage = &admission.Outage{}
 		g.outages[service] = outage
 	}
-	return admission.ReturnWhenReady(ready, left, outage.Refused(now), g.rng)
+	return admission.RetryAfterOutage(ready, left, outage.RecordRefusal(now), g.rng)
 }
 
 // retryDelayUntilReady is the same for a request whose last attempt found a different server.
--- a/internal/transport/gateway/size_test.go
+++ b/internal/transport/gateway/size_test.go
@@ -21,7 +21,7 @@
 	}
 	p := newPeers(entry(0), 0)
 	for i := range entries - 1 {
-		p.hear(entry(i+1), true, false, time.Second)
+		p.observeHeartbeat(entry(i+1), true, false, time.Second)
 	}
 	return p
 }
@@ -37,7 +37,7 @@
 		b.Run(fmt.Sprintf("Heartbeat/%d", n), func(b *testing.B) {
 			entry := p.byHost["edge-7"].entry
 			for b.Loop() {
-				p.hear(entry, true, false, now)
+				p.observeHeartbeat(entry, true, false, now)
 			}
 		})
 		b.Run(fmt.Sprintf("Count/%d", n), func(b *testing.B) {
@@ -77,7 +77,7 @@
 				p.addDiscovered([]Entry{entry}, now)
 			case 2:
 				if entry.Host != p.self.Host {
-					p.hear(entry, true, false, now)
+					p.observeHeartbeat(entry, true, false, now)
 				}
 			}
 			var want []filbertlever.HostID
--- a/internal/transport/gateway/stream.go
+++ b/internal/transport/gateway/stream.go
@@ -48,8 +48,8 @@
 	for first := true; ; first = false {
 		event, err := readEvent(reader)
 		if err == nil {
-			a.hasBegun()
-			a.observe(id, first)
+			a.markStarted()
+			a.recordProgress(id, first)
 		}
 		if silence != nil {
 			silence.Reset(a.silenceTimeout())
@@ -70,19 +70,19 @@
 
 // recordProgress reports to the fleet that an event arrived and, for the first event, how long it
 // took.
-func (a *attempts) observe(id string, first bool) {
+func (a *attempts) recordProgress(id string, first bool) {
 	g := a.gateway
 	now := boottime.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.fleet.Followed(a.last.Backend) {
+	if g.fleet.Superseded(a.placement.Backend) {
 		return
 	}
-	g.fleet.Progress(id, now)
+	g.fleet.RecordProgress(id, now)
 	if first {
-		late := now - a.placedAt - a.last.Predicted
+		late := now - a.placedAt - a.placement.PredictedLatency
 		g.metrics.startPredictionError.WithLabelValues(a.service).Observe(late.Seconds())
-		g.fleet.Observe(id, a.last.Predicted, now-a.placedAt, now)
+		g.fleet.RecordLatency(id, a.placement.PredictedLatency, now-a.placedAt, now)
 	}
 }
 
@@ -90,7 +90,7 @@
 // resumes the stream.
 func (a *attempts) beginStream(reply *Reply) {
 	a.stream = &eventStream{version: reply.Version, lastEvent: a.call.LastEvent, flusher: http.NewResponseController(a.writer)}
-	a.stream.From(eventNumber(a.call.LastEvent))
+	a.stream.ResumeAfter(eventNumber(a.call.LastEvent))
 	copyHeader(a.writer.Header(), reply.Header)
 	a.writer.WriteHeader(reply.Status)
 	_ = a.stream.flusher.SetWriteDeadline(a.deadline.Add(writeGracePeriod))
@@ -108,7 +108,7 @@
 // forwardEvent forwards one event unless the caller already has it.
 func (a *attempts) forwardEvent(event event) error {
 	if event.id != "" {
-		switch a.stream.Next(eventNumber(event.id)) {
+		switch a.stream.Check(eventNumber(event.id)) {
 		case stream.VerdictDrop:
 			return nil
 		case stream.VerdictBroken:
@@ -133,7 +133,7 @@
 // watchSilence cancels an attempt whose server stops sending, if another server may resume the
 // stream.
 func (a *attempts) watchSilence(cancel func()) *time.Timer {
-	if !a.Class.Repeatable || a.Sent()+1 >= a.Class.Servers || a.route.Pause <= 0 {
+	if !a.Class.Repeatable || a.Sent()+1 >= a.Class.MaxServers || a.route.MaxEventGap <= 0 {
 		return nil
 	}
 	return time.AfterFunc(a.silenceTimeout(), cancel)
@@ -142,7 +142,7 @@
 // silenceTimeout is how long a server may send nothing before its stream is resumed on another
 // server.
 func (a *attempts) silenceTimeout() time.Duration {
-	return max(maxSilentPauses*a.route.Pause, minSilenceTimeout)
+	return max(maxSilentPauses*a.route.MaxEventGap, minSilenceTimeout)
 }
 
 // event is one event of a stream as it was received.
--- a/internal/transport/gateway/switchover_test.go
+++ b/internal/transport/gateway/switchover_test.go
@@ -47,7 +47,7 @@
 
 // run simulates the engine until a time.
 func (m *simulatedEngine) run(until time.Duration) {
-	answer := time.Duration(m.UsualAnswer) * m.Step
+	answer := time.Duration(m.MeanAnswerTokens) * m.StepTime
 	for now := switchoverNamedAt; now < until; {
 		var ready []*simulatedRequest
 		running := 0
@@ -60,13 +60,13 @@
 			}
 		}
 		ready = ready[:min(len(ready), max(m.Slots-running, 0))]
-		capacity, tokens := m.Stride*m.Chunk, 0
+		capacity, tokens := m.StepsPerEvent*m.PrefillChunk, 0
 		for _, r := range ready {
 			part := min(r.prompt-r.promptRead, capacity-tokens)
 			r.promptRead += part
 			tokens += part
 		}
-		now += max(time.Duration(m.Stride)*m.Step+time.Duration(tokens)*m.PromptToken, time.Millisecond)
+		now += max(time.Duration(m.StepsPerEvent)*m.StepTime+time.Duration(tokens)*m.PromptTokenTime, time.Millisecond)
 		for _, r := range ready {
 			if r.promptRead == r.prompt {
 				r.startedAt = now
@@ -89,8 +89,8 @@
 // newTypicalEngine returns an engine as the installations have it. A pass with the maximum number of
 // prompt tokens takes half a second.
 func newTypicalEngine() *catalog.Engine {
-	return &catalog.Engine{Slots: 12, Step: 7 * time.Millisecond, Stride: 7, PromptToken: 32680 * time.Nanosecond, Chunk: 2048,
-		UsualPrompt: 965, UsualAnswer: 121, Models: []string{switchoverModel}}
+	return &catalog.Engine{Slots: 12, StepTime: 7 * time.Millisecond, StepsPerEvent: 7, PromptTokenTime: 32680 * time.Nanosecond, PrefillChunk: 2048,
+		MeanPromptTokens: 965, MeanAnswerTokens: 121, Models: []string{switchoverModel}}
 }
 
 // newSwitchoverEntry returns an entry with one server, which holds version 2. The versions 2 and 3 are
@@ -99,12 +99,12 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	config := fleet.DefaultConfig()
 	config.Site, config.Region, config.Regions = "a", "ra", map[string]string{"a": "ra"}
-	g := &Gateway{crashes: newCrashes(), config: Config{Bound: switchoverBound}, fleet: fleet.New(config, rng), gate: admission.DefaultEntryGate(), rng: rng,
-		named: map[string][]named{switchoverModel: {{version: 2, namedAt: switchoverNamedAt - 2*time.Second}, {version: 3, namedAt: switchoverNamedAt}}}}
+	g := &Gateway{crashes: newCrashes(), config: Config{MaxStaleness: switchoverBound}, fleet: fleet.New(config, rng), gate: admission.DefaultEntryGate(), rng: rng,
+		versionsByModel: map[string][]namedVersion{switchoverModel: {{version: 2, namedAt: switchoverNamedAt - 2*time.Second}, {version: 3, namedAt: switchoverNamedAt}}}}
 	state := catalog.New(1, nil, []catalog.Service{{Name: switchoverService, Engine: engine}}, nil, catalog.Limits{})
 	g.state.Store(state)
 	g.fleet.SetState(state, switchoverNamedAt)
-	g.fleet.SetNamed(switchoverModel, []uint64{2, 3}, switchoverNamedAt)
+	g.fleet.SetNamedVersions(switchoverModel, []uint64{2, 3}, switchoverNamedAt)
 	g.fleet.Apply([]catalog.Backend{{ID: switchoverBackend, Boot: 1, Revision: 1, Service: switchoverService, Address: "10.0.0.1:1", Site: "a",
 		Slots: engine.Slots, Models: []catalog.Model{{Name: switchoverModel, Version: 2}}}}, nil, true, switchoverNamedAt)
 	return g
@@ -112,7 +112,7 @@
 
 // newSwitchoverAttempt returns an attempt for a caller's new request, or for an answer that resumes.
 func newSwitchoverAttempt(g *Gateway, prompt int, resumed bool) *attempts {
-	route := &catalog.Route{Kind: catalog.KindStream, Resumable: true, Attempts: 2, Goal: 400 * time.Millisecond, Pause: 300 * time.Millisecond}
+	route := &catalog.Route{Kind: catalog.KindStream, Resumable: true, MaxAttempts: 2, FirstByteGoal: 400 * time.Millisecond, MaxEventGap: 300 * time.Millisecond}
 	a := &attempts{exchange: &exchange{gateway: g, route: route, service: switchoverService,
 		call: &Call{Model: switchoverModel, PromptTokens: prompt, AnswerTokens: 121}}}
 	if resumed {
@@ -130,12 +130,12 @@
 	}
 	if m.waitingRequests(now) >= m.Slots+engineQueueSize {
 		// The engine refuses the request at once and does not run it.
-		g.fleet.Ended(placement.Backend.ID)
+		g.fleet.Release(placement.Backend.ID)
 		return nil
 	}
 	r := &simulatedRequest{prompt: prompt, arrivesAt: now + delay}
-	if a.beginBy != 0 {
-		r.closedAt = a.beginBy + delay
+	if a.startDeadline != 0 {
+		r.closedAt = a.startDeadline + delay
 	}
 	m.requests = append(m.requests, r)
 	return r
@@ -192,8 +192,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		engine := newTypicalEngine()
 		engine.Slots = rapid.IntRange(4, 24).Draw(t, "slots")
-		engine.Stride = rapid.IntRange(1, 9).Draw(t, "stride")
-		engine.Chunk = rapid.SampledFrom([]int{256, 512, 1024, 2048}).Draw(t, "chunk")
+		engine.StepsPerEvent = rapid.IntRange(1, 9).Draw(t, "stride")
+		engine.PrefillChunk = rapid.SampledFrom([]int{256, 512, 1024, 2048}).Draw(t, "chunk")
 		m := &simulatedEngine{Engine: engine}
 		deadline := switchoverNamedAt + switchoverBound
 		var entries []*Gateway
--- a/internal/transport/gateway/uptime.go
+++ b/internal/transport/gateway/uptime.go
@@ -47,7 +47,7 @@
 // lock.
 func (g *Gateway) storeIsUp(now time.Duration) bool {
 	span, ok := g.uptime.Latest()
-	return ok && now-span.Last < uptime.OutageLeast
+	return ok && now-span.Last < uptime.MinOutage
 }
 
 // recordStoreAnswer records that the store has just answered this entry. If it is the first
@@ -56,13 +56,13 @@
 	now := boottime.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.answered(now) {
+	if !g.hasRecentStoreAnswer(now) {
 		select {
-		case g.beatNow <- struct{}{}:
+		case g.heartbeatNow <- struct{}{}:
 		default:
 		}
 	}
-	g.answeredAt = now
+	g.storeAnsweredAt = now
 	g.recordStoreUptime(uptime.Span{First: now, Last: now}, now)
 }
 
@@ -72,21 +72,21 @@
 
 // hasRecentStoreAnswer reports whether the store has answered this entry within
 // storeAnswerTTL. The caller holds the lock.
-func (g *Gateway) answered(now time.Duration) bool {
-	return g.answeredAt != 0 && now-g.answeredAt < storeAnswerTTL
+func (g *Gateway) hasRecentStoreAnswer(now time.Duration) bool {
+	return g.storeAnsweredAt != 0 && now-g.storeAnsweredAt < storeAnswerTTL
 }
 
 // storeAnswerAgeMs returns how many milliseconds ago the store last answered this entry; 0 if
 // that is longer ago than storeAnswerTTL. The caller holds the lock.
 func (g *Gateway) storeAnswerAgeMs(now time.Duration) uint16 {
-	if !g.answered(now) {
+	if !g.hasRecentStoreAnswer(now) {
 		return 0
 	}
-	return uint16(max((now - g.answeredAt).Milliseconds(), 1))
+	return uint16(max((now - g.storeAnsweredAt).Milliseconds(), 1))
 }
 
 // recordReportedUptime records a period that another entry reported; nil is ignored.
-func (g *Gateway) noteReported(reported *StoreUptime) {
+func (g *Gateway) recordReportedUptime(reported *StoreUptime) {
 	if reported == nil {
 		return
 	}
@@ -100,7 +100,7 @@
 // of the last outage. The caller holds the lock.
 func (g *Gateway) recordStoreUptime(span uptime.Span, now time.Duration) {
 	before, _ := g.uptime.OutageEnd()
-	g.uptime.Report(span)
+	g.uptime.Merge(span)
 	end, ok := g.uptime.OutageEnd()
 	if end == before {
 		return
--- a/internal/transport/gateway/uptime_test.go
+++ b/internal/transport/gateway/uptime_test.go
@@ -49,13 +49,13 @@
 func TestFeedResponseCarriesStoreUptime(t *testing.T) {
 	c := qt.New(t)
 	header := http.Header{}
-	for name, value := range map[string]string{headerRevision: "7", headerAge: "0", headerFirst: "40", headerLast: "10"} {
+	for name, value := range map[string]string{headerRevision: "7", headerAge: "0", headerStoreFirst: "40", headerStoreLast: "10"} {
 		header.Set(name, value)
 	}
 	answer, err := decodeFeed(header, strings.NewReader(""))
 	c.Assert(err, qt.IsNil)
 	c.Assert(answer.Store, qt.DeepEquals, &StoreUptime{First: 40, Last: 10})
-	header.Set(headerLast, "-1")
+	header.Set(headerStoreLast, "-1")
 	_, err = decodeFeed(header, strings.NewReader(""))
 	c.Assert(err, qt.ErrorMatches, "decode feed: Store-First: .*")
 }
--- a/internal/transport/gateway/versions.go
+++ b/internal/transport/gateway/versions.go
@@ -30,10 +30,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.namedNews:
+		case <-g.namedChanged:
 		}
 		if g.hasUnknownAges() {
-			g.sleep(ctx, restoreDelay)
+			g.sleepJittered(ctx, restoreDelay)
 			g.retry(ctx, g.restoreVersions)
 		}
 		g.retry(ctx, g.saveVersions)
@@ -42,15 +42,15 @@
 
 // retry repeats a call with backoff until it succeeds, up to maxVersionsAttempts times.
 func (g *Gateway) retry(ctx context.Context, call func(context.Context) error) {
-	pause := retryFirst
+	pause := initialBackoff
 	for range maxVersionsAttempts {
 		err := call(ctx)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
 		g.log.Warn("naming times of versions not stored or not restored", zap.Error(err))
-		g.sleep(ctx, pause)
-		pause = min(2*pause, retryMost)
+		g.sleepJittered(ctx, pause)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
@@ -58,8 +58,8 @@
 func (g *Gateway) hasUnknownAges() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, list := range g.named {
-		if slices.ContainsFunc(list, func(n named) bool { return n.estimated }) {
+	for _, list := range g.versionsByModel {
+		if slices.ContainsFunc(list, func(n namedVersion) bool { return n.estimated }) {
 			return true
 		}
 	}
@@ -78,7 +78,7 @@
 	if len(known) == 0 {
 		return nil
 	}
-	return g.store.KeepVersions(ctx, g.config.Self.Host, known)
+	return g.store.SaveVersions(ctx, g.config.Self.Host, known)
 }
 
 // restoreVersions reads the naming times from the store, unless all are known by now.
@@ -93,11 +93,11 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.noteBad(bad)
+	g.reportBadRows(bad)
 	for _, n := range ages {
 		// A row of another program may contain a version that operators have not named.
 		if n.Version <= g.newestVersion(n.Model) {
-			g.heardNamed(n.Model, n.Version, n.Age, sentAt)
+			g.mergeNamedAge(n.Model, n.Version, n.Age, sentAt)
 		}
 	}
 	g.log.Info("naming times of versions restored", zap.Int("Versions", len(ages)))
--- a/internal/transport/gateway/views.go
+++ b/internal/transport/gateway/views.go
@@ -18,11 +18,11 @@
 	Named []NamedAge
 	// LongestPass is the longest time that an engine of the agent's service computes without
 	// checking for cancelled requests.
-	Pass time.Duration `json:"Pass"`
+	LongestPass time.Duration `json:"Pass"`
 	// ServerIndex is the server's index among the ServerCount servers of its service, or 0 if the
 	// entry does not know the server.
-	Place int `json:"Place"`
-	Count int `json:"Count"`
+	ServerIndex int `json:"Place"`
+	ServerCount int `json:"Count"`
 	// OriginRate is the rate of the origin's link in bytes per second, or 0 if it is unknown.
 	OriginRate float64
 }
@@ -30,7 +30,7 @@
 // namedAges returns the ages of all named versions. The caller holds the lock.
 func (g *Gateway) namedAges(now time.Duration) []NamedAge {
 	var ages []NamedAge
-	for model := range g.named {
+	for model := range g.versionsByModel {
 		ages = append(ages, g.namedAgesOf(model, now)...)
 	}
 	return ages
@@ -39,7 +39,7 @@
 // namedAgesOf returns the ages of the named versions of a model. The caller holds the lock.
 func (g *Gateway) namedAgesOf(model string, now time.Duration) []NamedAge {
 	var ages []NamedAge
-	for _, n := range g.named[model] {
+	for _, n := range g.versionsByModel[model] {
 		ages = append(ages, NamedAge{Model: model, Version: n.version, Age: now - n.namedAt, Known: !n.estimated})
 	}
 	return ages
@@ -82,15 +82,15 @@
 	defer g.mu.Unlock()
 	view := View{Entries: g.peers.alive(now), OriginRate: g.originRate()}
 	backends := g.fleet.Backends(service)
-	view.Count = len(backends)
-	view.Place = max(slices.IndexFunc(backends, func(b catalog.Backend) bool { return b.Address == address }), 0)
+	view.ServerCount = len(backends)
+	view.ServerIndex = max(slices.IndexFunc(backends, func(b catalog.Backend) bool { return b.Address == address }), 0)
 	engine := state.Services[service].Engine
 	if engine == nil {
 		return view, true
 	}
-	view.Pass = engine.LongestPass()
+	view.LongestPass = engine.MaxPassTime()
 	for _, model := range engine.Models {
-		if len(g.named[model]) == 0 {
+		if len(g.versionsByModel[model]) == 0 {
 			view.Named = append(view.Named, NamedAge{Model: model, Version: initialVersion})
 			continue
 		}
@@ -106,13 +106,13 @@
 // compares the versions in the agent's report, whichever entry they came from. A change counter of
 // an entry would mean nothing to an agent that asked another entry, and the agent would read its view
 // again with each report.
-func (g *Gateway) news(report *LoadReport, now time.Duration) bool {
+func (g *Gateway) isAgentOutdated(report *LoadReport, now time.Duration) bool {
 	if report.Named == nil {
 		// The agent has no view yet and asks for one in any case.
 		return false
 	}
 	for _, model := range g.modelsAt(report.Load.Address) {
-		for _, n := range g.named[model] {
+		for _, n := range g.versionsByModel[model] {
 			if g.isMissingFrom(model, n, report.Named, now) {
 				return true
 			}
@@ -133,7 +133,7 @@
 
 // isMissingFrom reports whether a named version is missing from a report, or is there with a
 // later naming time.
-func (g *Gateway) isMissingFrom(model string, n named, reported []NamedAge, now time.Duration) bool {
+func (g *Gateway) isMissingFrom(model string, n namedVersion, reported []NamedAge, now time.Duration) bool {
 	newest := uint64(0)
 	for _, r := range reported {
 		if r.Model != model {
@@ -146,5 +146,5 @@
 	}
 	// A version that a newer one has superseded is pruned, by some entries sooner than by
 	// others.
-	return n.version > newest || now-n.namedAt < g.config.Bound
+	return n.version > newest || now-n.namedAt < g.config.MaxStaleness
 }
--- a/internal/transport/gateway/waitqueue.go
+++ b/internal/transport/gateway/waitqueue.go
@@ -16,7 +16,7 @@
 
 // waitQueue holds requests that wait at this entry for a server. It is guarded by the gateway's mu.
 type waitQueue struct {
-	*admission.Room
+	*admission.EntryQueue
 	// requests are the waiting requests by their ID in the queue.
 	requests map[uint64]*queuedRequest
 	// running is true while runQueue runs.
@@ -31,21 +31,21 @@
 }
 
 func newWaitQueue() *waitQueue {
-	return &waitQueue{Room: admission.NewRoom(), requests: map[uint64]*queuedRequest{}}
+	return &waitQueue{EntryQueue: admission.NewEntryQueue(), requests: map[uint64]*queuedRequest{}}
 }
 
 // pastGoal reports whether the request can no longer be answered within its latency goal, for
 // example because its caller has already retried.
 func (a *attempts) pastGoal() bool {
-	goal := a.route.Goal
-	return goal > 0 && a.call.Bounded && a.route.Timeout-a.remaining() > goal
+	goal := a.route.FirstByteGoal
+	return goal > 0 && a.call.HasTimeout && a.route.Timeout-a.remaining() > goal
 }
 
 // mayWait reports whether a request that found this placement waits for a better one. The caller
 // holds g.mu.
 func (a *attempts) mayWait(placement fleet.Placement, now time.Duration) bool {
 	switch {
-	case a.gateway.plain(a.service):
+	case a.gateway.isPlain(a.service):
 		return false
 	case a.stream != nil:
 		// Servers that switch their weights at the same time may leave no server for a moment.
@@ -56,14 +56,14 @@
 		// could still be answered in time. Late requests therefore wait only right after an outage.
 		return a.pastGoal() && a.gateway.recovering(a.service, now)
 	}
-	return placement.ReadyIn > 0 && placement.ReadyIn < admission.RoomWait
+	return placement.ReadyIn > 0 && placement.ReadyIn < admission.EntryQueueTimeout
 }
 
 // recovering reports whether an outage of a service, or of this process, has just ended. The caller
 // holds g.mu.
 func (g *Gateway) recovering(service string, now time.Duration) bool {
 	outage, ok := g.outages[service]
-	return now-g.started < admission.Recovery || ok && outage.Ended(now) < admission.Recovery
+	return now-g.started < admission.RecoveryPeriod || ok && outage.SinceLastRefusal(now) < admission.RecoveryPeriod
 }
 
 // waitForServer waits until a server is free. It returns false if none became free in time.
@@ -72,7 +72,7 @@
 	start := boottime.Now()
 	queued := &queuedRequest{attempts: a, placed: make(chan fleet.Placement, 1)}
 	g.mu.Lock()
-	id, ok := g.waitQueue.Enter(a.service, start+min(admission.RoomWait, a.remaining()/2))
+	id, ok := g.waitQueue.Add(a.service, start+min(admission.EntryQueueTimeout, a.remaining()/2))
 	if !ok {
 		g.mu.Unlock()
 		return fleet.Placement{}, false
@@ -103,7 +103,7 @@
 func (g *Gateway) leaveQueue(id uint64, queued *queuedRequest) (fleet.Placement, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.waitQueue.Leave(id)
+	g.waitQueue.Remove(id)
 	delete(g.waitQueue.requests, id)
 	select {
 	case placement, ok := <-queued.placed:
@@ -129,14 +129,14 @@
 func (g *Gateway) assignServers(now time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	expired := g.waitQueue.Scan(now, func(id uint64) bool {
+	expired := g.waitQueue.Dispatch(now, func(id uint64) bool {
 		queued := g.waitQueue.requests[id]
 		placement := queued.attempts.choose(now)
 		if !placement.Found {
 			return false
 		}
-		if queued.attempts.stream == nil && !g.gate.AdmitWaiting(forecast(placement), queued.attempts.route.Goal) {
-			g.fleet.Ended(placement.Backend.ID)
+		if queued.attempts.stream == nil && !g.gate.AdmitQueued(forecast(placement), queued.attempts.route.FirstByteGoal) {
+			g.fleet.Release(placement.Backend.ID)
 			return false
 		}
 		delete(g.waitQueue.requests, id)
--- a/internal/transport/gateway/waitqueue_test.go
+++ b/internal/transport/gateway/waitqueue_test.go
@@ -19,7 +19,7 @@
 	engine := &catalog.Engine{Slots: 16}
 	g := &Gateway{}
 	g.state.Store(&catalog.State{Services: map[string]catalog.Service{"models": {Engine: engine}, "orders": {}}})
-	route := &catalog.Route{Goal: 400 * time.Millisecond, Timeout: 6 * time.Second}
+	route := &catalog.Route{FirstByteGoal: 400 * time.Millisecond, Timeout: 6 * time.Second}
 	inTime, late := 6*time.Second, 4*time.Second
 	for name, test := range map[string]struct {
 		service  string
@@ -39,15 +39,15 @@
 		"a late request during a long overload":    {"models", late, false, fleet.Placement{Found: true}, true, false},
 		"a plain service":                          {"orders", late, false, fleet.Placement{Found: true}, false, false},
 	} {
-		x := &exchange{gateway: g, route: route, service: test.service, call: &Call{Bounded: true}, deadline: time.Now().Add(test.left)}
+		x := &exchange{gateway: g, route: route, service: test.service, call: &Call{HasTimeout: true}, deadline: time.Now().Add(test.left)}
 		a := &attempts{exchange: x}
 		if test.started {
 			a.stream = &eventStream{}
 		}
-		now := 2 * admission.Recovery
+		now := 2 * admission.RecoveryPeriod
 		g.outages = map[string]*admission.Outage{"models": {}}
 		if !test.overload {
-			g.outages["models"].Refused(now - time.Second)
+			g.outages["models"].RecordRefusal(now - time.Second)
 		}
 		c.Check(a.mayWait(test.found, now), qt.Equals, test.want, qt.Commentf(name))
 	}
--- a/internal/transport/gateway/watch.go
+++ b/internal/transport/gateway/watch.go
@@ -20,7 +20,7 @@
 	followWait = time.Second
 	// entriesFollowWait is the same for the entry table. It is longer, since the table
 	// only serves to discover new entries and heartbeats show which ones are alive.
-	entriesWait = 6 * time.Second
+	entriesFollowWait = 6 * time.Second
 	// batchDelay is the delay before the next call after a change, so that a series of
 	// changes needs few calls. All deadlines for changes of these tables are at least 2 s.
 	batchDelay = 250 * time.Millisecond
@@ -28,8 +28,8 @@
 	// the deadline of a version counts from the time at which entries observe it.
 	batchDelayDesired = 60 * time.Millisecond
 	// initialBackoff and maxBackoff bound the exponential backoff after failed calls.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 800 * time.Millisecond
 	// readerRetryDelay is the delay before readers that cannot reach the store are queried
 	// again.
 	readerRetryDelay = 200 * time.Millisecond
@@ -42,7 +42,7 @@
 )
 
 // tableWatch keeps the view of one table of the store current.
-type watch struct {
+type tableWatch struct {
 	gateway *Gateway
 	table   Table
 	// wait is how long one call waits for a change.
@@ -65,27 +65,27 @@
 }
 
 // run reads the table and follows it until ctx ends.
-func (w *watch) run(ctx context.Context) {
+func (w *tableWatch) run(ctx context.Context) {
 	w.initial = true
-	backoff := retryFirst
+	backoff := initialBackoff
 	for ctx.Err() == nil {
-		changed, err := w.turn(ctx)
+		changed, err := w.poll(ctx)
 		switch {
-		case errors.Is(err, ErrHistoryGone):
+		case errors.Is(err, ErrRevisionPruned):
 			w.gateway.log.Warn("store dropped its history", zap.String("Table", string(w.table)), zap.Uint64("Revision", w.revision))
 			w.revision, w.droppedRevision = 0, w.revision
-		case errors.Is(err, errReaderLost):
+		case errors.Is(err, errReaderDisconnected):
 			w.noteUnreachable(ctx, err)
-			w.gateway.sleep(ctx, readerRetryDelay)
+			w.gateway.sleepJittered(ctx, readerRetryDelay)
 		case err != nil:
 			w.noteUnreachable(ctx, err)
-			w.gateway.sleep(ctx, backoff)
-			backoff = min(2*backoff, retryMost)
+			w.gateway.sleepJittered(ctx, backoff)
+			backoff = min(2*backoff, maxBackoff)
 		default:
 			w.noteReachable()
-			backoff = retryFirst
+			backoff = initialBackoff
 			if changed {
-				w.gateway.sleep(ctx, batchDelayFor(w.table))
+				w.gateway.sleepJittered(ctx, batchDelayFor(w.table))
 			}
 		}
 	}
@@ -103,11 +103,11 @@
 }
 
 // poll makes one call, to the region's reader or to the store.
-func (w *watch) turn(ctx context.Context) (changed bool, err error) {
+func (w *tableWatch) poll(ctx context.Context) (changed bool, err error) {
 	g := w.gateway
 	if w.revision == 0 {
-		if rows, at, ok := g.wholeFromReader(ctx, w.table, w.droppedRevision); ok {
-			g.feeds.restart(w.table, rows, at)
+		if rows, at, ok := g.fetchSnapshot(ctx, w.table, w.droppedRevision); ok {
+			g.feeds.reset(w.table, rows, at)
 			return false, w.applyRows(rows, at, true)
 		}
 		return false, w.readAll(ctx)
@@ -126,8 +126,8 @@
 	if err != nil {
 		// Other errors do not hand the reading over to another entry: a late answer may be a
 		// large change on a busy link, which that entry would fetch again.
-		if errors.Is(err, ErrTurnedAway) {
-			g.loseStore(w.table)
+		if errors.Is(err, ErrStoreRejected) {
+			g.markStoreUnreachable(w.table)
 		}
 		return false, err
 	}
@@ -144,23 +144,23 @@
 // The view of an entry that takes over is as old as that of the previous reader. Its first call
 // returns without waiting for a change. Otherwise the followers would reject its view as too
 // old and take over in turn.
-func (w *watch) follow(ctx context.Context) (Rows, time.Duration, error) {
+func (w *tableWatch) follow(ctx context.Context) (Rows, time.Duration, error) {
 	sent, wait := boottime.Now(), w.wait
 	if w.gateway.feeds.age(w.table, sent) > w.wait+followGrace {
 		wait = confirmWait
 	}
-	late := time.AfterFunc(wait+followGrace, func() { w.gateway.feeds.lose(w.table) })
+	late := time.AfterFunc(wait+followGrace, func() { w.gateway.feeds.markUnreachable(w.table) })
 	defer late.Stop()
 	rows, err := w.gateway.store.Follow(ctx, w.table, w.revision, wait)
-	if err != nil && !errors.Is(err, ErrHistoryGone) {
+	if err != nil && !errors.Is(err, ErrRevisionPruned) {
 		// A call that fails immediately must also notify the followers.
-		w.gateway.feeds.lose(w.table)
+		w.gateway.feeds.markUnreachable(w.table)
 	}
 	return rows, sent, err
 }
 
 // readAll reads the whole table from the store.
-func (w *watch) readAll(ctx context.Context) error {
+func (w *tableWatch) readAll(ctx context.Context) error {
 	g := w.gateway
 	sent := boottime.Now()
 	rows, err := g.store.Read(ctx, w.table)
@@ -168,12 +168,12 @@
 		return err
 	}
 	g.recordStoreAnswer()
-	g.feeds.restart(w.table, rows, sent)
+	g.feeds.reset(w.table, rows, sent)
 	return w.applyRows(rows, sent, true)
 }
 
 // applyRows applies rows that were complete at a time, and confirms the view.
-func (w *watch) applyRows(rows Rows, at time.Duration, whole bool) error {
+func (w *tableWatch) applyRows(rows Rows, at time.Duration, whole bool) error {
 	after := w.revision
 	if err := w.apply(rows, after, whole, w.initial); err != nil {
 		return err
@@ -187,7 +187,7 @@
 }
 
 // noteUnreachable logs the first of a series of failed calls.
-func (w *watch) noteUnreachable(ctx context.Context, err error) {
+func (w *tableWatch) noteUnreachable(ctx context.Context, err error) {
 	if !w.unreachable && ctx.Err() == nil {
 		w.unreachable = true
 		w.gateway.log.Warn("store unreachable", zap.String("Table", string(w.table)), zap.Error(err))
@@ -195,7 +195,7 @@
 }
 
 // noteReachable logs the first successful call after failed ones.
-func (w *watch) noteReachable() {
+func (w *tableWatch) noteReachable() {
 	if w.unreachable {
 		w.unreachable = false
 		w.gateway.log.Info("store reachable again", zap.String("Table", string(w.table)), zap.Uint64("Revision", w.revision))
@@ -204,7 +204,7 @@
 
 // sleepJittered sleeps for half to one and a half times a delay, so that entries do not make
 // their calls at the same time.
-func (g *Gateway) sleep(ctx context.Context, delay time.Duration) {
+func (g *Gateway) sleepJittered(ctx context.Context, delay time.Duration) {
 	g.mu.Lock()
 	delay = delay/2 + time.Duration(g.rng.Int64N(int64(delay)))
 	g.mu.Unlock()
@@ -216,10 +216,10 @@
 
 // runDesired follows the table of desired states.
 func (g *Gateway) runDesired(ctx context.Context) {
-	w := &watch{gateway: g, table: TableDesired, wait: followWait, apply: g.applyDesired,
+	w := &tableWatch{gateway: g, table: TableDesired, wait: followWait, apply: g.applyDesired,
 		onConfirmed: func(at time.Duration) {
 			// The view of the region's reader may be older than one read from the store.
-			g.confirmed.Store(max(g.confirmed.Load(), int64(at)))
+			g.stateConfirmedAt.Store(max(g.stateConfirmedAt.Load(), int64(at)))
 		}}
 	w.run(ctx)
 }
@@ -229,7 +229,7 @@
 // Answers of the store may arrive out of order. Only a state with a higher version replaces
 // the current one.
 func (g *Gateway) applyDesired(rows Rows, after uint64, _, initial bool) error {
-	desired, err := g.store.Desired(rows, after)
+	desired, err := g.store.DecodeDesired(rows, after)
 	if err != nil {
 		return err
 	}
@@ -240,14 +240,14 @@
 	if desired.State != nil && (old == nil || desired.State.Version > old.Version) {
 		g.fleet.SetState(desired.State, now)
 		g.state.Store(desired.State)
-		g.release(desired.State, now)
+		g.releaseWithheld(desired.State, now)
 		if old == nil {
-			close(g.stated)
+			close(g.stateKnown)
 		}
 		g.log.Info("desired state in force", zap.Uint64("Version", desired.State.Version), zap.Uint64("Revision", rows.Revision))
 	}
 	g.setNamed(desired.Named, initial, now)
-	g.noteBad(desired.Bad)
+	g.reportBadRows(desired.Bad)
 	return nil
 }
 
@@ -255,40 +255,40 @@
 func (g *Gateway) runBackends(ctx context.Context) {
 	last := boottime.Now()
 	apply := func(rows Rows, after uint64, whole, _ bool) error {
-		backends, err := g.store.Backends(rows, after)
+		backends, err := g.store.DecodeBackends(rows, after)
 		if err != nil {
 			return err
 		}
 		now := boottime.Now()
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.viewGap, last = now-last, now
+		g.backendsInterval, last = now-last, now
 		if whole || len(rows.Raw) > 0 {
-			go g.runLearn(g.takeBackends(backends, whole, now))
+			go g.runFetchManifests(g.applyBackends(backends, whole, now))
 		}
-		g.noteBad(backends.Bad)
+		g.reportBadRows(backends.Bad)
 		return nil
 	}
-	w := &watch{gateway: g, table: TableBackends, wait: followWait, apply: apply}
+	w := &tableWatch{gateway: g, table: TableBackends, wait: followWait, apply: apply}
 	w.run(ctx)
 }
 
 // applyBackends applies rows of backend servers, and returns the servers that may be used. The
 // caller holds the lock.
-func (g *Gateway) takeBackends(backends Backends, whole bool, now time.Duration) []catalog.Backend {
+func (g *Gateway) applyBackends(backends Backends, whole bool, now time.Duration) []catalog.Backend {
 	present, removed := g.withhold(backends, whole)
 	g.fleet.Apply(present, removed, whole, now)
-	g.logBackends(Backends{Present: present, Gone: removed})
+	g.logBackends(Backends{Present: present, Removed: removed})
 	g.logRestarts()
 	return present
 }
 
 // runFetchManifests prefetches the manifests of the versions that servers hold. Manifests are
 // small.
-func (g *Gateway) runLearn(present []catalog.Backend) {
+func (g *Gateway) runFetchManifests(present []catalog.Backend) {
 	for _, b := range present {
 		for _, m := range b.Models {
-			g.relay.Learn(catalog.NamedVersion{Model: m.Name, Version: m.Version})
+			g.relay.PrefetchManifest(catalog.ModelVersion{Model: m.Name, Version: m.Version})
 		}
 	}
 }
@@ -297,20 +297,20 @@
 func (g *Gateway) logBackends(backends Backends) {
 	for _, b := range backends.Present {
 		g.log.Info("backend server listed", zap.String("Backend", b.ID), zap.String("Service", b.Service),
-			zap.String("Address", b.Address), zap.Bool("Leaving", b.Leaving), zap.Int("Models", len(b.Models)), zap.Duration("Within", g.viewGap))
+			zap.String("Address", b.Address), zap.Bool("Leaving", b.Draining), zap.Int("Models", len(b.Models)), zap.Duration("Within", g.backendsInterval))
 	}
-	for _, id := range backends.Gone {
-		g.log.Info("backend server removed", zap.String("Backend", id), zap.Duration("Within", g.viewGap))
+	for _, id := range backends.Removed {
+		g.log.Info("backend server removed", zap.String("Backend", id), zap.Duration("Within", g.backendsInterval))
 	}
 }
 
 // logRestarts logs the state of restarted servers before and after the restart. The caller
 // holds the lock.
 func (g *Gateway) logRestarts() {
-	for _, r := range g.fleet.Restarts() {
+	for _, r := range g.fleet.TakeRestarts() {
 		g.log.Info("backend server started again", zap.String("Backend", r.Backend), zap.String("Source", string(r.Source)),
-			zap.Int64("Before", int64(r.Before)), zap.Int64("After", int64(r.After)),
-			zap.Strings("Held", modelNames(r.Held)), zap.Strings("Holds", modelNames(r.Holds)), zap.Int("UnderWay", r.UnderWay))
+			zap.Int64("Before", int64(r.OldBoot)), zap.Int64("After", int64(r.NewBoot)),
+			zap.Strings("Held", modelNames(r.OldModels)), zap.Strings("Holds", modelNames(r.NewModels)), zap.Int("UnderWay", r.InFlight))
 	}
 }
 
@@ -327,32 +327,32 @@
 func (g *Gateway) runEntries(ctx context.Context) {
 	go g.runRegister(ctx)
 	apply := func(rows Rows, after uint64, whole, _ bool) error {
-		entries, err := g.store.Entries(rows, after)
+		entries, err := g.store.DecodeEntries(rows, after)
 		if err != nil {
 			return err
 		}
 		g.mu.Lock()
-		g.peers.applyRows(entries.Present, entries.Gone, whole, boottime.Now())
-		g.resizeBudgets()
-		g.noteBad(entries.Bad)
+		g.peers.applyRows(entries.Present, entries.Removed, whole, boottime.Now())
+		g.resizeRetryBudgets()
+		g.reportBadRows(entries.Bad)
 		g.mu.Unlock()
-		if !g.listed.Swap(true) {
-			g.beat(boottime.Now(), true)
+		if !g.entriesListed.Swap(true) {
+			g.sendHeartbeat(boottime.Now(), true)
 		}
 		return nil
 	}
-	w := &watch{gateway: g, table: TableEntries, wait: entriesWait, apply: apply}
+	w := &tableWatch{gateway: g, table: TableEntries, wait: entriesFollowWait, apply: apply}
 	w.run(ctx)
 }
 
 // runRegister registers this entry in the store, with retries until it succeeds.
 func (g *Gateway) runRegister(ctx context.Context) {
-	for backoff := retryFirst; ctx.Err() == nil; backoff = min(2*backoff, retryMost) {
+	for backoff := initialBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
 		err := g.store.Register(ctx, g.config.Self)
 		if err == nil {
 			return
 		}
 		g.log.Warn("failed to register entry", zap.Error(err))
-		g.sleep(ctx, backoff)
+		g.sleepJittered(ctx, backoff)
 	}
 }
--- a/internal/transport/gateway/watch_test.go
+++ b/internal/transport/gateway/watch_test.go
@@ -35,13 +35,13 @@
 	c := qt.New(t)
 	now := boottime.Now()
 	follower := &Gateway{crashes: newCrashes(), feeds: newFeeds()}
-	follower.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now)
+	follower.feeds.reset(TableDesired, rows(5, `[{"a":1}]`), now)
 	server := httptest.NewServer(http.HandlerFunc(follower.serveFeed))
 	t.Cleanup(server.Close)
 	store := fakeStore{
 		follow: func(ctx context.Context, after uint64, _ time.Duration) (Rows, error) {
 			if after < 6 {
-				return Rows{}, ErrHistoryGone
+				return Rows{}, ErrRevisionPruned
 			}
 			<-ctx.Done()
 			return Rows{}, ctx.Err()
@@ -51,16 +51,16 @@
 	self := entryAt("e1", "a", "ra")
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, store: store, peers: newPeers(self, now), feeds: newFeeds(), client: server.Client(), log: zap.NewNop(),
 		rng: rand.New(rand.NewPCG(1, 2))}
-	g.listed.Store(true)
+	g.entriesListed.Store(true)
 	// The other entry cannot reach the store, so that this one is the reader.
 	other := entryAt("e2", "a", "ra")
 	other.Peers = server.Listener.Addr().String()
-	g.peers.hear(other, true, true, now)
-	g.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now)
+	g.peers.observeHeartbeat(other, true, true, now)
+	g.feeds.reset(TableDesired, rows(5, `[{"a":1}]`), now)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	start := time.Now()
-	w := &watch{gateway: g, table: TableDesired, wait: followWait, revision: 5, apply: func(rows Rows, _ uint64, _, _ bool) error {
+	w := &tableWatch{gateway: g, table: TableDesired, wait: followWait, revision: 5, apply: func(rows Rows, _ uint64, _, _ bool) error {
 		if rows.Revision >= 6 {
 			cancel()
 		}
@@ -83,16 +83,16 @@
 		return Rows{}, ctx.Err()
 	}}
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, store: store, peers: newPeers(self, now), feeds: newFeeds(), log: zap.NewNop()}
-	g.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now)
+	g.feeds.reset(TableDesired, rows(5, `[{"a":1}]`), now)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w := &watch{gateway: g, table: TableDesired, wait: 10 * time.Millisecond, revision: 5}
-	go func() { _, _ = w.turn(ctx) }()
+	w := &tableWatch{gateway: g, table: TableDesired, wait: 10 * time.Millisecond, revision: 5}
+	go func() { _, _ = w.poll(ctx) }()
 	start := time.Now()
-	_, ok := g.feeds.since(ctx, TableDesired, 5)
+	_, ok := g.feeds.changesSince(ctx, TableDesired, 5)
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(g.feeds.lost(TableDesired), qt.IsTrue)
-	c.Assert(time.Since(start) < readerWait, qt.IsTrue)
+	c.Assert(g.feeds.isUnreachable(TableDesired), qt.IsTrue)
+	c.Assert(time.Since(start) < feedPollWait, qt.IsTrue)
 }
 
 // When the store refused the connections of a region's reader, its followers were not notified.
@@ -105,17 +105,17 @@
 	store := fakeStore{follow: func(context.Context, uint64, time.Duration) (Rows, error) { return Rows{}, failed }}
 	self := entryAt("e1", "a", "ra")
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, store: store, peers: newPeers(self, now), feeds: newFeeds(), log: zap.NewNop()}
-	w := &watch{gateway: g, table: TableDesired, wait: followWait, revision: 5}
-	g.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now)
-	_, err := w.turn(context.Background())
+	w := &tableWatch{gateway: g, table: TableDesired, wait: followWait, revision: 5}
+	g.feeds.reset(TableDesired, rows(5, `[{"a":1}]`), now)
+	_, err := w.poll(context.Background())
 	c.Assert(err, qt.ErrorIs, failed)
-	c.Assert(g.feeds.lost(TableDesired), qt.IsTrue)
+	c.Assert(g.feeds.isUnreachable(TableDesired), qt.IsTrue)
 	// A dropped history does not mean that the store is unreachable.
-	g.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now)
-	failed = ErrHistoryGone
-	_, err = w.turn(context.Background())
+	g.feeds.reset(TableDesired, rows(5, `[{"a":1}]`), now)
+	failed = ErrRevisionPruned
+	_, err = w.poll(context.Background())
 	c.Assert(err, qt.ErrorIs, failed)
-	c.Assert(g.feeds.lost(TableDesired), qt.IsFalse)
+	c.Assert(g.feeds.isUnreachable(TableDesired), qt.IsFalse)
 }
 
 // While the store was unreachable for 4 s, each entry queried three others and then the store
@@ -129,21 +129,21 @@
 	calls := 0
 	store := fakeStore{follow: func(context.Context, uint64, time.Duration) (Rows, error) {
 		calls++
-		return Rows{}, ErrTurnedAway
+		return Rows{}, ErrStoreRejected
 	}}
 	for _, name := range names {
 		self := entryAt(name, "a", "ra")
 		g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, store: store, peers: newPeers(self, now), feeds: newFeeds(), client: server.Client(), log: zap.NewNop()}
-		g.lostUntil.Store(int64(now + time.Minute))
+		g.readerSuspendedUntil.Store(int64(now + time.Minute))
 		for _, host := range names {
 			if host != name {
 				other := entryAt(host, "a", "ra")
 				other.Peers = server.Listener.Addr().String()
-				g.peers.hear(other, true, true, now)
+				g.peers.observeHeartbeat(other, true, true, now)
 			}
 		}
-		w := &watch{gateway: g, table: TableDesired, wait: followWait, revision: 5}
-		_, err := w.turn(context.Background())
+		w := &tableWatch{gateway: g, table: TableDesired, wait: followWait, revision: 5}
+		_, err := w.poll(context.Background())
 		c.Check(err, qt.IsNotNil)
 	}
 	c.Assert(calls, qt.Equals, 1)
@@ -161,10 +161,10 @@
 		return rows(after, ""), nil
 	}}
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, store: store, peers: newPeers(self, now), feeds: newFeeds(), log: zap.NewNop()}
-	g.feeds.restart(TableDesired, rows(5, `[{"a":1}]`), now-readerAge)
-	w := &watch{gateway: g, table: TableDesired, wait: followWait, revision: 5, apply: func(Rows, uint64, bool, bool) error { return nil }}
+	g.feeds.reset(TableDesired, rows(5, `[{"a":1}]`), now-maxFeedAge)
+	w := &tableWatch{gateway: g, table: TableDesired, wait: followWait, revision: 5, apply: func(Rows, uint64, bool, bool) error { return nil }}
 	for range 2 {
-		_, err := w.turn(context.Background())
+		_, err := w.poll(context.Background())
 		c.Assert(err, qt.IsNil)
 	}
 	c.Assert(waits, qt.HasLen, 2)
--- a/internal/transport/gateway/wholetable_test.go
+++ b/internal/transport/gateway/wholetable_test.go
@@ -26,15 +26,15 @@
 	}
 	ordered := make([]Entry, len(hosts))
 	for i, host := range hosts {
-		ordered[relays.Turn(all[i].Host, all, "ra", readerPiece)] = entryAt(host, "a", "ra")
+		ordered[relays.Rank(all[i].Host, all, "ra", readerHashKey)] = entryAt(host, "a", "ra")
 	}
 	self, now := ordered[2], boottime.Now()
 	g := &Gateway{crashes: newCrashes(), config: Config{Self: self}, peers: newPeers(self, now), feeds: newFeeds(), client: server.Client(), log: zap.NewNop(),
 		rng: rand.New(rand.NewPCG(1, 2))}
-	g.listed.Store(true)
+	g.entriesListed.Store(true)
 	ordered[0].Peers = server.Listener.Addr().String()
-	g.peers.hear(ordered[0], ready, false, now)
-	g.peers.hear(ordered[1], false, false, now)
+	g.peers.observeHeartbeat(ordered[0], ready, false, now)
+	g.peers.observeHeartbeat(ordered[1], false, false, now)
 	return g
 }
 
@@ -51,7 +51,7 @@
 // serveSlowly sends a table in parts. The whole takes longer than the timeout of a call for
 // changes.
 func serveSlowly(w http.ResponseWriter, _ *http.Request) {
-	packed := pack([]byte(`[{"a":1}]`))
+	packed := compressRows([]byte(`[{"a":1}]`))
 	w.Header().Set(headerRevision, "5")
 	w.Header().Set(headerAge, "0")
 	w.Header().Set("Content-Length", strconv.Itoa(len(packed)))
@@ -74,9 +74,9 @@
 		want          bool
 		least, latest time.Duration
 	}{
-		{"the first has no rows yet", serveEmptyTable, 0, false, 2 * wholeTimeout, 3 * wholeTimeout},
-		{"the first does not respond", serveNothing, 0, false, wholeTimeout, 2 * wholeTimeout},
-		{"the store dropped its history", serveEmptyTable, 4, false, wholeTimeout, 2 * wholeTimeout},
+		{"the first has no rows yet", serveEmptyTable, 0, false, 2 * snapshotTimeout, 3 * snapshotTimeout},
+		{"the first does not respond", serveNothing, 0, false, snapshotTimeout, 2 * snapshotTimeout},
+		{"the store dropped its history", serveEmptyTable, 4, false, snapshotTimeout, 2 * snapshotTimeout},
 		{"the table is arriving", serveSlowly, 0, true, feedTimeout, 3 * feedTimeout},
 	}
 	for _, test := range tests {
@@ -86,7 +86,7 @@
 			t.Cleanup(server.Close)
 			t.Cleanup(server.CloseClientConnections)
 			g, start := newThirdEntry(server, test.dropped > 0), time.Now()
-			_, _, ok := g.wholeFromReader(context.Background(), TableBackends, test.dropped)
+			_, _, ok := g.fetchSnapshot(context.Background(), TableBackends, test.dropped)
 			took := time.Since(start)
 			qt.Check(t, ok, qt.Equals, test.want)
 			qt.Check(t, took >= test.least*9/10 && took <= test.latest, qt.IsTrue, qt.Commentf("%v", took))
--- a/internal/transport/installation/conn_limits.go
+++ b/internal/transport/installation/conn_limits.go
@@ -44,7 +44,7 @@
 // state.
 func (l *connLimits) onStateChange(c net.Conn, state http.ConnState) {
 	limits := l.limits()
-	headerTimeout, idleTimeout := limits.HeaderTime, limits.IdleTime
+	headerTimeout, idleTimeout := limits.HeaderTimeout, limits.IdleTimeout
 	if headerTimeout <= 0 {
 		headerTimeout = defaultHeaderTimeout
 	}
--- a/internal/transport/installation/conn_limits_test.go
+++ b/internal/transport/installation/conn_limits_test.go
@@ -53,7 +53,7 @@
 // timeout must stay open, and one that is idle for longer must be closed.
 func TestIdleConnectionsFollowDesiredState(t *testing.T) {
 	c := qt.New(t)
-	server := newLimitedServer(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: 200 * time.Millisecond})
+	server := newLimitedServer(t, catalog.Limits{HeaderTimeout: 100 * time.Millisecond, IdleTimeout: 200 * time.Millisecond})
 	for _, test := range []struct {
 		idleTimeout, pause time.Duration
 		open               bool
@@ -62,7 +62,7 @@
 		{200 * time.Millisecond, 600 * time.Millisecond, false},
 		{time.Second, 800 * time.Millisecond, true},
 	} {
-		server.limits.Store(&catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: test.idleTimeout})
+		server.limits.Store(&catalog.Limits{HeaderTimeout: 100 * time.Millisecond, IdleTimeout: test.idleTimeout})
 		conn, err := net.Dial("tcp4", server.address)
 		c.Assert(err, qt.IsNil)
 		reader := bufio.NewReader(conn)
@@ -76,7 +76,7 @@
 // A client that sends incomplete request headers must not keep connections open.
 func TestSlowHeaderClosesConnection(t *testing.T) {
 	c := qt.New(t)
-	server := newLimitedServer(t, catalog.Limits{HeaderTime: 100 * time.Millisecond, IdleTime: time.Minute})
+	server := newLimitedServer(t, catalog.Limits{HeaderTimeout: 100 * time.Millisecond, IdleTimeout: time.Minute})
 	conn, err := net.Dial("tcp4", server.address)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
--- a/internal/transport/installation/roles.go
+++ b/internal/transport/installation/roles.go
@@ -21,7 +21,7 @@
 
 // EntryDependencies holds a platform's implementations of the interfaces that an entry
 // needs.
-type EntryPorts struct {
+type EntryDependencies struct {
 	Store  gateway.Store
 	Codec  gateway.Codec
 	Sender gateway.Sender
@@ -32,13 +32,13 @@
 
 // AgentDependencies holds a platform's implementations of the interfaces that an agent
 // needs.
-type AgentPorts struct {
+type AgentDependencies struct {
 	Engine  sidecar.Engine
 	Entries sidecar.EntryLister
 }
 
 // SettingsFile is the path of a settings file and the channel that triggers a reload.
-type File struct {
+type SettingsFile struct {
 	Path   string
 	Reload <-chan os.Signal
 }
@@ -55,7 +55,7 @@
 )
 
 // RunEntry runs an entry until ctx is cancelled, then drains it.
-func RunEntry(ctx context.Context, s *settings.Installation, file File, ports EntryPorts) error {
+func RunEntry(ctx context.Context, s *settings.Installation, file SettingsFile, ports EntryDependencies) error {
 	p, err := start(s, filbertlever.RoleEntry, os.Stdout)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 	}
 	drainCtx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Bounds.Stop)-stopMargin)
 	defer cancel()
-	g.Leave(drainCtx)
+	g.Shutdown(drainCtx)
 	p.shutdown()
 	p.log.Info("stopped")
 	return nil
@@ -92,7 +92,7 @@
 
 // listenEntry opens an entry's listeners. The Ready and Locate handlers share a listener
 // if their addresses are equal.
-func (p *process) listenEntry(s *settings.Installation, g *gateway.Gateway, ports EntryPorts) error {
+func (p *process) listenEntry(s *settings.Installation, g *gateway.Gateway, ports EntryDependencies) error {
 	platform := http.NewServeMux()
 	ports.Routes(platform, g)
 	peers := http.NewServeMux()
@@ -119,9 +119,9 @@
 			Host: s.Host, Site: s.Site, Region: s.Region, Callers: s.Listen.Callers, Peers: s.Listen.Peers,
 			Datagrams: s.Listen.Datagrams, Incarnation: filbertlever.Incarnation(strconv.FormatInt(time.Now().UnixNano(), 36)),
 		},
-		Regions: s.Regions, Revoke: time.Duration(s.Bounds.Revoke), Bound: time.Duration(s.Bounds.Version),
-		RetryRatio: s.Bounds.RetryRatio, RetrySlack: s.Bounds.RetrySlack, RetryWindow: time.Duration(s.Bounds.RetryWindow), Seeds: s.Seeds, Keep: time.Duration(s.Bounds.Keep),
-		Grace: time.Duration(acceptShare * float64(stop)), Leave: stop,
+		Regions: s.Regions, RevocationDelay: time.Duration(s.Bounds.Revoke), MaxStaleness: time.Duration(s.Bounds.Version),
+		RetryRatio: s.Bounds.RetryRatio, RetrySlack: s.Bounds.RetrySlack, RetryWindow: time.Duration(s.Bounds.RetryWindow), Seeds: s.Seeds, LocateTTL: time.Duration(s.Bounds.Keep),
+		DrainGracePeriod: time.Duration(acceptShare * float64(stop)), DrainTimeout: stop,
 	}
 }
 
@@ -134,7 +134,7 @@
 }
 
 // RunAgent runs an agent until ctx is cancelled.
-func RunAgent(ctx context.Context, s *settings.Installation, file File, ports AgentPorts) error {
+func RunAgent(ctx context.Context, s *settings.Installation, file SettingsFile, ports AgentDependencies) error {
 	p, err := start(s, filbertlever.RoleAgent, os.Stdout)
 	if err != nil {
 		return err
@@ -148,7 +148,7 @@
 	defer cancelRun()
 	agent := sidecar.New(runCtx, sidecar.Config{
 		Site: s.Site, Service: s.ModelServer.Service, Address: s.ModelServer.Address, Seeds: s.Seeds,
-		Bound: time.Duration(s.Bounds.Version), FirstStart: s.FirstStart,
+		MaxStaleness: time.Duration(s.Bounds.Version), FirstStart: s.FirstStart,
 	}, ports.Engine, ports.Entries, newClient(), socket, p.log, p.registry)
 	pieces := http.NewServeMux()
 	agent.Routes(pieces)
--- a/internal/transport/node/loops.go
+++ b/internal/transport/node/loops.go
@@ -108,8 +108,8 @@
 	}
 	n.MergeFacts(response.Facts, host)
 	n.mu.Lock()
-	behind := n.base.Behind(response.Facts)
-	request.Facts = n.base.Newer(response.Facts)
+	behind := n.base.AheadOf(response.Facts)
+	request.Facts = n.base.Delta(response.Facts)
 	n.mu.Unlock()
 	if behind {
 		_, err = n.sync(host, request)
@@ -123,10 +123,10 @@
 	defer cancel()
 	var response control.SyncResponse
 	if err := n.control.Call(ctx, host, control.MethodSync, request, &response); err != nil {
-		n.Failed(host)
+		n.RecordFailure(host)
 		return nil, err
 	}
-	n.Contact(response.From)
+	n.RecordContact(response.From)
 	return &response, nil
 }
 
@@ -135,7 +135,7 @@
 // the facts came from the platform or an operator.
 func (n *Node) pushToChildren(toRoot bool) {
 	n.mu.Lock()
-	request := control.SyncRequest{From: n.self(), Facts: n.base.Newer(knowledge.Facts{HostsRevision: n.base.Members.Revision()})}
+	request := control.SyncRequest{From: n.self(), Facts: n.base.Delta(knowledge.Facts{HostsRevision: n.base.Members.Revision()})}
 	salt := fmt.Sprint(request.Facts.Head.Version)
 	children := rollout.Children(n.config.Host.ID, toRoot, salt, n.usableIDs(filbertlever.RoleEntry), n.usableIDs(filbertlever.RoleAgent))
 	n.mu.Unlock()
@@ -167,7 +167,7 @@
 		if p.node.pollsPlatform() {
 			p.logChange(p.node.readPlatform(ctx))
 		}
-		if !sleep(ctx, p.node.config.Poll) {
+		if !sleep(ctx, p.node.config.PollInterval) {
 			return
 		}
 	}
@@ -191,7 +191,7 @@
 func (n *Node) pollsPlatform() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return rollout.Watches(n.config.Host.ID, n.usableIDs(filbertlever.RoleEntry))
+	return rollout.IsWatcher(n.config.Host.ID, n.usableIDs(filbertlever.RoleEntry))
 }
 
 // readPlatform reads the accepted head, the planned stops and the host list, and merges them.
@@ -244,7 +244,7 @@
 // adopt makes the bundle of the accepted head active if it is not active yet.
 func (n *Node) adopt(ctx context.Context) error {
 	n.mu.Lock()
-	head, missing := n.base.Tracker.Missing()
+	head, missing := n.base.Tracker.Pending()
 	source := n.headSource
 	current := n.announcedBundle
 	n.mu.Unlock()
@@ -259,11 +259,11 @@
 		}
 	}
 	n.mu.Lock()
-	adopted := n.base.Tracker.Adopt(head)
+	adopted := n.base.Tracker.Activate(head)
 	if adopted {
 		n.holder.Store(current)
 	}
-	_, more := n.base.Tracker.Missing()
+	_, more := n.base.Tracker.Pending()
 	n.mu.Unlock()
 	if adopted {
 		n.log.Info("bundle in force", zap.Uint64("Version", head.Version), zap.String("Digest", string(head.Digest)))
@@ -278,7 +278,7 @@
 
 // fetchBundle fetches the bundle of an accepted head. It tries the host that sent the
 // head, then another entry, then the platform.
-func (n *Node) fetchBundle(ctx context.Context, head state.Head, source filbertlever.HostID) (*state.Current, error) {
+func (n *Node) fetchBundle(ctx context.Context, head state.Head, source filbertlever.HostID) (*state.ActiveBundle, error) {
 	ctx, cancel := context.WithTimeout(ctx, adoptTimeout)
 	defer cancel()
 	var failures []error
@@ -311,7 +311,7 @@
 
 // verify decodes a signed bundle and checks its digest against the accepted head and its
 // signatures.
-func (n *Node) verify(head state.Head, data []byte) (*state.Current, error) {
+func (n *Node) verify(head state.Head, data []byte) (*state.ActiveBundle, error) {
 	signed, err := bundle.DecodeSigned(data)
 	if err != nil {
 		return nil, err
@@ -323,7 +323,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &state.Current{Head: head, Bundle: b, Signed: data}, nil
+	return &state.ActiveBundle{Head: head, Bundle: b, Signed: data}, nil
 }
 
 // sleep waits for d and returns false if ctx ends first.
--- a/internal/transport/node/node.go
+++ b/internal/transport/node/node.go
@@ -47,7 +47,7 @@
 	// SignOffs is the minimum number of sign-offs of a bundle.
 	SignOffs int
 	// PollInterval is how often an entry that polls the platform reads it.
-	Poll time.Duration
+	PollInterval time.Duration
 	// Seeds are the configured peer addresses of entries.
 	Seeds map[filbertlever.HostID]string
 	Stop  drain.Config
@@ -60,11 +60,11 @@
 	control  *peer.Control
 	clients  *peer.Clients
 	log      *zap.Logger
-	holder   state.Holder
+	holder   state.BundleHolder
 	// methods are the methods that the process adds. They are set before Run.
 	methods map[string]Method
 	// onAdopted is called after a bundle became active. It is set before Run.
-	onAdopted func(*state.Current)
+	onAdopted func(*state.ActiveBundle)
 
 	mu   sync.Mutex
 	base *knowledge.Base
@@ -73,7 +73,7 @@
 	// the platform or an operator. The bundle is fetched from this host first.
 	headSource filbertlever.HostID
 	// announcedBundle is the bundle of the newest head that an operator announced.
-	announcedBundle *state.Current
+	announcedBundle *state.ActiveBundle
 	// lastReceived is the last time that facts arrived from the platform, an operator or a peer.
 	lastReceived time.Time
 
@@ -101,7 +101,7 @@
 		platform:      client,
 		log:           log,
 		methods:       map[string]Method{},
-		onAdopted:     func(*state.Current) {},
+		onAdopted:     func(*state.ActiveBundle) {},
 		base:          knowledge.New(membership.New(membership.DefaultConfig())),
 		stop:          drain.New(config.Stop),
 		adoptSignal:   make(chan struct{}, 1),
@@ -121,7 +121,7 @@
 func (n *Node) AddMethod(name string, method Method) { n.methods[name] = method }
 
 // OnAdopted sets the function that is called after a bundle became active.
-func (n *Node) OnAdopted(f func(*state.Current)) { n.onAdopted = f }
+func (n *Node) OnAdopted(f func(*state.ActiveBundle)) { n.onAdopted = f }
 
 // Self returns the identity of this process.
 func (n *Node) Self() control.Identity {
@@ -132,7 +132,7 @@
 
 // self returns the identity of this process. The caller holds n.mu.
 func (n *Node) self() control.Identity {
-	return control.Identity{Host: n.config.Host, Incarnation: n.config.Incarnation, Leaving: n.stop.Leaving()}
+	return control.Identity{Host: n.config.Host, Incarnation: n.config.Incarnation, Leaving: n.stop.Announced()}
 }
 
 // Incarnation returns the identifier of this process lifetime.
@@ -145,7 +145,7 @@
 func (n *Node) Clients() *peer.Clients { return n.clients }
 
 // Current returns the active bundle of this process, or nil.
-func (n *Node) Current() *state.Current { return n.holder.Load() }
+func (n *Node) Current() *state.ActiveBundle { return n.holder.Load() }
 
 // PeerAddress returns the address of a host, from the host list or the seeds.
 func (n *Node) PeerAddress(id filbertlever.HostID) (string, bool) {
@@ -167,26 +167,26 @@
 }
 
 // RecordFailure records that a host did not respond.
-func (n *Node) Failed(id filbertlever.HostID) {
+func (n *Node) RecordFailure(id filbertlever.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.base.Members.Failed(id, time.Now())
+	n.base.Members.RecordFailure(id, time.Now())
 }
 
 // RecordResponse records that a host responded.
-func (n *Node) Answered(id filbertlever.HostID) {
+func (n *Node) RecordResponse(id filbertlever.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.base.Members.Answered(id, time.Now())
+	n.base.Members.RecordAnswer(id, time.Now())
 }
 
 // RecordContact records a message from a process and whether the process is leaving.
-func (n *Node) Contact(from control.Identity) {
+func (n *Node) RecordContact(from control.Identity) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.base.Members.Contact(from.Host, from.Incarnation, time.Now())
+	n.base.Members.RecordContact(from.Host, from.Incarnation, time.Now())
 	if from.Leaving {
-		n.base.Members.Left(from.Host.ID, from.Incarnation)
+		n.base.Members.RecordStop(from.Host.ID, from.Incarnation)
 	}
 }
 
@@ -195,7 +195,7 @@
 func (n *Node) Head() (state.Head, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.base.Tracker.Known(), n.base.Tracker.Ready()
+	return n.base.Tracker.Latest(), n.base.Tracker.Ready()
 }
 
 // ErrNotReady means that a process cannot serve requests.
@@ -209,12 +209,12 @@
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.stop.Leaving() {
+	if n.stop.Announced() {
 		return fmt.Errorf("leaving: %w", ErrNotReady)
 	}
 	if !n.base.Tracker.Ready() {
 		return fmt.Errorf("bundle in force is %d, accepted is %d: %w",
-			n.base.Tracker.InForce().Version, n.base.Tracker.Known().Version, ErrNotReady)
+			n.base.Tracker.Active().Version, n.base.Tracker.Latest().Version, ErrNotReady)
 	}
 	return nil
 }
@@ -252,11 +252,11 @@
 	if err := CheckIdentity(caller, request.From); err != nil {
 		return nil, err
 	}
-	n.Contact(request.From)
+	n.RecordContact(request.From)
 	n.MergeFacts(request.Facts, caller.Host)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return control.SyncResponse{From: n.self(), Facts: n.base.Newer(request.Facts)}, nil
+	return control.SyncResponse{From: n.self(), Facts: n.base.Delta(request.Facts)}, nil
 }
 
 func (n *Node) handleBundle(params []byte) (any, error) {
@@ -299,12 +299,12 @@
 // the facts came from the platform or an operator.
 func (n *Node) MergeFacts(facts knowledge.Facts, source filbertlever.HostID) {
 	n.mu.Lock()
-	changes, err := n.base.Learn(facts, time.Now())
+	changes, err := n.base.Merge(facts, time.Now())
 	n.lastReceived = time.Now()
 	if changes.Head {
 		n.headSource = source
 	}
-	stopping := n.base.Stopping(n.config.Host.ID)
+	stopping := n.base.HasPlannedStop(n.config.Host.ID)
 	n.mu.Unlock()
 	if err != nil {
 		n.log.Error("accepted head rejected", zap.String("Teller", string(source)), zap.Error(err))
@@ -375,5 +375,5 @@
 func (n *Node) Leaving() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.stop.Leaving()
+	return n.stop.Announced()
 }
--- a/internal/transport/peer/tls.go
+++ b/internal/transport/peer/tls.go
@@ -105,7 +105,7 @@
 
 // RequireRole rejects requests from peers that have none of the roles, and adds the host
 // that sent a request to the request's context.
-func Allow(next http.Handler, roles ...string) http.Handler {
+func RequireRole(next http.Handler, roles ...string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		host, role, err := Identify(request)
 		if err != nil || !slices.Contains(roles, role) {
@@ -125,7 +125,7 @@
 
 // CallerFromContext returns the host that sent a request, or an empty ID if the context
 // carries none.
-func CallerOf(ctx context.Context) filbertlever.HostID {
+func CallerFromContext(ctx context.Context) filbertlever.HostID {
 	host, _ := ctx.Value(callerKey{}).(filbertlever.HostID)
 	return host
 }
--- a/internal/transport/platform/platform.go
+++ b/internal/transport/platform/platform.go
@@ -72,9 +72,9 @@
 // Write is a compare-and-swap of one row. It applies only if the row is at the expected
 // revision.
 type Write struct {
-	Key      string
-	Value    any
-	Expected uint64
+	Key              string
+	Value            any
+	ExpectedRevision uint64
 }
 
 // Get returns the rows with the given keys, in the order of the keys.
@@ -112,7 +112,7 @@
 		if err != nil {
 			return false, nil, nil, fmt.Errorf("encode row %s: %w", write.Key, err)
 		}
-		request.Writes = append(request.Writes, &platformv1.Write{Key: write.Key, Value: value, ExpectedRevision: write.Expected})
+		request.Writes = append(request.Writes, &platformv1.Write{Key: write.Key, Value: value, ExpectedRevision: write.ExpectedRevision})
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/internal/transport/process/answers_test.go
+++ b/internal/transport/process/answers_test.go
@@ -277,10 +277,10 @@
 	runInCluster(t, config, func(cl *cluster) {
 		cl.assertAnswer(cl.ask(cl.client(token), prompt, 5), "1", prompt, 5)
 		cl.assertAnswer(cl.ask(cl.client(otherToken), prompt, 5), "1", prompt, 5)
-		_, hits := cl.engines["model-1"].Generates()
+		_, hits := cl.engines["model-1"].GenerateCounts()
 		cl.Assert(hits, qt.Equals, 0)
 		cl.assertAnswer(cl.ask(cl.client(token), prompt, 5), "1", prompt, 5)
-		_, hits = cl.engines["model-1"].Generates()
+		_, hits = cl.engines["model-1"].GenerateCounts()
 		cl.Assert(hits, qt.Equals, 1)
 	})
 }
--- a/internal/transport/process/cluster_test.go
+++ b/internal/transport/process/cluster_test.go
@@ -134,7 +134,7 @@
 		h := filbertlever.Host{ID: hostID("model", i), Role: filbertlever.RoleAgent, PeerAddress: ip + ":1", Pool: "models"}
 		ifc := cl.network.iface(ip)
 		engine := standin.NewEngine(standin.EngineConfig{
-			ChecksFencing: !config.ignoresFencing, Slots: 8, Prefill: 20 * time.Millisecond, Token: config.tokenTime, CachedPrompts: config.cachedPrompts,
+			ChecksFencing: !config.ignoresFencing, Slots: 8, PrefillTime: 20 * time.Millisecond, TokenTime: config.tokenTime, CachedPrompts: config.cachedPrompts,
 			Client: &http.Client{Transport: &http.Transport{DialContext: ifc.DialContext, DisableKeepAlives: true}},
 		})
 		cl.engines[h.ID] = engine
@@ -443,7 +443,7 @@
 	digest := filbertlever.DigestOf(cl.weights[version])
 	want := make([]string, tokens)
 	for i := range want {
-		want[i] = standin.Piece(digest, prompt, i)
+		want[i] = standin.AnswerToken(digest, prompt, i)
 	}
 	cl.Assert(a.pieces, qt.DeepEquals, want)
 }
--- a/internal/transport/process/endtoend_test.go
+++ b/internal/transport/process/endtoend_test.go
@@ -21,6 +21,6 @@
 		cl.Assert(err, qt.IsNil)
 		cl.Assert(string(answer), qt.Equals, "OrderPickup of hauler-1: skip 7 (run 1)")
 		cl.Assert(cl.orderRuns("pickup-1"), qt.Equals, 1)
-		cl.Assert(cl.platform.Drawn(), qt.Equals, int64(weightsBytes))
+		cl.Assert(cl.platform.OriginBytes(), qt.Equals, int64(weightsBytes))
 	})
 }
--- a/internal/transport/process/features_test.go
+++ b/internal/transport/process/features_test.go
@@ -22,7 +22,7 @@
 			cl.rollOut(b)
 			cl.waitFor("all engines to serve the adapter", func() bool {
 				for _, engine := range cl.engines {
-					if !engine.Serves("drafter/tone", version) {
+					if !engine.HasLoaded("drafter/tone", version) {
 						return false
 					}
 				}
--- a/internal/transport/process/orders_test.go
+++ b/internal/transport/process/orders_test.go
@@ -163,7 +163,7 @@
 func TestPlannedStopDuringOrder(t *testing.T) {
 	runInCluster(t, smallCluster, func(cl *cluster) {
 		for _, service := range cl.services {
-			service.Pause = 8 * time.Second
+			service.CallDuration = 8 * time.Second
 		}
 		o := cl.placeOrder(cl.client(token), pickup)
 		cl.waitFor("the order to run", func() bool { return cl.orderRuns(pickup.Key) == 1 })
--- a/internal/transport/process/process.go
+++ b/internal/transport/process/process.go
@@ -69,7 +69,7 @@
 // role is the interface that a process needs from an entry or an agent.
 type role interface {
 	Serve(ctx context.Context)
-	Leave(ctx context.Context)
+	Drain(ctx context.Context)
 	Ready() error
 	Register(registry prometheus.Registerer)
 }
@@ -90,12 +90,12 @@
 // RunEntry runs an entry until ctx is done or a planned stop is requested, then
 // drains it.
 func RunEntry(ctx context.Context, s *settings.Settings, hostNetwork network.Network, log *zap.Logger) error {
-	return RunEntryWith(ctx, s, routing.DefaultConfig(), hostNetwork, log)
+	return RunEntryWithRouting(ctx, s, routing.DefaultConfig(), hostNetwork, log)
 }
 
 // RunEntryWithRouting is RunEntry with a given routing configuration, so that
 // benchmarks can compare configurations.
-func RunEntryWith(ctx context.Context, s *settings.Settings, routingConfig routing.Config, hostNetwork network.Network, log *zap.Logger) error {
+func RunEntryWithRouting(ctx context.Context, s *settings.Settings, routingConfig routing.Config, hostNetwork network.Network, log *zap.Logger) error {
 	self := hostFromSettings(s, filbertlever.RoleEntry)
 	self.CallerAddress = s.Callers.Address
 	p, keys, client, cleanup, err := newProcess(s, self, hostNetwork, log)
@@ -105,9 +105,9 @@
 	defer cleanup()
 	config := entry.DefaultConfig()
 	config.Host = self
-	config.Keep = time.Duration(s.Entry.Keep)
-	config.Timeout = time.Duration(s.Entry.Timeout)
-	config.OrderWrites = s.Entry.OrderWrites
+	config.LocateTTL = time.Duration(s.Entry.Keep)
+	config.DefaultTimeout = time.Duration(s.Entry.Timeout)
+	config.OrderWriteRate = s.Entry.OrderWrites
 	config.Routing = routingConfig
 	e := entry.New(config, p.node, client, p.log, entry.NewMetrics(p.registry))
 	callerMux, peerMux := http.NewServeMux(), http.NewServeMux()
@@ -133,15 +133,15 @@
 	}
 	defer cleanup()
 	config := agent.Config{
-		Host:       self,
-		EngineURL:  s.Agent.Engine,
-		ServiceURL: s.Agent.Service,
-		WeightsURL: "http://" + s.Agent.Weights.Address,
-		Origin:     s.Agent.Origin,
-		Store:      s.Agent.Store,
-		Network:    hostNetwork,
-		Link:       distribution.Pace{Link: float64(s.Agent.Link), Share: distribution.DefaultShare},
-		Fetch:      weights.DefaultFetchConfig(),
+		Host:           self,
+		EngineURL:      s.Agent.Engine,
+		ServiceURL:     s.Agent.Service,
+		WeightsURL:     "http://" + s.Agent.Weights.Address,
+		Origin:         s.Agent.Origin,
+		Store:          s.Agent.Store,
+		Network:        hostNetwork,
+		BandwidthLimit: distribution.BandwidthLimit{Capacity: float64(s.Agent.Link), Share: distribution.DefaultBandwidthShare},
+		Fetch:          weights.DefaultFetchConfig(),
 	}
 	a := agent.New(config, p.node, client, p.log, agent.NewMetrics(p.registry))
 	peerMux := http.NewServeMux()
@@ -178,13 +178,13 @@
 	}
 	log = log.With(zap.String("Host", string(self.ID)))
 	n, closeNode := node.New(node.Config{
-		Host:        self,
-		Incarnation: node.NewIncarnation(self.ID),
-		Operators:   s.OperatorKeys(),
-		SignOffs:    s.SignOffs,
-		Poll:        time.Duration(s.Platform.Poll),
-		Seeds:       seeds,
-		Stop:        drain.Config{Grace: time.Duration(s.Stop.Grace), Move: time.Duration(s.Stop.Move)},
+		Host:         self,
+		Incarnation:  node.NewIncarnation(self.ID),
+		Operators:    s.OperatorKeys(),
+		SignOffs:     s.SignOffs,
+		PollInterval: time.Duration(s.Platform.Poll),
+		Seeds:        seeds,
+		Stop:         drain.Config{GracePeriod: time.Duration(s.Stop.Grace), MoveStreamsAfter: time.Duration(s.Stop.Move)},
 	}, client, keys, hostNetwork, log)
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -222,7 +222,7 @@
 	}
 	drainCtx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	r.Leave(drainCtx)
+	r.Drain(drainCtx)
 	p.shutdown(drainCtx)
 	cancelRole()
 	<-roleDone
--- a/internal/transport/process/rollouts_test.go
+++ b/internal/transport/process/rollouts_test.go
@@ -49,7 +49,7 @@
 	}
 	n := 0
 	for _, h := range status.Hosts {
-		if h.Host.Role == filbertlever.RoleAgent && h.InForce >= version {
+		if h.Host.Role == filbertlever.RoleAgent && h.ActiveVersion >= version {
 			n++
 		}
 	}
@@ -134,14 +134,14 @@
 // from the origin again.
 func TestAgentRestartsWithoutWeights(t *testing.T) {
 	runInCluster(t, smallCluster, func(cl *cluster) {
-		fetched := cl.platform.Drawn()
+		fetched := cl.platform.OriginBytes()
 		cl.kill("model-2")
 		cl.start("model-2")
 		cl.waitFor("the engine to load again", func() bool {
 			_, _, loads := cl.engines["model-2"].Counts()
 			return loads == 2
 		})
-		cl.Assert(cl.platform.Drawn()-fetched <= weightsBytes/4, qt.IsTrue, qt.Commentf("%d bytes fetched", cl.platform.Drawn()-fetched))
+		cl.Assert(cl.platform.OriginBytes()-fetched <= weightsBytes/4, qt.IsTrue, qt.Commentf("%d bytes fetched", cl.platform.OriginBytes()-fetched))
 	})
 }
 
--- a/internal/transport/relay/failures.go
+++ b/internal/transport/relay/failures.go
@@ -84,7 +84,7 @@
 			return
 		case <-ticker.C:
 		}
-		entries, _ := r.view.Relays()
+		entries, _ := r.view.Entries()
 		if !slices.ContainsFunc(entries, func(e relays.Entry) bool { return e.Host == host }) {
 			cancel(errEntryDied)
 			return
--- a/internal/transport/relay/fetch.go
+++ b/internal/transport/relay/fetch.go
@@ -15,19 +15,19 @@
 )
 
 // FetchManifest fetches a manifest from an entry, on behalf of an agent.
-func FetchManifest(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion) (Manifest, error) {
+func FetchManifest(ctx context.Context, client *http.Client, address string, id catalog.ModelVersion) (Manifest, error) {
 	return fetchManifest(ctx, client, address, id, relays.RoleAny)
 }
 
 // FetchPiece fetches a piece from an entry, on behalf of an agent. It does not verify
 // the piece.
-func FetchPiece(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion, piece int) ([]byte, error) {
+func FetchPiece(ctx context.Context, client *http.Client, address string, id catalog.ModelVersion, piece int) ([]byte, error) {
 	return fetchPiece(ctx, client, address, id, piece, relays.RoleAny)
 }
 
 // AwaitPiece waits until an entry has cached a piece, without transferring it. Agents
 // that must not transfer several pieces at once use it.
-func AwaitPiece(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion, piece int) error {
+func AwaitPiece(ctx context.Context, client *http.Client, address string, id catalog.ModelVersion, piece int) error {
 	values := pieceValues(id, &piece, relays.RoleAny)
 	values.Set("Await", "1")
 	if _, err := fetch(ctx, client, address, PathPiece, values, agentTimeout); err != nil {
@@ -37,7 +37,7 @@
 }
 
 // fetchManifest fetches a manifest from an entry, which is asked in a role.
-func fetchManifest(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion, role relays.Role) (Manifest, error) {
+func fetchManifest(ctx context.Context, client *http.Client, address string, id catalog.ModelVersion, role relays.Role) (Manifest, error) {
 	var manifest Manifest
 	data, err := fetch(ctx, client, address, pathManifest, pieceValues(id, nil, role), timeoutFor(role))
 	if err == nil {
@@ -51,7 +51,7 @@
 
 // fetchPiece fetches a piece from an entry, which is asked in a role. It does not
 // verify the piece.
-func fetchPiece(ctx context.Context, client *http.Client, address string, id catalog.NamedVersion, piece int, role relays.Role) ([]byte, error) {
+func fetchPiece(ctx context.Context, client *http.Client, address string, id catalog.ModelVersion, piece int, role relays.Role) ([]byte, error) {
 	data, err := fetch(ctx, client, address, PathPiece, pieceValues(id, &piece, role), timeoutFor(role))
 	if err != nil {
 		return nil, fmt.Errorf("piece %d of %s version %d from %s: %w", piece, id.Model, id.Version, address, err)
@@ -69,7 +69,7 @@
 
 // pieceValues returns the query of a request for a piece, or for a manifest if piece
 // is nil.
-func pieceValues(id catalog.NamedVersion, piece *int, role relays.Role) url.Values {
+func pieceValues(id catalog.ModelVersion, piece *int, role relays.Role) url.Values {
 	values := url.Values{"Model": {id.Model}, "Version": {strconv.FormatUint(id.Version, 10)}}
 	if piece != nil {
 		values.Set("Piece", strconv.Itoa(*piece))
@@ -99,7 +99,7 @@
 	}
 	switch response.StatusCode {
 	case http.StatusGone:
-		return nil, ErrGone
+		return nil, ErrRemoved
 	case http.StatusNotFound:
 		return nil, errNotCached
 	case http.StatusBadGateway:
--- a/internal/transport/relay/holders.go
+++ b/internal/transport/relay/holders.go
@@ -33,8 +33,8 @@
 // The origin slot is released first so that other fetches can use it. A holder sends one
 // piece at a time, and a fetch that had failed at the origin kept its slot while it waited
 // for a holder.
-func (r *Relay) fetchFromHolders(id catalog.NamedVersion, piece int, manifest *Manifest, slot *originSlot) ([]byte, bool) {
-	holders := relays.HoldersOf(r.view.Holders(id), pieceKey(id, piece))
+func (r *Relay) fetchFromHolders(id catalog.ModelVersion, piece int, manifest *Manifest, slot *originSlot) ([]byte, bool) {
+	holders := relays.HoldersToQuery(r.view.Holders(id), pieceKey(id, piece))
 	if len(holders) == 0 {
 		return nil, false
 	}
@@ -59,7 +59,7 @@
 // PrefetchManifest fetches the manifest of a version that servers hold if this entry is
 // its home or origin fetcher, so that it is available while the origin is unreachable.
 // It returns immediately.
-func (r *Relay) Learn(id catalog.NamedVersion) {
+func (r *Relay) PrefetchManifest(id catalog.ModelVersion) {
 	if r.roleOf(id, -1) < relays.RoleHome {
 		return
 	}
@@ -81,7 +81,7 @@
 )
 
 // runManifestPrefetch fetches a manifest, with retries.
-func (r *Relay) runManifestPrefetch(id catalog.NamedVersion) {
+func (r *Relay) runManifestPrefetch(id catalog.ModelVersion) {
 	startedAt := boottime.Now()
 	for range manifestPrefetchAttempts {
 		_, err := r.Manifest(context.Background(), id, relays.RoleAny)
--- a/internal/transport/relay/holders_test.go
+++ b/internal/transport/relay/holders_test.go
@@ -23,7 +23,7 @@
 	holders []relays.Holder
 }
 
-func (v holdersView) Holders(catalog.NamedVersion) []relays.Holder { return v.holders }
+func (v holdersView) Holders(catalog.ModelVersion) []relays.Holder { return v.holders }
 
 // startHolder starts a server that serves one piece, as an agent does.
 func startHolder(t *testing.T, backend, data string) relays.Holder {
@@ -68,8 +68,8 @@
 	c := qt.New(t)
 	origin := &singlePieceOrigin{data: []byte("weights")}
 	r := newRelay(origin)
-	r.Learn(drafter)
-	r.Learn(drafter)
+	r.PrefetchManifest(drafter)
+	r.PrefetchManifest(drafter)
 	_, err := r.Manifest(context.Background(), drafter, relays.RoleAny)
 	c.Assert(err, qt.IsNil)
 	origin.down.Store(true)
@@ -85,7 +85,7 @@
 	self, unresponsive filbertlever.HostID
 }
 
-func (v unresponsiveEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v unresponsiveEntryView) Entries() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: v.self, Site: "b"}, {Host: v.unresponsive, Site: "a"}}, v.addresses
 }
 
--- a/internal/transport/relay/manifest.go
+++ b/internal/transport/relay/manifest.go
@@ -36,7 +36,7 @@
 
 // Manifest returns the manifest of a version. The parameter assumed is the role that
 // the requester assumes this entry has.
-func (r *Relay) Manifest(ctx context.Context, id catalog.NamedVersion, assumed relays.Role) (Manifest, error) {
+func (r *Relay) Manifest(ctx context.Context, id catalog.ModelVersion, assumed relays.Role) (Manifest, error) {
 	role := max(assumed, r.roleOf(id, -1))
 	r.mu.Lock()
 	v := r.ensureState(id)
@@ -57,7 +57,7 @@
 }
 
 // runManifestFetch fetches a manifest, with retries.
-func (r *Relay) runManifestFetch(id catalog.NamedVersion, role relays.Role, f *sharedFetch[Manifest]) {
+func (r *Relay) runManifestFetch(id catalog.ModelVersion, role relays.Role, f *sharedFetch[Manifest]) {
 	defer close(f.done)
 	failed := failures{}
 	startedAt := boottime.Now()
@@ -71,7 +71,7 @@
 		}
 		r.log.Warn("manifest fetch failed", zap.String("Model", id.Model), zap.Uint64("Version", id.Version),
 			zap.String("Source", source), zap.Error(f.err))
-		if errors.Is(f.err, ErrGone) {
+		if errors.Is(f.err, ErrRemoved) {
 			return
 		}
 		failed.record(source, f.err)
@@ -85,7 +85,7 @@
 // manifestFetch is one attempt to fetch a manifest from one source.
 type manifestFetch struct {
 	relay      *Relay
-	id         catalog.NamedVersion
+	id         catalog.ModelVersion
 	source     string
 	address    string
 	sourceRole relays.Role
--- a/internal/transport/relay/originslot.go
+++ b/internal/transport/relay/originslot.go
@@ -17,7 +17,7 @@
 // servers wait for.
 type originSlot struct {
 	relay *Relay
-	id    catalog.NamedVersion
+	id    catalog.ModelVersion
 	// startedAt is when the fetch of the piece began.
 	startedAt time.Duration
 	// attemptedAt is when the current request to the origin began, or 0 if none is in
@@ -25,7 +25,7 @@
 	attemptedAt time.Duration
 	// acquired lists the Slots of which this fetch has a slot, in the order of
 	// acquisition.
-	acquired []*relays.Slots
+	acquired []*relays.PrioritySemaphore
 }
 
 // newerConcurrency is how many pieces of a version one entry fetches at once while an
@@ -51,10 +51,10 @@
 }
 
 // enqueue requests a slot without waiting for it.
-func (s *originSlot) enqueue(slots *relays.Slots) relays.Waiter {
+func (s *originSlot) enqueue(slots *relays.PrioritySemaphore) relays.Waiter {
 	s.relay.slotsMu.Lock()
 	defer s.relay.slotsMu.Unlock()
-	return slots.Take(s.id.Model, s.id.Version)
+	return slots.Acquire(s.id.Model, s.id.Version)
 }
 
 // waitForOlder waits for a slot for newer versions, or until no older version takes
@@ -85,7 +85,7 @@
 func (s *originSlot) cancelWait(waiter relays.Waiter) bool {
 	s.relay.slotsMu.Lock()
 	defer s.relay.slotsMu.Unlock()
-	return s.relay.newerSlots.Leave(waiter)
+	return s.relay.newerSlots.Cancel(waiter)
 }
 
 // attemptDone records the result of an attempt if it was a request to the origin. After a
@@ -100,7 +100,7 @@
 		return
 	}
 	s.relay.slotsMu.Lock()
-	preempted := s.relay.originSlots.OtherFirst(s.id.Model, s.id.Version)
+	preempted := s.relay.originSlots.HasWaiterBefore(s.id.Model, s.id.Version)
 	s.relay.slotsMu.Unlock()
 	if preempted {
 		s.release()
@@ -112,7 +112,7 @@
 	s.relay.slotsMu.Lock()
 	defer s.relay.slotsMu.Unlock()
 	for _, slots := range s.acquired {
-		slots.Give()
+		slots.Release()
 	}
 	s.acquired = nil
 }
@@ -124,10 +124,10 @@
 // precedence. When servers had replaced a version, or abandoned it as not worth fetching,
 // none would ever hold it. Newer versions were still fetched one piece at a time, at half
 // the bandwidth of the origin's link.
-func (r *Relay) yieldsToOlder(id catalog.NamedVersion, now time.Duration) bool {
+func (r *Relay) yieldsToOlder(id catalog.ModelVersion, now time.Duration) bool {
 	r.mu.Lock()
 	newest := uint64(0)
-	var versions []catalog.NamedVersion
+	var versions []catalog.ModelVersion
 	for _, v := range r.versions {
 		if v.id.Model != id.Model {
 			continue
--- a/internal/transport/relay/originslot_test.go
+++ b/internal/transport/relay/originslot_test.go
@@ -40,7 +40,7 @@
 	return []byte(fmt.Sprintf("piece %d of version %d", piece, version))
 }
 
-func (o *sharedLinkOrigin) Manifest(_ context.Context, _ string, id catalog.NamedVersion) (Manifest, error) {
+func (o *sharedLinkOrigin) Manifest(_ context.Context, _ string, id catalog.ModelVersion) (Manifest, error) {
 	manifest := Manifest{Model: id.Model, Version: id.Version}
 	for piece := range sharedLinkPieces {
 		sum := sha256.Sum256(o.piece(id.Version, piece))
@@ -49,7 +49,7 @@
 	return manifest, nil
 }
 
-func (o *sharedLinkOrigin) Piece(_ context.Context, _ string, id catalog.NamedVersion, piece int) ([]byte, error) {
+func (o *sharedLinkOrigin) Piece(_ context.Context, _ string, id catalog.ModelVersion, piece int) ([]byte, error) {
 	o.mu.Lock()
 	if o.down {
 		o.mu.Unlock()
@@ -77,9 +77,9 @@
 
 func (entriesView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (entriesView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (entriesView) Holders(catalog.ModelVersion) []relays.Holder { return nil }
 
-func (v entriesView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v entriesView) Entries() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return v.entries, map[filbertlever.HostID]string{}
 }
 
@@ -100,13 +100,13 @@
 	for n := range 4 {
 		view.entries = append(view.entries, relays.Entry{Host: filbertlever.HostID("e" + strconv.Itoa(n)), Site: "a"})
 	}
-	older, newer := catalog.NamedVersion{Model: "drafter", Version: 2}, catalog.NamedVersion{Model: "drafter", Version: 3}
+	older, newer := catalog.ModelVersion{Model: "drafter", Version: 2}, catalog.ModelVersion{Model: "drafter", Version: 3}
 	byHost := map[filbertlever.HostID]*Relay{}
 	for _, entry := range view.entries {
 		r := New(entry, view, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 		byHost[entry.Host] = r
-		for _, id := range []catalog.NamedVersion{older, newer} {
-			_, err := r.Manifest(context.Background(), id, relays.RoleDrawer)
+		for _, id := range []catalog.ModelVersion{older, newer} {
+			_, err := r.Manifest(context.Background(), id, relays.RoleOriginFetcher)
 			c.Assert(err, qt.IsNil)
 		}
 		r.mu.Lock()
@@ -114,16 +114,16 @@
 		r.mu.Unlock()
 	}
 	var group, olderDone sync.WaitGroup
-	request := func(id catalog.NamedVersion, piece int) {
-		r := byHost[relays.Drawer(view.entries, "a", pieceKey(id, piece))]
-		_, err := r.Piece(context.Background(), id, piece, relays.RoleDrawer)
+	request := func(id catalog.ModelVersion, piece int) {
+		r := byHost[relays.OriginFetcher(view.entries, "a", pieceKey(id, piece))]
+		_, err := r.Piece(context.Background(), id, piece, relays.RoleOriginFetcher)
 		c.Check(err, qt.IsNil)
 	}
 	for piece := range sharedLinkPieces {
 		group.Go(func() { request(newer, piece) })
 	}
 	for piece, missing := 0, 0; missing < olderMissing; piece++ {
-		if relays.Drawer(view.entries, "a", pieceKey(older, piece)) == "e0" {
+		if relays.OriginFetcher(view.entries, "a", pieceKey(older, piece)) == "e0" {
 			missing++
 			olderDone.Go(func() { request(older, piece) })
 		}
@@ -147,15 +147,15 @@
 	for round := range 3 {
 		origin := &sharedLinkOrigin{down: true}
 		r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-		older, newer := catalog.NamedVersion{Model: "drafter", Version: 2}, catalog.NamedVersion{Model: "drafter", Version: 3}
+		older, newer := catalog.ModelVersion{Model: "drafter", Version: 2}, catalog.ModelVersion{Model: "drafter", Version: 3}
 		var group sync.WaitGroup
 		for piece := range 8 {
-			for _, id := range []catalog.NamedVersion{newer, older} {
+			for _, id := range []catalog.ModelVersion{newer, older} {
 				if id == older && piece >= originConcurrency+1 {
 					continue
 				}
 				group.Go(func() {
-					_, err := r.Piece(context.Background(), id, piece, relays.RoleDrawer)
+					_, err := r.Piece(context.Background(), id, piece, relays.RoleOriginFetcher)
 					c.Check(err, qt.IsNil)
 				})
 			}
--- a/internal/transport/relay/originstatus.go
+++ b/internal/transport/relay/originstatus.go
@@ -64,7 +64,7 @@
 func (r *Relay) hasLowestPriority(w relays.Waiter) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.lookupState(catalog.NamedVersion{Model: w.Model, Version: w.Version})
+	v := r.lookupState(catalog.ModelVersion{Model: w.Model, Version: w.Version})
 	return v != nil && v.hasLowestPriority(boottime.Now())
 }
 
@@ -74,7 +74,7 @@
 // Fetches that began before that response or soon after it end without a request to the
 // origin. The fetch of a removed version fails at its first piece, and agents then restart
 // it. The origin got a hundred such requests per second, and each one costs money.
-func (r *Relay) recentlyRemoved(id catalog.NamedVersion, at time.Duration) bool {
+func (r *Relay) recentlyRemoved(id catalog.ModelVersion, at time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.lookupState(id)
@@ -83,7 +83,7 @@
 
 // lookupState returns the state of a version, or nil if there is none. The caller must
 // hold r.mu.
-func (r *Relay) lookupState(id catalog.NamedVersion) *versionState {
+func (r *Relay) lookupState(id catalog.ModelVersion) *versionState {
 	i := slices.IndexFunc(r.versions, func(v *versionState) bool { return v.id == id })
 	if i < 0 {
 		return nil
@@ -93,7 +93,7 @@
 
 // recordOriginResult records the result of a piece request to the origin. A piece that
 // does not match its digest counts as a failure.
-func (r *Relay) recordOriginResult(id catalog.NamedVersion, startedAt time.Duration, err error) {
+func (r *Relay) recordOriginResult(id catalog.ModelVersion, startedAt time.Duration, err error) {
 	now := boottime.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,7 +105,7 @@
 	case err == nil:
 		*o = originStatus{}
 		r.recordNewerServed(id, now)
-	case errors.Is(err, ErrGone):
+	case errors.Is(err, ErrRemoved):
 		o.removed, o.removedAt = true, now
 	case o.failingSince == 0:
 		o.failingSince = startedAt
@@ -116,7 +116,7 @@
 
 // recordNewerServed records for the older versions whose attempts fail that the origin
 // served this one. The caller must hold r.mu.
-func (r *Relay) recordNewerServed(id catalog.NamedVersion, now time.Duration) {
+func (r *Relay) recordNewerServed(id catalog.ModelVersion, now time.Duration) {
 	for _, v := range r.versions {
 		if v.id.Model == id.Model && v.id.Version < id.Version && v.origin.failingSince != 0 && v.origin.newerServedAt == 0 {
 			v.origin.newerServedAt = now
@@ -127,7 +127,7 @@
 // recordManifestResult records the result of a manifest request to the origin. A success
 // does not clear the failures of piece requests, as the origin may still not serve the
 // pieces.
-func (r *Relay) recordManifestResult(id catalog.NamedVersion, err error) {
+func (r *Relay) recordManifestResult(id catalog.ModelVersion, err error) {
 	now := boottime.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,15 +136,15 @@
 	case err == nil:
 		v.origin.removed = false
 		r.recordNewerServed(id, now)
-	case errors.Is(err, ErrGone):
+	case errors.Is(err, ErrRemoved):
 		v.origin.removed, v.origin.removedAt = true, now
 	}
 }
 
 // fetchOriginManifest fetches a manifest from the origin.
-func (r *Relay) fetchOriginManifest(address string, id catalog.NamedVersion) (Manifest, error) {
+func (r *Relay) fetchOriginManifest(address string, id catalog.ModelVersion) (Manifest, error) {
 	if r.recentlyRemoved(id, boottime.Now()) {
-		return Manifest{}, fmt.Errorf("manifest of %s version %d: %w", id.Model, id.Version, ErrGone)
+		return Manifest{}, fmt.Errorf("manifest of %s version %d: %w", id.Model, id.Version, ErrRemoved)
 	}
 	manifest, err := r.origin.Manifest(context.Background(), address, id)
 	r.recordManifestResult(id, err)
@@ -152,8 +152,8 @@
 }
 
 // fetchOriginPiece fetches a piece from the origin once it has acquired a slot.
-func (r *Relay) fetchOriginPiece(address string, id catalog.NamedVersion, piece int, slot *originSlot) ([]byte, error) {
-	err := fmt.Errorf("piece %d of %s version %d: %w", piece, id.Model, id.Version, ErrGone)
+func (r *Relay) fetchOriginPiece(address string, id catalog.ModelVersion, piece int, slot *originSlot) ([]byte, error) {
+	err := fmt.Errorf("piece %d of %s version %d: %w", piece, id.Model, id.Version, ErrRemoved)
 	if r.recentlyRemoved(id, slot.startedAt) {
 		return nil, err
 	}
--- a/internal/transport/relay/originstatus_test.go
+++ b/internal/transport/relay/originstatus_test.go
@@ -29,7 +29,7 @@
 	requests atomic.Int32
 }
 
-func (o *failingOrigin) Piece(_ context.Context, _ string, id catalog.NamedVersion, piece int) ([]byte, error) {
+func (o *failingOrigin) Piece(_ context.Context, _ string, id catalog.ModelVersion, piece int) ([]byte, error) {
 	time.Sleep(5 * time.Millisecond)
 	if id.Version != o.version {
 		return o.piece(id.Version, piece), nil
@@ -39,12 +39,12 @@
 }
 
 // requestRepeatedly requests pieces of a version until ctx ends, as agents do.
-func requestRepeatedly(ctx context.Context, r *Relay, id catalog.NamedVersion, pieces int) *sync.WaitGroup {
+func requestRepeatedly(ctx context.Context, r *Relay, id catalog.ModelVersion, pieces int) *sync.WaitGroup {
 	group := &sync.WaitGroup{}
 	for piece := range pieces {
 		group.Go(func() {
 			for ctx.Err() == nil {
-				_, _ = r.Piece(ctx, id, piece, relays.RoleDrawer)
+				_, _ = r.Piece(ctx, id, piece, relays.RoleOriginFetcher)
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
@@ -64,7 +64,7 @@
 		time.Sleep(200 * time.Millisecond)
 		start := time.Now()
 		newer, stop := context.WithTimeout(context.Background(), 10*time.Second)
-		_, err := r.Piece(newer, drafterVersion(3), 0, relays.RoleDrawer)
+		_, err := r.Piece(newer, drafterVersion(3), 0, relays.RoleOriginFetcher)
 		c.Check(err, qt.IsNil, qt.Commentf("after %v", time.Since(start)))
 		stop()
 		cancel()
@@ -76,7 +76,7 @@
 // origin. Each one costs money, and they compete with fetches of the current version.
 func TestRemovedVersionIsRarelyRequestedFromOrigin(t *testing.T) {
 	c := qt.New(t)
-	origin := &failingOrigin{version: 2, err: ErrGone}
+	origin := &failingOrigin{version: 2, err: ErrRemoved}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
@@ -95,7 +95,7 @@
 	r.mu.Unlock()
 	c.Assert(r.yieldsToOlder(drafterVersion(3), boottime.Now()), qt.IsTrue)
 	r.slotsMu.Lock()
-	occupied := r.newerSlots.Take("drafter", 3)
+	occupied := r.newerSlots.Acquire("drafter", 3)
 	r.slotsMu.Unlock()
 	<-occupied.Granted
 	var group sync.WaitGroup
@@ -108,7 +108,7 @@
 	}
 	c.Check(origin.peak.Load(), qt.Equals, int32(originConcurrency))
 	r.slotsMu.Lock()
-	r.newerSlots.Give()
+	r.newerSlots.Release()
 	r.slotsMu.Unlock()
 	group.Wait()
 }
@@ -116,11 +116,11 @@
 // singleHolderView is a view of a site with one holder of one version.
 type singleHolderView struct {
 	singleEntryView
-	id      catalog.NamedVersion
+	id      catalog.ModelVersion
 	address string
 }
 
-func (v singleHolderView) Holders(id catalog.NamedVersion) []relays.Holder {
+func (v singleHolderView) Holders(id catalog.ModelVersion) []relays.Holder {
 	if id != v.id {
 		return nil
 	}
@@ -146,11 +146,11 @@
 	r := New(relays.Entry{Host: "e1", Site: "a"}, view, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _, _ = r.Piece(ctx, drafterVersion(2), 0, relays.RoleDrawer) }()
+	go func() { _, _ = r.Piece(ctx, drafterVersion(2), 0, relays.RoleOriginFetcher) }()
 	<-reached
 	for range originConcurrency {
 		r.slotsMu.Lock()
-		waiter := r.originSlots.Take("drafter", 3)
+		waiter := r.originSlots.Acquire("drafter", 3)
 		r.slotsMu.Unlock()
 		select {
 		case <-waiter.Granted:
--- a/internal/transport/relay/peercache.go
+++ b/internal/transport/relay/peercache.go
@@ -33,10 +33,10 @@
 // disappeared.
 func (r *Relay) observeEntries() ([]relays.Entry, map[filbertlever.HostID]string) {
 	_, originSite, ok := r.view.Origin()
-	entries, addresses := r.view.Relays()
+	entries, addresses := r.view.Entries()
 	if ok {
 		r.mu.Lock()
-		r.turnover.See(entries, originSite, boottime.Now())
+		r.turnover.Observe(entries, originSite, boottime.Now())
 		r.mu.Unlock()
 	}
 	return entries, addresses
@@ -49,13 +49,13 @@
 // Without it, when entries stop one after another, each successor fetches again what its
 // predecessor had fetched. The origin then sent 3.2 to 3.7 copies of two versions over its
 // slow link.
-func (r *Relay) fetchFromPeerCaches(id catalog.NamedVersion, piece int, manifest *Manifest, slot *originSlot) ([]byte, bool) {
+func (r *Relay) fetchFromPeerCaches(id catalog.ModelVersion, piece int, manifest *Manifest, slot *originSlot) ([]byte, bool) {
 	entries, addresses := r.observeEntries()
 	if !r.shouldAskPeerCaches(id) {
 		return nil, false
 	}
 	slot.release()
-	for _, host := range relays.Keepers(r.self, entries, pieceKey(id, piece)) {
+	for _, host := range relays.HomesToQuery(r.self, entries, pieceKey(id, piece)) {
 		values := pieceValues(id, &piece, relays.RoleAny)
 		values.Set(cachedOnlyParam, "1")
 		data, err := fetch(context.Background(), r.client, addresses[host], PathPiece, values, peerCacheTimeout)
@@ -78,10 +78,10 @@
 }
 
 // shouldAskPeerCaches reports whether other entries are asked for pieces of a version.
-func (r *Relay) shouldAskPeerCaches(id catalog.NamedVersion) bool {
+func (r *Relay) shouldAskPeerCaches(id catalog.ModelVersion) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return boottime.Now() >= r.peerCacheRetryAt && r.turnover.Since(r.ensureState(id).desiredAt)
+	return boottime.Now() >= r.peerCacheRetryAt && r.turnover.MayBeOnPeers(r.ensureState(id).desiredAt)
 }
 
 // backOffPeerCaches suspends requests to the caches of other entries for
@@ -96,7 +96,7 @@
 var errNotCached = errors.New("not held")
 
 // serveCached responds with a piece if it is cached, and otherwise with 404 Not Found.
-func (r *Relay) serveCached(w http.ResponseWriter, id catalog.NamedVersion, piece int) {
+func (r *Relay) serveCached(w http.ResponseWriter, id catalog.ModelVersion, piece int) {
 	data, ok := r.cachedVersionPiece(id, piece)
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
@@ -107,7 +107,7 @@
 }
 
 // cachedVersionPiece returns a piece if it and the manifest of its version are cached.
-func (r *Relay) cachedVersionPiece(id catalog.NamedVersion, piece int) ([]byte, bool) {
+func (r *Relay) cachedVersionPiece(id catalog.ModelVersion, piece int) ([]byte, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.lookupState(id)
--- a/internal/transport/relay/peercache_test.go
+++ b/internal/transport/relay/peercache_test.go
@@ -29,7 +29,7 @@
 
 const countingOriginPieces = 16
 
-func (*countingOrigin) Manifest(_ context.Context, _ string, v catalog.NamedVersion) (Manifest, error) {
+func (*countingOrigin) Manifest(_ context.Context, _ string, v catalog.ModelVersion) (Manifest, error) {
 	manifest := Manifest{Model: v.Model, Version: v.Version}
 	for piece := range countingOriginPieces {
 		manifest.Digests = append(manifest.Digests, digestOf(pieceData(piece)))
@@ -44,7 +44,7 @@
 
 func pieceData(piece int) []byte { return fmt.Appendf(nil, "piece %d", piece) }
 
-func (m *countingOrigin) Piece(_ context.Context, _ string, _ catalog.NamedVersion, piece int) ([]byte, error) {
+func (m *countingOrigin) Piece(_ context.Context, _ string, _ catalog.ModelVersion, piece int) ([]byte, error) {
 	m.mu.Lock()
 	m.fetches[piece]++
 	m.mu.Unlock()
@@ -71,9 +71,9 @@
 
 func (*changingView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (*changingView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (*changingView) Holders(catalog.ModelVersion) []relays.Holder { return nil }
 
-func (v *changingView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v *changingView) Entries() ([]relays.Entry, map[filbertlever.HostID]string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]relays.Entry(nil), v.entries...), v.addresses
@@ -115,7 +115,7 @@
 		running[entry.Host] = v.start(t, entry, origin)
 	}
 	for _, r := range running {
-		r.Announce(drafter)
+		r.AddVersion(drafter)
 	}
 	fetchAll := func(r *Relay) {
 		for piece := range countingOriginPieces {
--- a/internal/transport/relay/plan.go
+++ b/internal/transport/relay/plan.go
@@ -13,10 +13,10 @@
 // some of them may be skipped.
 type Plan struct {
 	// Config holds the times of a switchover to a new version.
-	Bounds switchover.Config
+	Config switchover.Config
 	// Versions lists the requested versions, oldest first. Only the fields Version and
 	// Since of each are set.
-	Named []switchover.Named
+	Versions []switchover.TargetVersion
 	// OriginRate is the bandwidth of the origin's link in bytes per second, or 0 if
 	// unknown.
 	OriginRate float64
@@ -36,7 +36,7 @@
 // isSkipped reports whether a requested version is skipped in favour of a newer one. It
 // is checked again right before each fetch from the origin. Otherwise pieces that were
 // requested before operators requested the newer version would be fetched first.
-func (r *Relay) isSkipped(id catalog.NamedVersion) bool {
+func (r *Relay) isSkipped(id catalog.ModelVersion) bool {
 	now := boottime.Now()
 	r.mu.Lock()
 	v := r.lookupState(id)
@@ -49,7 +49,7 @@
 }
 
 // decideSkip decides whether a version is skipped, and records the decision.
-func (r *Relay) decideSkip(id catalog.NamedVersion, now time.Duration) bool {
+func (r *Relay) decideSkip(id catalog.ModelVersion, now time.Duration) bool {
 	skipped := r.shouldSkip(id, now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,32 +67,32 @@
 }
 
 // shouldSkip reports whether a version need not be fetched because a newer one suffices.
-func (r *Relay) shouldSkip(id catalog.NamedVersion, now time.Duration) bool {
+func (r *Relay) shouldSkip(id catalog.ModelVersion, now time.Duration) bool {
 	r.mu.Lock()
 	plan := r.plans[id.Model]
 	r.mu.Unlock()
-	versions := slices.Clone(plan.Named)
+	versions := slices.Clone(plan.Versions)
 	each := time.Duration(0)
 	for i := range versions {
 		n := &versions[i]
-		other := catalog.NamedVersion{Model: id.Model, Version: n.Version}
+		other := catalog.ModelVersion{Model: id.Model, Version: n.Version}
 		manifest, ok := r.cachedManifest(other)
 		if !ok {
 			continue
 		}
 		remaining, pace, ok := r.progress(other, &manifest)
 		if ok {
-			n.Left, n.Pieces, n.Known = remaining, len(manifest.Digests), true
+			n.MissingPieces, n.TotalPieces, n.SizeKnown = remaining, len(manifest.Digests), true
 			each = max(each, pace)
 		}
 	}
-	return plan.Bounds.Skips(id.Version, versions, now, each)
+	return plan.Config.IsSuperseded(id.Version, versions, now, each)
 }
 
 // progress estimates how many pieces of a version all entries lack and how long each one
 // takes. It extrapolates from this entry's own pieces, as all entries lack about the same
 // share. It returns false if this entry has no pieces of its own.
-func (r *Relay) progress(id catalog.NamedVersion, manifest *Manifest) (remaining int, each time.Duration, ok bool) {
+func (r *Relay) progress(id catalog.ModelVersion, manifest *Manifest) (remaining int, each time.Duration, ok bool) {
 	own := len(r.ownPieces(id, manifest))
 	if own == 0 {
 		return 0, 0, false
@@ -102,12 +102,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	pace := r.pace
-	pace.First = switchover.PieceTime(manifest.PieceBytes, r.plans[id.Model].OriginRate) * time.Duration(total) / time.Duration(own)
-	return missing * total / own, pace.Each() * time.Duration(own) / time.Duration(total), true
+	pace.Initial = switchover.PieceTimeAtRate(manifest.PieceBytes, r.plans[id.Model].OriginRate) * time.Duration(total) / time.Duration(own)
+	return missing * total / own, pace.Estimate() * time.Duration(own) / time.Duration(total), true
 }
 
 // cachedManifest returns the manifest of a version if it was fetched.
-func (r *Relay) cachedManifest(id catalog.NamedVersion) (Manifest, bool) {
+func (r *Relay) cachedManifest(id catalog.ModelVersion) (Manifest, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v := r.lookupState(id); v != nil {
--- a/internal/transport/relay/plan_test.go
+++ b/internal/transport/relay/plan_test.go
@@ -24,13 +24,13 @@
 	origin := &concurrencyOrigin{version: 3}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	since := boottime.Now()
-	plan := Plan{Bounds: switchover.DefaultConfig(13400 * time.Millisecond), Named: []switchover.Named{{Version: 2, Since: since}}}
+	plan := Plan{Config: switchover.DefaultConfig(13400 * time.Millisecond), Versions: []switchover.TargetVersion{{Version: 2, SetAt: since}}}
 	r.SetPlan("drafter", plan)
-	r.Announce(drafterVersion(2))
-	plan.Named = append(plan.Named, switchover.Named{Version: 3, Since: boottime.Now()})
+	r.AddVersion(drafterVersion(2))
+	plan.Versions = append(plan.Versions, switchover.TargetVersion{Version: 3, SetAt: boottime.Now()})
 	r.SetPlan("drafter", plan)
 	r.Supersede(drafterVersion(2), since+13*time.Second)
-	r.Announce(drafterVersion(3))
+	r.AddVersion(drafterVersion(3))
 	complete := func(version uint64) bool {
 		manifest, ok := r.cachedManifest(drafterVersion(version))
 		return ok && len(r.missingPieces(drafterVersion(version), &manifest)) == 0
@@ -54,19 +54,19 @@
 	var group sync.WaitGroup
 	for piece := range sharedLinkPieces {
 		group.Go(func() {
-			if _, err := r.Piece(context.Background(), drafterVersion(2), piece, relays.RoleDrawer); err != nil {
+			if _, err := r.Piece(context.Background(), drafterVersion(2), piece, relays.RoleOriginFetcher); err != nil {
 				failed.Add(1)
 			}
 		})
 	}
-	r.SetPlan("drafter", Plan{Bounds: bounds, Named: []switchover.Named{{Version: 2, Since: since}, {Version: 3, Since: since}}})
+	r.SetPlan("drafter", Plan{Config: bounds, Versions: []switchover.TargetVersion{{Version: 2, SetAt: since}, {Version: 3, SetAt: since}}})
 	r.Supersede(drafterVersion(2), since+13*time.Second)
 	c.Assert(r.decideSkip(drafterVersion(2), boottime.Now()), qt.IsTrue)
 	fetchConcurrently(c, r, drafterVersion(3), sharedLinkPieces)
 	group.Wait()
 	c.Assert(failed.Load() > sharedLinkPieces/2, qt.IsTrue, qt.Commentf("%d of %d", failed.Load(), sharedLinkPieces))
 	// Once the newer version alone no longer suffices, the older one is fetched again.
-	r.SetPlan("drafter", Plan{Bounds: bounds, Named: []switchover.Named{{Version: 2, Since: since - 10*time.Second}, {Version: 3, Since: since}}})
+	r.SetPlan("drafter", Plan{Config: bounds, Versions: []switchover.TargetVersion{{Version: 2, SetAt: since - 10*time.Second}, {Version: 3, SetAt: since}}})
 	time.Sleep(skipTTL)
 	fetchConcurrently(c, r, drafterVersion(2), sharedLinkPieces)
 }
