--- a/internal/transport/relay/prefetch.go
+++ b/internal/transport/relay/prefetch.go
@@ -29,11 +29,11 @@
 )
 
 // ErrRemoved means that the origin no longer has a version.
-var ErrGone = errors.New("the version is gone")
+var ErrRemoved = errors.New("the version is gone")
 
 // AddVersion registers a version that operators just requested and prefetches its pieces.
 // It returns immediately and does not call the view.
-func (r *Relay) Announce(id catalog.NamedVersion) {
+func (r *Relay) AddVersion(id catalog.ModelVersion) {
 	r.mu.Lock()
 	if v := r.ensureState(id); v.desiredAt == 0 {
 		v.desiredAt = boottime.Now()
@@ -50,7 +50,7 @@
 // It is called when operators request a version and when the first of its pieces is
 // requested, but not for its manifest. After a power failure most servers still have
 // their pieces staged, and no piece has to be transferred.
-func (r *Relay) Prefetch(id catalog.NamedVersion) {
+func (r *Relay) Prefetch(id catalog.ModelVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.ensureState(id)
@@ -87,7 +87,7 @@
 				// Start over with the oldest remaining version.
 				break
 			}
-			if errors.Is(err, ErrGone) {
+			if errors.Is(err, ErrRemoved) {
 				r.finishPrefetch(id)
 			}
 			time.Sleep(prefetchBackoff)
@@ -97,9 +97,9 @@
 
 // prefetchQueue returns the versions to prefetch, oldest first. If there are none, it
 // marks prefetching as ended.
-func (r *Relay) prefetchQueue() []catalog.NamedVersion {
+func (r *Relay) prefetchQueue() []catalog.ModelVersion {
 	now := boottime.Now()
-	var queue []catalog.NamedVersion
+	var queue []catalog.ModelVersion
 	for _, v := range r.prefetchingVersions(now) {
 		if r.worthFetching(&v, now) {
 			queue = append(queue, v.id)
@@ -143,7 +143,7 @@
 
 // Supersede sets the time from which only a newer version than id may answer requests.
 // It applies to older versions as well, but does not postpone an earlier time of theirs.
-func (r *Relay) Supersede(id catalog.NamedVersion, obsoleteAt time.Duration) {
+func (r *Relay) Supersede(id catalog.ModelVersion, obsoleteAt time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ensureState(id).obsoleteAt = obsoleteAt
@@ -167,11 +167,11 @@
 	if manifest, ok := r.cachedManifest(v.id); ok {
 		remaining, each, _ = r.progress(v.id, &manifest)
 	}
-	return switchover.Worth(remaining, each, now, v.obsoleteAt)
+	return switchover.WorthFetching(remaining, each, now, v.obsoleteAt)
 }
 
 // abandonPrefetch ends the prefetch of a version that is no longer worth fetching.
-func (r *Relay) abandonPrefetch(id catalog.NamedVersion, now time.Duration) {
+func (r *Relay) abandonPrefetch(id catalog.ModelVersion, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.ensureState(id)
@@ -179,7 +179,7 @@
 }
 
 // finishPrefetch ends the prefetch of a version that is complete or removed from the origin.
-func (r *Relay) finishPrefetch(id catalog.NamedVersion) {
+func (r *Relay) finishPrefetch(id catalog.ModelVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ensureState(id).prefetching = false
@@ -187,7 +187,7 @@
 
 // prefetchVersion fetches up to limit missing pieces of this entry, and finishes the
 // prefetch once none is missing. It stops at the first failure and when the plan changes.
-func (r *Relay) prefetchVersion(id catalog.NamedVersion, limit int) error {
+func (r *Relay) prefetchVersion(id catalog.ModelVersion, limit int) error {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	// Manifest logs its failed attempts.
@@ -227,7 +227,7 @@
 }
 
 // missingPieces returns the own pieces of this entry that are not cached.
-func (r *Relay) missingPieces(id catalog.NamedVersion, manifest *Manifest) []int {
+func (r *Relay) missingPieces(id catalog.ModelVersion, manifest *Manifest) []int {
 	var missing []int
 	for _, piece := range r.ownPieces(id, manifest) {
 		if _, ok := r.cachedPiece(manifest.Digests[piece]); !ok {
@@ -238,13 +238,13 @@
 }
 
 // ownPieces returns the pieces that this entry prefetches.
-func (r *Relay) ownPieces(id catalog.NamedVersion, manifest *Manifest) []int {
+func (r *Relay) ownPieces(id catalog.ModelVersion, manifest *Manifest) []int {
 	_, originSite, _ := r.view.Origin()
 	minRole := relays.RoleHome
 	if r.self.Site == originSite {
 		// Homes at the origin's site get pieces from the origin fetchers as fast as
 		// agents request them.
-		minRole = relays.RoleDrawer
+		minRole = relays.RoleOriginFetcher
 	}
 	var pieces []int
 	for piece := range manifest.Digests {
--- a/internal/transport/relay/prefetch_test.go
+++ b/internal/transport/relay/prefetch_test.go
@@ -36,7 +36,7 @@
 	return []byte(fmt.Sprintf("piece %d of version %d", piece, version))
 }
 
-func (o *versionedOrigin) Manifest(_ context.Context, _ string, id catalog.NamedVersion) (Manifest, error) {
+func (o *versionedOrigin) Manifest(_ context.Context, _ string, id catalog.ModelVersion) (Manifest, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -50,7 +50,7 @@
 	return manifest, nil
 }
 
-func (o *versionedOrigin) Piece(_ context.Context, _ string, id catalog.NamedVersion, piece int) ([]byte, error) {
+func (o *versionedOrigin) Piece(_ context.Context, _ string, id catalog.ModelVersion, piece int) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
@@ -83,11 +83,11 @@
 	c := qt.New(t)
 	origin := &versionedOrigin{}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	r.Prefetch(catalog.NamedVersion{Model: "drafter", Version: 2})
+	r.Prefetch(catalog.ModelVersion{Model: "drafter", Version: 2})
 	for len(origin.fetchedVersions()) < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	r.Prefetch(catalog.NamedVersion{Model: "drafter", Version: 3})
+	r.Prefetch(catalog.ModelVersion{Model: "drafter", Version: 3})
 	time.Sleep(1200 * time.Millisecond)
 	origin.setDown(false)
 	for end := time.Now().Add(10 * time.Second); len(origin.fetchedVersions()) < 2*piecesPerVersion && time.Now().Before(end); {
@@ -110,9 +110,9 @@
 	oldest uint64
 }
 
-func (o *removingOrigin) Manifest(ctx context.Context, address string, id catalog.NamedVersion) (Manifest, error) {
+func (o *removingOrigin) Manifest(ctx context.Context, address string, id catalog.ModelVersion) (Manifest, error) {
 	if id.Version < o.oldest {
-		return Manifest{}, fmt.Errorf("manifest: %w", ErrGone)
+		return Manifest{}, fmt.Errorf("manifest: %w", ErrRemoved)
 	}
 	return o.versionedOrigin.Manifest(ctx, address, id)
 }
@@ -123,8 +123,8 @@
 	c := qt.New(t)
 	origin := &removingOrigin{oldest: 3}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	r.Prefetch(catalog.NamedVersion{Model: "drafter", Version: 1})
-	r.Prefetch(catalog.NamedVersion{Model: "drafter", Version: 3})
+	r.Prefetch(catalog.ModelVersion{Model: "drafter", Version: 1})
+	r.Prefetch(catalog.ModelVersion{Model: "drafter", Version: 3})
 	for end := time.Now().Add(5 * time.Second); len(origin.fetchedVersions()) < piecesPerVersion && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -150,7 +150,7 @@
 		nearRelays = append(nearRelays, r)
 	}
 	farRelay := New(relays.Entry{Host: "b1", Site: "b"}, twoSiteView{addresses: addresses}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	id := catalog.NamedVersion{Model: "drafter", Version: 1}
+	id := catalog.ModelVersion{Model: "drafter", Version: 1}
 	_, err := farRelay.Manifest(context.Background(), id, relays.RoleAny)
 	c.Assert(err, qt.IsNil)
 	origin.setDown(true)
@@ -175,7 +175,7 @@
 	requested map[int]bool
 }
 
-func (o *recordingOrigin) Piece(ctx context.Context, address string, id catalog.NamedVersion, piece int) ([]byte, error) {
+func (o *recordingOrigin) Piece(ctx context.Context, address string, id catalog.ModelVersion, piece int) ([]byte, error) {
 	o.mu.Lock()
 	o.requested[piece] = true
 	o.mu.Unlock()
@@ -202,7 +202,7 @@
 		addresses[host] = server.Listener.Addr().String()
 		nearRelays[host] = r
 	}
-	id := catalog.NamedVersion{Model: "drafter", Version: 1}
+	id := catalog.ModelVersion{Model: "drafter", Version: 1}
 	for _, r := range nearRelays {
 		_, err := r.Manifest(context.Background(), id, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
@@ -224,7 +224,7 @@
 	group.Wait()
 	c.Assert(origin.fetchedVersions(), qt.HasLen, piecesPerVersion)
 	for piece := range piecesPerVersion {
-		fetcher := relays.Drawer(entries, "a", pieceKey(id, piece))
+		fetcher := relays.OriginFetcher(entries, "a", pieceKey(id, piece))
 		for host, o := range origins {
 			c.Check(o.requested[piece], qt.Equals, host == fetcher, qt.Commentf("piece %d with origin fetcher %s, at %s", piece, fetcher, host))
 		}
@@ -244,7 +244,7 @@
 	origin := &versionedOrigin{}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
 	for version := range uint64(2) {
-		id := catalog.NamedVersion{Model: "drafter", Version: version + 5}
+		id := catalog.ModelVersion{Model: "drafter", Version: version + 5}
 		if version == 0 {
 			r.Supersede(id, boottime.Now()+100*time.Millisecond)
 		}
@@ -262,8 +262,8 @@
 	dead *atomic.Bool
 }
 
-func (v failingEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
-	entries, addresses := v.twoSiteView.Relays()
+func (v failingEntryView) Entries() ([]relays.Entry, map[filbertlever.HostID]string) {
+	entries, addresses := v.twoSiteView.Entries()
 	if v.dead.Load() {
 		entries = slices.DeleteFunc(entries, func(e relays.Entry) bool { return e.Host == "a1" })
 	}
@@ -287,7 +287,7 @@
 	time.AfterFunc(300*time.Millisecond, func() { dead.Store(true) })
 	start := time.Now()
 	for piece := range piecesPerVersion {
-		_, err := farRelay.Piece(context.Background(), catalog.NamedVersion{Model: "drafter", Version: 1}, piece, relays.RoleAny)
+		_, err := farRelay.Piece(context.Background(), catalog.ModelVersion{Model: "drafter", Version: 1}, piece, relays.RoleAny)
 		c.Assert(err, qt.IsNil)
 	}
 	c.Assert(time.Since(start) < 3*time.Second, qt.IsTrue)
--- a/internal/transport/relay/priority_test.go
+++ b/internal/transport/relay/priority_test.go
@@ -25,9 +25,9 @@
 	current, peak   atomic.Int32
 }
 
-func (o *concurrencyOrigin) Piece(_ context.Context, _ string, id catalog.NamedVersion, piece int) ([]byte, error) {
+func (o *concurrencyOrigin) Piece(_ context.Context, _ string, id catalog.ModelVersion, piece int) ([]byte, error) {
 	if id.Version < o.oldest {
-		return nil, ErrGone
+		return nil, ErrRemoved
 	}
 	if id.Version == o.version {
 		o.peak.Store(max(o.peak.Load(), o.current.Add(1)))
@@ -43,7 +43,7 @@
 	version uint64
 }
 
-func (v holdingSiteView) Holders(id catalog.NamedVersion) []relays.Holder {
+func (v holdingSiteView) Holders(id catalog.ModelVersion) []relays.Holder {
 	if id.Version != v.version {
 		return nil
 	}
@@ -51,16 +51,16 @@
 }
 
 // drafterVersion returns a version of the model drafter.
-func drafterVersion(version uint64) catalog.NamedVersion {
-	return catalog.NamedVersion{Model: "drafter", Version: version}
+func drafterVersion(version uint64) catalog.ModelVersion {
+	return catalog.ModelVersion{Model: "drafter", Version: version}
 }
 
 // fetchConcurrently fetches pieces of a version at once, as agents request them.
-func fetchConcurrently(c *qt.C, r *Relay, id catalog.NamedVersion, pieces int) {
+func fetchConcurrently(c *qt.C, r *Relay, id catalog.ModelVersion, pieces int) {
 	var group sync.WaitGroup
 	for piece := range pieces {
 		group.Go(func() {
-			_, err := r.Piece(context.Background(), id, piece, relays.RoleDrawer)
+			_, err := r.Piece(context.Background(), id, piece, relays.RoleOriginFetcher)
 			c.Check(err, qt.IsNil)
 		})
 	}
@@ -89,7 +89,7 @@
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 3}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	_, err := r.Manifest(context.Background(), drafterVersion(2), relays.RoleDrawer)
+	_, err := r.Manifest(context.Background(), drafterVersion(2), relays.RoleOriginFetcher)
 	c.Assert(err, qt.IsNil)
 	r.Supersede(drafterVersion(2), boottime.Now()+7*time.Second)
 	r.Prefetch(drafterVersion(2))
@@ -112,14 +112,14 @@
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 4, oldest: 4}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	_, err := r.Manifest(context.Background(), drafterVersion(2), relays.RoleDrawer)
+	_, err := r.Manifest(context.Background(), drafterVersion(2), relays.RoleOriginFetcher)
 	c.Assert(err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	for piece := range 8 {
 		group.Go(func() {
 			for ctx.Err() == nil {
-				_, _ = r.Piece(ctx, drafterVersion(2), piece, relays.RoleDrawer)
+				_, _ = r.Piece(ctx, drafterVersion(2), piece, relays.RoleOriginFetcher)
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
@@ -128,7 +128,7 @@
 	start := time.Now()
 	newest, stop := context.WithTimeout(context.Background(), 12*time.Second)
 	defer stop()
-	_, err = r.Piece(newest, drafterVersion(4), 0, relays.RoleDrawer)
+	_, err = r.Piece(newest, drafterVersion(4), 0, relays.RoleOriginFetcher)
 	took := time.Since(start)
 	cancel()
 	group.Wait()
--- a/internal/transport/relay/relay.go
+++ b/internal/transport/relay/relay.go
@@ -28,8 +28,8 @@
 
 // Origin fetches manifests and pieces from the origin of model weights.
 type Origin interface {
-	Manifest(ctx context.Context, address string, version catalog.NamedVersion) (Manifest, error)
-	Piece(ctx context.Context, address string, version catalog.NamedVersion, piece int) ([]byte, error)
+	Manifest(ctx context.Context, address string, version catalog.ModelVersion) (Manifest, error)
+	Piece(ctx context.Context, address string, version catalog.ModelVersion, piece int) ([]byte, error)
 }
 
 // View gives a relay the current state of the installation.
@@ -37,9 +37,9 @@
 	// Origin returns the address and site of the origin, if known.
 	Origin() (address, site string, ok bool)
 	// Entries returns the entries that are alive, with the peer address of each.
-	Relays() ([]relays.Entry, map[filbertlever.HostID]string)
+	Entries() ([]relays.Entry, map[filbertlever.HostID]string)
 	// Holders returns the hosts of this site whose backend servers hold a version.
-	Holders(id catalog.NamedVersion) []relays.Holder
+	Holders(id catalog.ModelVersion) []relays.Holder
 }
 
 // Limits, timeouts and retry settings of a relay.
@@ -90,7 +90,7 @@
 	// originSlots limits the concurrent fetches from the origin. newerSlots limits
 	// those of a version while an older version takes precedence. slotsMu guards both.
 	slotsMu                 sync.Mutex
-	originSlots, newerSlots *relays.Slots
+	originSlots, newerSlots *relays.PrioritySemaphore
 
 	// holderLimit is a semaphore for concurrent piece fetches from holders.
 	holderLimit chan struct{}
@@ -101,11 +101,11 @@
 	prefetchRunning bool
 	// turnover records when entries that may have fetched pieces from the origin
 	// last disappeared.
-	turnover relays.Turnover
+	turnover relays.DepartureTracker
 	// peerCacheRetryAt is when the caches of other entries may be queried again.
 	peerCacheRetryAt time.Duration
 	// pace estimates the time per piece from the pieces that this entry received.
-	pace switchover.Pace
+	pace switchover.PieceTimeEstimator
 	// plans holds the versions that operators request, by model. revision counts the
 	// changes to it.
 	plans    map[string]Plan
@@ -117,7 +117,7 @@
 
 // versionState is the state of one version of a model's weights.
 type versionState struct {
-	id catalog.NamedVersion
+	id catalog.ModelVersion
 	// manifests and pieces are the fetches that were started, by the role in which
 	// this entry was asked.
 	manifests map[relays.Role]*sharedFetch[Manifest]
@@ -177,8 +177,8 @@
 	}
 	registry.MustRegister(m.bytes, m.corrupt)
 	r := &Relay{self: self, view: view, origin: origin, client: client, log: log, metrics: m,
-		originSlots: relays.NewSlots(originConcurrency), newerSlots: relays.NewSlots(newerConcurrency), holderLimit: make(chan struct{}, holderConcurrency), piecesByDigest: map[string][]byte{}, plans: map[string]Plan{}}
-	r.originSlots.Last, r.newerSlots.Last = r.hasLowestPriority, r.hasLowestPriority
+		originSlots: relays.NewPrioritySemaphore(originConcurrency), newerSlots: relays.NewPrioritySemaphore(newerConcurrency), holderLimit: make(chan struct{}, holderConcurrency), piecesByDigest: map[string][]byte{}, plans: map[string]Plan{}}
+	r.originSlots.Deferred, r.newerSlots.Deferred = r.hasLowestPriority, r.hasLowestPriority
 	return r
 }
 
@@ -191,7 +191,7 @@
 
 // Piece returns a verified piece of a version. The parameter assumed is the same as
 // for Manifest.
-func (r *Relay) Piece(ctx context.Context, id catalog.NamedVersion, piece int, assumed relays.Role) ([]byte, error) {
+func (r *Relay) Piece(ctx context.Context, id catalog.ModelVersion, piece int, assumed relays.Role) ([]byte, error) {
 	manifest, err := r.Manifest(ctx, id, assumed)
 	if err != nil {
 		return nil, err
@@ -221,7 +221,7 @@
 //
 // The origin or another entry may send a corrupt piece. Each piece is checked against
 // the manifest before it is cached, and fetched again if its digest differs.
-func (r *Relay) runPieceFetch(id catalog.NamedVersion, manifest *Manifest, request pieceRequest, f *sharedFetch[[]byte]) {
+func (r *Relay) runPieceFetch(id catalog.ModelVersion, manifest *Manifest, request pieceRequest, f *sharedFetch[[]byte]) {
 	defer close(f.done)
 	piece := request.piece
 	failed := failures{}
@@ -263,7 +263,7 @@
 		f.err = err
 		r.log.Warn("piece fetch failed", zap.String("Model", id.Model), zap.Uint64("Version", id.Version),
 			zap.Int("Piece", piece), zap.String("Source", source), zap.Error(err))
-		if errors.Is(err, ErrGone) || errors.Is(err, errSkipped) {
+		if errors.Is(err, ErrRemoved) || errors.Is(err, errSkipped) {
 			return
 		}
 		failed.record(source, err)
@@ -281,7 +281,7 @@
 }
 
 // fetchPieceFrom fetches a piece from one source without verifying it.
-func (r *Relay) fetchPieceFrom(id catalog.NamedVersion, piece int, source, address string, sourceRole relays.Role, slot *originSlot) ([]byte, error) {
+func (r *Relay) fetchPieceFrom(id catalog.ModelVersion, piece int, source, address string, sourceRole relays.Role, slot *originSlot) ([]byte, error) {
 	if address == "" {
 		return nil, fmt.Errorf("piece %d of %s: %w", piece, id.Model, errNoSource)
 	}
@@ -303,30 +303,30 @@
 // Only the origin fetcher of a piece connects to the origin. If every entry that fails
 // to get a piece from another entry did so, all of them would connect to the origin
 // after an outage, exceed its connection limit, and none would get a piece.
-func (r *Relay) pickSource(id catalog.NamedVersion, piece int, role relays.Role, failed failures) (name, address string, sourceRole relays.Role) {
+func (r *Relay) pickSource(id catalog.ModelVersion, piece int, role relays.Role, failed failures) (name, address string, sourceRole relays.Role) {
 	originAddress, originSite, ok := r.view.Origin()
-	entries, addresses := r.view.Relays()
+	entries, addresses := r.view.Entries()
 	entries = slices.DeleteFunc(entries, func(e relays.Entry) bool { return e.Host != r.self.Host && failed[e.Host] >= maxUpstreamFailures })
 	if host, sourceRole := relays.Source(r.self, entries, originSite, pieceKey(id, piece), role); host != "" {
 		return string(host), addresses[host], sourceRole
 	}
 	if !ok {
-		return originName, "", relays.RoleDrawer
+		return originName, "", relays.RoleOriginFetcher
 	}
-	return originName, originAddress, relays.RoleDrawer
+	return originName, originAddress, relays.RoleOriginFetcher
 }
 
 // pieceKey returns the key that assigns a piece to entries by rendezvous hashing.
 // pieceKey returns the key that assigns a piece to entries by rendezvous hashing.
-func pieceKey(id catalog.NamedVersion, piece int) string {
+func pieceKey(id catalog.ModelVersion, piece int) string {
 	return fmt.Sprintf("%s/%d/%d", id.Model, id.Version, piece)
 }
 
 // roleOf returns the role that this entry has for a piece in its own view, so that
 // it does not depend on the requester.
-func (r *Relay) roleOf(id catalog.NamedVersion, piece int) relays.Role {
+func (r *Relay) roleOf(id catalog.ModelVersion, piece int) relays.Role {
 	_, originSite, _ := r.view.Origin()
-	entries, _ := r.view.Relays()
+	entries, _ := r.view.Entries()
 	return relays.RoleOf(r.self, entries, originSite, pieceKey(id, piece))
 }
 
@@ -345,12 +345,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.piecesByDigest[digest] = data
-	r.pace.Came(boottime.Now())
+	r.pace.ObservePiece(boottime.Now())
 }
 
 // ensureState returns the state of a version and creates it if necessary. Beyond
 // maxVersions it evicts the version that was added first. The caller must hold r.mu.
-func (r *Relay) ensureState(id catalog.NamedVersion) *versionState {
+func (r *Relay) ensureState(id catalog.ModelVersion) *versionState {
 	for _, v := range r.versions {
 		if v.id == id {
 			return v
--- a/internal/transport/relay/relay_test.go
+++ b/internal/transport/relay/relay_test.go
@@ -20,7 +20,7 @@
 	"github.com/filbertlever/filbertlever/internal/coordination/relays"
 )
 
-var drafter = catalog.NamedVersion{Model: "drafter", Version: 1}
+var drafter = catalog.ModelVersion{Model: "drafter", Version: 1}
 
 // singlePieceOrigin is an origin of a version with one piece.
 type singlePieceOrigin struct {
@@ -33,7 +33,7 @@
 
 var errDown = errors.New("origin is down")
 
-func (s *singlePieceOrigin) Manifest(context.Context, string, catalog.NamedVersion) (Manifest, error) {
+func (s *singlePieceOrigin) Manifest(context.Context, string, catalog.ModelVersion) (Manifest, error) {
 	if s.down.Load() {
 		return Manifest{}, errDown
 	}
@@ -41,7 +41,7 @@
 	return Manifest{Model: drafter.Model, Version: drafter.Version, Digests: []string{hex.EncodeToString(sum[:])}}, nil
 }
 
-func (s *singlePieceOrigin) Piece(context.Context, string, catalog.NamedVersion, int) ([]byte, error) {
+func (s *singlePieceOrigin) Piece(context.Context, string, catalog.ModelVersion, int) ([]byte, error) {
 	if s.down.Load() {
 		return nil, errDown
 	}
@@ -57,9 +57,9 @@
 
 func (singleEntryView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (singleEntryView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (singleEntryView) Holders(catalog.ModelVersion) []relays.Holder { return nil }
 
-func (singleEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (singleEntryView) Entries() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: "e1", Site: "a"}}, map[filbertlever.HostID]string{"e1": "127.0.0.1:1"}
 }
 
@@ -152,9 +152,9 @@
 
 func (twoSiteView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (twoSiteView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (twoSiteView) Holders(catalog.ModelVersion) []relays.Holder { return nil }
 
-func (v twoSiteView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v twoSiteView) Entries() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: "a1", Site: "a"}, {Host: "a2", Site: "a"}, {Host: "b1", Site: "b"}}, v.addresses
 }
 
@@ -211,8 +211,8 @@
 
 func (otherEntryView) Origin() (address, site string, ok bool) { return "origin", "a", true }
 
-func (otherEntryView) Holders(catalog.NamedVersion) []relays.Holder { return nil }
+func (otherEntryView) Holders(catalog.ModelVersion) []relays.Holder { return nil }
 
-func (v otherEntryView) Relays() ([]relays.Entry, map[filbertlever.HostID]string) {
+func (v otherEntryView) Entries() ([]relays.Entry, map[filbertlever.HostID]string) {
 	return []relays.Entry{{Host: v.other, Site: "a"}}, v.addresses
 }
--- a/internal/transport/relay/serve.go
+++ b/internal/transport/relay/serve.go
@@ -19,30 +19,30 @@
 }
 
 // ParseQuery returns the version and the piece that a request specifies.
-func Query(req *http.Request) (catalog.NamedVersion, int, error) {
+func ParseQuery(req *http.Request) (catalog.ModelVersion, int, error) {
 	values := req.URL.Query()
 	number, err := strconv.ParseUint(values.Get("Version"), 10, 64)
 	if err != nil {
-		return catalog.NamedVersion{}, 0, fmt.Errorf("version %q: expected a number", values.Get("Version"))
+		return catalog.ModelVersion{}, 0, fmt.Errorf("version %q: expected a number", values.Get("Version"))
 	}
 	piece := 0
 	if text := values.Get("Piece"); text != "" {
 		if piece, err = strconv.Atoi(text); err != nil {
-			return catalog.NamedVersion{}, 0, fmt.Errorf("piece %q: expected a number", text)
+			return catalog.ModelVersion{}, 0, fmt.Errorf("piece %q: expected a number", text)
 		}
 	}
-	return catalog.NamedVersion{Model: values.Get("Model"), Version: number}, piece, nil
+	return catalog.ModelVersion{Model: values.Get("Model"), Version: number}, piece, nil
 }
 
 // requestedRole returns the role that the requester assumes this entry has.
 func requestedRole(req *http.Request) relays.Role {
 	// An agent does not send this parameter.
 	role, _ := strconv.Atoi(req.URL.Query().Get("As"))
-	return min(max(relays.Role(role), relays.RoleAny), relays.RoleDrawer)
+	return min(max(relays.Role(role), relays.RoleAny), relays.RoleOriginFetcher)
 }
 
 func (r *Relay) serveManifest(w http.ResponseWriter, req *http.Request) {
-	id, _, err := Query(req)
+	id, _, err := ParseQuery(req)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -57,7 +57,7 @@
 }
 
 func (r *Relay) servePiece(w http.ResponseWriter, req *http.Request) {
-	id, piece, err := Query(req)
+	id, piece, err := ParseQuery(req)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -84,7 +84,7 @@
 // whether to retry.
 func statusCode(err error) int {
 	switch {
-	case errors.Is(err, ErrGone):
+	case errors.Is(err, ErrRemoved):
 		return http.StatusGone
 	case errors.Is(err, errNoSource), errors.Is(err, errNoPiece), errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		return http.StatusServiceUnavailable
--- a/internal/transport/sidecar/boots.go
+++ b/internal/transport/sidecar/boots.go
@@ -43,8 +43,8 @@
 		}
 	}
 	leaving := s.drainDetector.Leaving()
-	s.drainDetector.Observe(report.Closes)
-	s.broadcastNext = s.broadcastNext || math.Abs(report.Pace-s.report.Pace) > paceChangeThreshold || s.drainDetector.Leaving() != leaving
+	s.drainDetector.Observe(report.ClosesConnection)
+	s.broadcastNext = s.broadcastNext || math.Abs(report.Slowdown-s.report.Slowdown) > paceChangeThreshold || s.drainDetector.Leaving() != leaving
 	s.report, s.hasReport, s.everReported, s.reportRequestedAt = report, true, true, requestedAt
 }
 
@@ -61,7 +61,7 @@
 	s.endedBoots = append(s.endedBoots, previous)
 	s.endedBoots = s.endedBoots[max(len(s.endedBoots)-maxEndedBoots, 0):]
 	s.switching, s.broadcastNext = false, true
-	s.drainDetector = drain.Closing{}
+	s.drainDetector = drain.CloseDetector{}
 	for _, m := range s.models {
 		m.switchAt, m.loadedAt = 0, 0
 		m.cancelLoad(errServerRestarted)
--- a/internal/transport/sidecar/boots_test.go
+++ b/internal/transport/sidecar/boots_test.go
@@ -31,7 +31,7 @@
 func newServingAgent(t *testing.T) (*Sidecar, *fakeEngine, *fakeEntry) {
 	entry := newFakeEntry(t, 2, 3)
 	server := &fakeEngine{staged: map[int][]byte{}, report: bootReport(1000, 1)}
-	s := newAgent(entry, server, Config{Bound: 8 * time.Second})
+	s := newAgent(entry, server, Config{MaxStaleness: 8 * time.Second})
 	s.applyReport(server.report, boottime.Now())
 	m := newModelState()
 	for piece, digest := range entry.manifest.Digests {
@@ -40,7 +40,7 @@
 	m.manifests[2], m.complete[2], m.completeAt[2] = &entry.manifest, &entry.manifest, boottime.Now()
 	s.models[drafter] = m
 	s.hasView, s.viewReadAt = true, boottime.Now()
-	s.view = gateway.View{Named: []gateway.NamedAge{{Model: drafter, Version: 2}}, Place: 1, Count: 2}
+	s.view = gateway.View{Named: []gateway.NamedAge{{Model: drafter, Version: 2}}, ServerIndex: 1, ServerCount: 2}
 	return s, server, entry
 }
 
@@ -63,7 +63,7 @@
 func TestServerRestartStartsNewLoad(t *testing.T) {
 	c := qt.New(t)
 	s, server, entry := newServingAgent(t)
-	l := &loadTask{sidecar: s, state: s.models[drafter], target: catalog.NamedVersion{Model: drafter, Version: 2}, manifest: &entry.manifest,
+	l := &loadTask{sidecar: s, state: s.models[drafter], target: catalog.ModelVersion{Model: drafter, Version: 2}, manifest: &entry.manifest,
 		boot: 1000, orderAt: boottime.Now() + time.Hour, quietPeriod: time.Second}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
@@ -128,7 +128,7 @@
 	c.Assert(err, qt.IsNil)
 	got := d.Load.Load
 	got.Sequence = 0
-	c.Assert(got, qt.DeepEquals, fleet.Load{Boot: 2000, Before: []catalog.Boot{1000}})
+	c.Assert(got, qt.DeepEquals, fleet.Report{Boot: 2000, PreviousBoots: []catalog.Boot{1000}})
 }
 
 // A response from the previous boot can arrive after one from the new boot, because reports
@@ -173,7 +173,7 @@
 	c := qt.New(t)
 	s, server, entry := newServingAgent(t)
 	server.report = bootReport(2000, 2)
-	l := &loadTask{sidecar: s, state: s.models[drafter], target: catalog.NamedVersion{Model: drafter, Version: 2}, manifest: &entry.manifest, boot: 1000}
+	l := &loadTask{sidecar: s, state: s.models[drafter], target: catalog.ModelVersion{Model: drafter, Version: 2}, manifest: &entry.manifest, boot: 1000}
 	c.Assert(l.awaitVersion(context.Background()), qt.ErrorIs, errServerRestarted)
 	c.Assert(s.report.Boot, qt.Equals, catalog.Boot(2000))
 }
--- a/internal/transport/sidecar/fetch.go
+++ b/internal/transport/sidecar/fetch.go
@@ -35,7 +35,7 @@
 type fetchTask struct {
 	sidecar *Sidecar
 	state   *modelState
-	target  catalog.NamedVersion
+	target  catalog.ModelVersion
 	// idleSlots and servingSlots are semaphores that limit concurrent transfers, beside an
 	// idle server and beside one that serves.
 	idleSlots, servingSlots chan struct{}
@@ -97,7 +97,7 @@
 	}
 	key := fmt.Sprintf("%s/%d/%d", f.target.Model, f.target.Version, piece)
 	var ordered []gateway.Entry
-	for _, host := range relays.Ways(candidates, f.sidecar.config.Site, key) {
+	for _, host := range relays.CandidatesFor(candidates, f.sidecar.config.Site, key) {
 		ordered = append(ordered, byHost[host])
 	}
 	return ordered
@@ -147,7 +147,7 @@
 				return
 			}
 			failed <- err
-			if errors.Is(err, relay.ErrGone) {
+			if errors.Is(err, relay.ErrRemoved) {
 				cancel(err)
 			}
 		})
@@ -181,7 +181,7 @@
 		defer s.mu.Unlock()
 		done++
 		now := boottime.Now()
-		s.pieceTimes.Came(now)
+		s.pieceTimes.ObservePiece(now)
 		m.missingPieces, m.pieceTime, m.lastPieceAt = missing-done, (now-startedAt)/time.Duration(done), now
 	}
 }
@@ -238,7 +238,7 @@
 	if !reachable {
 		return
 	}
-	staged, err := s.engine.StagedPieces(ctx, f.target.Model)
+	staged, err := s.engine.ListStaged(ctx, f.target.Model)
 	if err != nil {
 		s.log.Warn("failed to list staged pieces", zap.String("Model", f.target.Model), zap.Error(err))
 		return
@@ -251,7 +251,7 @@
 		if _, ok := s.cachedPiece(manifest.Digests[piece]); ok {
 			continue
 		}
-		data, err := s.engine.Staged(ctx, f.target.Model, piece)
+		data, err := s.engine.ReadStaged(ctx, f.target.Model, piece)
 		if err != nil {
 			s.log.Warn("failed to read staged piece", zap.Int("Piece", piece), zap.Error(err))
 			return
--- a/internal/transport/sidecar/late_order_test.go
+++ b/internal/transport/sidecar/late_order_test.go
@@ -45,9 +45,9 @@
 	s.models["drafter"] = m
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	l := &loadTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 2}, manifest: &older.manifest, idle: true}
+	l := &loadTask{sidecar: s, state: m, target: catalog.ModelVersion{Model: "drafter", Version: 2}, manifest: &older.manifest, idle: true}
 	_ = l.execute(ctx)
-	f := &fetchTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 3}}
+	f := &fetchTask{sidecar: s, state: m, target: catalog.ModelVersion{Model: "drafter", Version: 3}}
 	f.run(ctx)
 	server.accepted.Wait()
 	c.Assert(server.loaded, qt.HasLen, 3)
--- a/internal/transport/sidecar/load.go
+++ b/internal/transport/sidecar/load.go
@@ -17,7 +17,7 @@
 type loadTask struct {
 	sidecar  *Sidecar
 	state    *modelState
-	target   catalog.NamedVersion
+	target   catalog.ModelVersion
 	manifest *relay.Manifest
 	// boot is the boot of the server that should load the version; 0 if unknown.
 	boot catalog.Boot
@@ -88,7 +88,7 @@
 // server's reports have shown for lateOrderWindow that it did not accept the order.
 func (l *loadTask) sendOrder(ctx context.Context) error {
 	err := l.sidecar.engine.Load(ctx, l.target.Model, l.target.Version)
-	if err == nil || errors.Is(err, ErrNotTaken) {
+	if err == nil || errors.Is(err, ErrOrderRejected) {
 		return err
 	}
 	l.sidecar.log.Warn("no response to load order", zap.String("Model", l.target.Model), zap.Uint64("Version", l.target.Version), zap.Error(err))
@@ -144,7 +144,7 @@
 	for range maxStageRounds {
 		mismatches := 0
 		for piece, digest := range manifest.Digests {
-			staged, err := s.engine.Staged(ctx, l.target.Model, piece)
+			staged, err := s.engine.ReadStaged(ctx, l.target.Model, piece)
 			if err != nil {
 				return err
 			}
--- a/internal/transport/sidecar/load_test.go
+++ b/internal/transport/sidecar/load_test.go
@@ -54,7 +54,7 @@
 		registry := prometheus.NewRegistry()
 		s := &Sidecar{config: Config{Site: "a"}, client: &http.Client{}, log: zap.NewNop(), metrics: newMetrics(registry),
 			entries: test.entries, pieces: map[string][]byte{}, models: map[string]*modelState{}}
-		f := &fetchTask{sidecar: s, state: &modelState{}, target: catalog.NamedVersion{Model: "drafter", Version: 1}}
+		f := &fetchTask{sidecar: s, state: &modelState{}, target: catalog.ModelVersion{Model: "drafter", Version: 1}}
 		err := f.fetchPieces(context.Background(), manifest)
 		c.Assert(err == nil, qt.Equals, test.want, qt.Commentf("%v", err))
 		data, ok := s.cachedPiece(digest)
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (e *fakeEngine) Staged(_ context.Context, _ string, piece int) ([]byte, error) {
+func (e *fakeEngine) ReadStaged(_ context.Context, _ string, piece int) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.staged[piece], nil
@@ -111,7 +111,7 @@
 	return int32(len(e.staged))
 }
 
-func (e *fakeEngine) StagedPieces(context.Context, string) ([]int, error) {
+func (e *fakeEngine) ListStaged(context.Context, string) ([]int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Sorted(maps.Keys(e.staged)), nil
@@ -177,7 +177,7 @@
 	server := &fakeEngine{staged: map[int][]byte{0: entry.pieces[0], 1: []byte("spoilt"), 2: entry.pieces[2]}}
 	s := newAgent(entry, server, Config{})
 	s.hasReport, s.everReported = true, true
-	f := &fetchTask{sidecar: s, state: newModelState(), target: catalog.NamedVersion{Model: "drafter", Version: 1}}
+	f := &fetchTask{sidecar: s, state: newModelState(), target: catalog.ModelVersion{Model: "drafter", Version: 1}}
 	s.models["drafter"] = f.state
 	f.run(context.Background())
 	c.Assert(f.state.complete[1], qt.IsNotNil)
@@ -213,7 +213,7 @@
 		}
 		s := newAgent(entry, server, Config{})
 		s.hasReport, s.everReported = true, true
-		f := &fetchTask{sidecar: s, state: newModelState(), target: catalog.NamedVersion{Model: "drafter", Version: 2}}
+		f := &fetchTask{sidecar: s, state: newModelState(), target: catalog.ModelVersion{Model: "drafter", Version: 2}}
 		f.state.idle = idle
 		f.run(context.Background())
 		c.Assert(early.Load() > 0, qt.Equals, idle)
@@ -263,11 +263,11 @@
 	m.manifests[2], m.complete[2] = &older.manifest, &older.manifest
 	s.models["drafter"] = m
 	server.beforeLoad = func() {
-		f := &fetchTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 3}}
+		f := &fetchTask{sidecar: s, state: m, target: catalog.ModelVersion{Model: "drafter", Version: 3}}
 		m.idle = true
 		f.run(context.Background())
 	}
-	l := &loadTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 2}, manifest: &older.manifest, idle: true}
+	l := &loadTask{sidecar: s, state: m, target: catalog.ModelVersion{Model: "drafter", Version: 2}, manifest: &older.manifest, idle: true}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	// The server never reports the load; the test only checks what it loaded.
@@ -301,7 +301,7 @@
 	defer slow.Close()
 	entry.Peers = strings.TrimPrefix(slow.URL, "http://")
 	s := newAgent(entry, &fakeEngine{staged: map[int][]byte{}}, Config{})
-	f := &fetchTask{sidecar: s, state: newModelState(), target: catalog.NamedVersion{Model: "drafter", Version: 1}}
+	f := &fetchTask{sidecar: s, state: newModelState(), target: catalog.ModelVersion{Model: "drafter", Version: 1}}
 	s.models["drafter"] = f.state
 	done := make(chan error)
 	go func() { done <- f.fetchPieces(context.Background(), &entry.manifest) }()
@@ -354,7 +354,7 @@
 	s = newAgent(entry, server, Config{})
 	s.hasReport, s.everReported = true, true
 	s.models["drafter"] = m
-	f := &fetchTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 3}}
+	f := &fetchTask{sidecar: s, state: m, target: catalog.ModelVersion{Model: "drafter", Version: 3}}
 	c.Assert(f.fetchPieces(context.Background(), &entry.manifest), qt.IsNil)
 	c.Assert(entry.sent.Load(), qt.Equals, int32(40))
 	// Transfers that started before the server answered ran concurrently.
@@ -379,7 +379,7 @@
 	s.models["drafter"] = m
 	const quietPeriod = 400 * time.Millisecond
 	time.AfterFunc(quietPeriod/2, func() { _ = server.Stage(context.Background(), "drafter", 1, []byte("bad")) })
-	l := &loadTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: "drafter", Version: 2}, manifest: &entry.manifest,
+	l := &loadTask{sidecar: s, state: m, target: catalog.ModelVersion{Model: "drafter", Version: 2}, manifest: &entry.manifest,
 		orderAt: boottime.Now() + quietPeriod, quietPeriod: quietPeriod}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/transport/sidecar/reports.go
+++ b/internal/transport/sidecar/reports.go
@@ -67,9 +67,9 @@
 	if !s.hasReport {
 		return
 	}
-	load := fleet.Load{
-		Address: s.config.Address, Boot: s.report.Boot, Before: s.endedBoots, Sequence: uint64(time.Now().UnixNano()),
-		Running: s.report.Running, Queued: s.report.Queued, Pace: s.report.Pace, Switching: s.switching, Models: s.report.Models,
+	load := fleet.Report{
+		Address: s.config.Address, Boot: s.report.Boot, PreviousBoots: s.endedBoots, Sequence: uint64(time.Now().UnixNano()),
+		Running: s.report.Running, Queued: s.report.Queued, Pace: s.report.Slowdown, Switching: s.switching, Models: s.report.Models,
 		Leaving: s.drainDetector.Leaving(),
 	}
 	now := boottime.Now()
--- a/internal/transport/sidecar/serve.go
+++ b/internal/transport/sidecar/serve.go
@@ -22,7 +22,7 @@
 // servePiece serves a piece that is cached or staged. The client verifies it, because a
 // staged piece may be corrupt or belong to another version.
 func (s *Sidecar) servePiece(w http.ResponseWriter, r *http.Request) {
-	version, piece, err := relay.Query(r)
+	version, piece, err := relay.ParseQuery(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -61,5 +61,5 @@
 			return data, nil
 		}
 	}
-	return s.engine.Staged(ctx, model, piece)
+	return s.engine.ReadStaged(ctx, model, piece)
 }
--- a/internal/transport/sidecar/sidecar.go
+++ b/internal/transport/sidecar/sidecar.go
@@ -34,9 +34,9 @@
 	Queued  int
 	Running int
 	// Slowdown is above 1 if the server is slower than it should be; 0 if unknown.
-	Pace float64
+	Slowdown float64
 	// ClosesConnection is true if the server closes the connection after the report.
-	Closes bool
+	ClosesConnection bool
 }
 
 // Engine is the model server on this host.
@@ -45,16 +45,16 @@
 	// Stage writes a piece to the server's staging area, from which Load reads.
 	Stage(ctx context.Context, model string, piece int, data []byte) error
 	// ReadStaged reads a piece back from the staging area; nil if it is not there.
-	Staged(ctx context.Context, model string, piece int) ([]byte, error)
+	ReadStaged(ctx context.Context, model string, piece int) ([]byte, error)
 	// ListStaged returns the numbers of the pieces in the staging area.
-	StagedPieces(ctx context.Context, model string) ([]int, error)
+	ListStaged(ctx context.Context, model string) ([]int, error)
 	// Load orders the server to load the staged pieces. If it returns an error other than
 	// ErrOrderRejected, the server may have accepted the order or may still accept it.
 	Load(ctx context.Context, model string, version uint64) error
 }
 
 // ErrOrderRejected means that the server did not accept an order and never will.
-var ErrNotTaken = errors.New("load order rejected")
+var ErrOrderRejected = errors.New("load order rejected")
 
 // EntryLister reads the entries from the store. It is used when no seed answers.
 type EntryLister interface {
@@ -70,7 +70,7 @@
 	// Seeds are peer addresses of entries to ask first.
 	Seeds []string
 	// MaxStaleness is how long after a version is named older ones may still answer.
-	Bound time.Duration
+	MaxStaleness time.Duration
 	// FirstStart is true if the server may hold weights before its first report.
 	FirstStart bool
 }
@@ -120,7 +120,7 @@
 	// switching is true while entries should send no requests to the server.
 	switching bool
 	// drainDetector detects from the server's responses whether the server is draining.
-	drainDetector drain.Closing
+	drainDetector drain.CloseDetector
 	report        Report
 	hasReport     bool
 	// reportRequestedAt is when report was requested.
@@ -137,7 +137,7 @@
 	// serveSlots is a semaphore that limits the pieces served concurrently.
 	serveSlots chan struct{}
 	// pieceTimes estimates the time per piece from earlier fetches.
-	pieceTimes switchover.Pace
+	pieceTimes switchover.PieceTimeEstimator
 }
 
 type metrics struct {
--- a/internal/transport/sidecar/steps.go
+++ b/internal/transport/sidecar/steps.go
@@ -121,17 +121,17 @@
 	if !s.hasView || !s.hasReport && (s.everReported || s.config.FirstStart) {
 		return
 	}
-	config := switchover.DefaultConfig(s.config.Bound).WithPass(s.view.Pass)
+	config := switchover.DefaultConfig(s.config.MaxStaleness).WithMaxPass(s.view.LongestPass)
 	for model, versions := range s.versionsByModel() {
 		p := &modelPlan{Config: config, model: model, state: s.modelState(model), versions: versions, loadedVersion: loadedVersion(s.report.Models, model), now: now}
 		p.idle = config.Idle(p.loadedVersion, versions, now)
-		p.state.idle = p.idle && config.Still(p.loadedVersion, versions, now, s.idleReportAt()) && !(p.state.loading && !config.Idle(p.state.loadingVersion, versions, now))
+		p.state.idle = p.idle && config.IsDrained(p.loadedVersion, versions, now, s.idleReportAt()) && !(p.state.loading && !config.Idle(p.state.loadingVersion, versions, now))
 		for i := range versions {
-			versions[i].Whole = p.state.complete[versions[i].Version] != nil
-			versions[i].WholeAt = p.state.completeAt[versions[i].Version]
+			versions[i].Complete = p.state.complete[versions[i].Version] != nil
+			versions[i].CompleteAt = p.state.completeAt[versions[i].Version]
 			if manifest := p.state.manifests[versions[i].Version]; manifest != nil {
-				versions[i].Left, versions[i].Pieces, versions[i].Known = s.missingPieces(manifest), len(manifest.Digests), true
-				s.pieceTimes.First = switchover.PieceTime(manifest.PieceBytes, s.view.OriginRate)
+				versions[i].MissingPieces, versions[i].TotalPieces, versions[i].SizeKnown = s.missingPieces(manifest), len(manifest.Digests), true
+				s.pieceTimes.Initial = switchover.PieceTimeAtRate(manifest.PieceBytes, s.view.OriginRate)
 			}
 		}
 		s.fetchNext(ctx, p)
@@ -153,7 +153,7 @@
 	switchover.Config
 	model         string
 	state         *modelState
-	versions      []switchover.Named
+	versions      []switchover.TargetVersion
 	loadedVersion uint64
 	// idle is true if the server receives no requests for the model.
 	idle bool
@@ -172,15 +172,15 @@
 // fetchNext starts or cancels a fetch; the caller holds the lock.
 func (s *Sidecar) fetchNext(ctx context.Context, p *modelPlan) {
 	m := p.state
-	if m.fetching && p.Abandons(m.fetchingVersion, p.versions, p.now, s.pieceTimes.Each()) {
+	if m.fetching && p.ShouldAbandon(m.fetchingVersion, p.versions, p.now, s.pieceTimes.Estimate()) {
 		m.cancelFetch(errSuperseded)
 	}
-	version, ok := p.Fetches(p.loadedVersion, p.versions, p.now, s.pieceTimes.Each())
+	version, ok := p.NextFetch(p.loadedVersion, p.versions, p.now, s.pieceTimes.Estimate())
 	if !ok || m.fetching {
 		return
 	}
 	m.fetching, m.fetchingVersion, m.fetchThrottled = true, version, !p.idle
-	f := &fetchTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: p.model, Version: version}}
+	f := &fetchTask{sidecar: s, state: m, target: catalog.ModelVersion{Model: p.model, Version: version}}
 	ctx, m.cancelFetch = context.WithCancelCause(ctx)
 	go f.run(ctx)
 }
@@ -188,18 +188,18 @@
 // loadNext starts a load that is due; the caller holds the lock.
 func (s *Sidecar) loadNext(ctx context.Context, p *modelPlan) {
 	m := p.state
-	version, switchAt, ok := p.Next(p.loadedVersion, p.versions, s.view.Place, s.view.Count)
+	version, switchAt, ok := p.NextChange(p.loadedVersion, p.versions, s.view.ServerIndex, s.view.ServerCount)
 	if p.idle {
 		switchAt = 0
 	}
 	s.recordSwitch(m, switchAt, ok && !p.idle)
-	if !ok || !s.hasReport || m.loading || s.report.Loading || p.now < switchAt-p.Quiet-stagingTime {
+	if !ok || !s.hasReport || m.loading || s.report.Loading || p.now < switchAt-p.DrainDuration-stagingTime {
 		return
 	}
 	m.loading, m.loadingVersion = true, version
 	ctx, m.cancelLoad = context.WithCancelCause(ctx)
 	m.loadedAt = max(p.now+stagingTime, switchAt) + expectedLoadTime
-	l := &loadTask{sidecar: s, state: m, target: catalog.NamedVersion{Model: p.model, Version: version}, idle: p.idle, orderAt: switchAt, quietPeriod: p.Quiet, manifest: m.complete[version], boot: s.boot}
+	l := &loadTask{sidecar: s, state: m, target: catalog.ModelVersion{Model: p.model, Version: version}, idle: p.idle, orderAt: switchAt, quietPeriod: p.DrainDuration, manifest: m.complete[version], boot: s.boot}
 	go l.run(ctx)
 }
 
@@ -217,10 +217,10 @@
 }
 
 // versionsByModel returns the wanted versions of each model, oldest first.
-func (s *Sidecar) versionsByModel() map[string][]switchover.Named {
-	models := map[string][]switchover.Named{}
+func (s *Sidecar) versionsByModel() map[string][]switchover.TargetVersion {
+	models := map[string][]switchover.TargetVersion{}
 	for _, n := range s.view.Named {
-		models[n.Model] = append(models[n.Model], switchover.Named{Version: n.Version, Since: s.viewReadAt - n.Age})
+		models[n.Model] = append(models[n.Model], switchover.TargetVersion{Version: n.Version, SetAt: s.viewReadAt - n.Age})
 	}
 	return models
 }
--- a/internal/transport/sidecar/throttle_test.go
+++ b/internal/transport/sidecar/throttle_test.go
@@ -19,14 +19,14 @@
 func TestFetchIsThrottledBeforeRequestsAreCancelled(t *testing.T) {
 	c := qt.New(t)
 	const maxStaleness, pass = 10300 * time.Millisecond, 550 * time.Millisecond
-	config := switchover.DefaultConfig(maxStaleness).WithPass(pass)
+	config := switchover.DefaultConfig(maxStaleness).WithMaxPass(pass)
 	for _, before := range []time.Duration{50 * time.Millisecond, 0, -100 * time.Millisecond} {
 		entry := newFakeEntry(t, 2, 2)
-		s := newAgent(entry, &fakeEngine{staged: map[int][]byte{}}, Config{Bound: maxStaleness})
+		s := newAgent(entry, &fakeEngine{staged: map[int][]byte{}}, Config{MaxStaleness: maxStaleness})
 		now := boottime.Now()
 		s.report = Report{Models: []catalog.Model{{Name: "drafter", Version: 1}}, Running: 12, Queued: 6}
 		s.hasReport, s.everReported, s.hasView, s.viewReadAt = true, true, true, now
-		s.view = gateway.View{Pass: pass, Count: 1, Named: []gateway.NamedAge{{Model: "drafter", Version: 2, Age: config.TakeBackAt(0) - before, Known: true}}}
+		s.view = gateway.View{LongestPass: pass, ServerCount: 1, Named: []gateway.NamedAge{{Model: "drafter", Version: 2, Age: config.CancelAt(0) - before, Known: true}}}
 		ctx, cancel := context.WithCancel(context.Background())
 		s.step(ctx, now)
 		s.mu.Lock()
--- a/internal/transport/sidecar/unanswered_order_test.go
+++ b/internal/transport/sidecar/unanswered_order_test.go
@@ -46,7 +46,7 @@
 	}{
 		{orderErr: errReset, accepts: true, ok: true, maxTime: lateOrderWindow / 2},
 		{orderErr: errReset, minTime: lateOrderWindow, maxTime: 2 * lateOrderWindow},
-		{orderErr: fmt.Errorf("load: %w", ErrNotTaken), maxTime: lateOrderWindow / 2},
+		{orderErr: fmt.Errorf("load: %w", ErrOrderRejected), maxTime: lateOrderWindow / 2},
 		// A restarted server does not execute the order.
 		{orderErr: errReset, boot: 7, maxTime: lateOrderWindow / 2},
 	}
@@ -58,7 +58,7 @@
 		for piece, digest := range entry.manifest.Digests {
 			s.cachePiece(digest, entry.pieces[piece])
 		}
-		l := &loadTask{sidecar: s, state: newModelState(), target: catalog.NamedVersion{Model: "drafter", Version: 2}, manifest: &entry.manifest, idle: true, boot: test.boot}
+		l := &loadTask{sidecar: s, state: newModelState(), target: catalog.ModelVersion{Model: "drafter", Version: 2}, manifest: &entry.manifest, idle: true, boot: test.boot}
 		startedAt := boottime.Now()
 		err := l.execute(context.Background())
 		took := boottime.Now() - startedAt
--- a/internal/transport/weights/fetcher.go
+++ b/internal/transport/weights/fetcher.go
@@ -22,15 +22,15 @@
 type FetchConfig struct {
 	Planner distribution.Config
 	// StallTimeout is how long a fetch may receive no data before it is cancelled.
-	Stall time.Duration
+	StallTimeout time.Duration
 	// PeerWait is how long a peer that does not have a chunk yet may wait for it before it
 	// responds.
-	Wait time.Duration
+	PeerWait time.Duration
 }
 
 // DefaultFetchConfig returns the configuration used in production.
 func DefaultFetchConfig() FetchConfig {
-	return FetchConfig{Planner: distribution.DefaultConfig(), Stall: time.Second, Wait: time.Second}
+	return FetchConfig{Planner: distribution.DefaultConfig(), StallTimeout: time.Second, PeerWait: time.Second}
 }
 
 // FetchedBytes counts the bytes fetched, by kind of source.
@@ -58,7 +58,7 @@
 	sources Sources
 	log     *zap.Logger
 	// Fetched counts the bytes fetched.
-	Drawn FetchedBytes
+	Fetched FetchedBytes
 }
 
 // NewFetcher returns a fetcher for a host.
@@ -74,7 +74,7 @@
 		return fmt.Errorf("fetch weights %s: manifest unknown", digest.Short())
 	}
 	config := f.config.Planner
-	config.Stragglers = favour == bundle.FavourTime
+	config.FetchStragglersFromOrigin = favour == bundle.FavourTime
 	now := time.Now()
 	t := &transfer{
 		fetcher:  f,
@@ -85,7 +85,7 @@
 	}
 	for i, chunk := range manifest.Chunks {
 		if f.library.chunks.Get(chunk) != nil {
-			t.planner.Have(i)
+			t.planner.MarkHeld(i)
 		}
 	}
 	return t.loop(ctx)
@@ -164,7 +164,7 @@
 	case eventProgress:
 		t.planner.Progress(e.chunk, now)
 	case eventHighest:
-		t.planner.Heard(e.highest, now)
+		t.planner.ObserveHighest(e.highest, now)
 	case eventEnd:
 		t.end(e, now)
 	}
@@ -179,7 +179,7 @@
 	}
 	failure := failureOf(e.err)
 	t.planner.Failed(e.chunk, failure, now)
-	if failure != distribution.FailureNotYet {
+	if failure != distribution.FailureNotAvailable {
 		t.fetcher.log.Info("chunk not fetched", zap.String("Weights", t.digest.Short()),
 			zap.Int("Chunk", e.chunk), zap.Error(e.err))
 	}
@@ -191,7 +191,7 @@
 func failureOf(err error) distribution.Failure {
 	switch {
 	case errors.Is(err, ErrNotYet):
-		return distribution.FailureNotYet
+		return distribution.FailureNotAvailable
 	case errors.Is(err, ErrStalled):
 		return distribution.FailureStalled
 	case errors.Is(err, errCorrupt):
@@ -227,10 +227,10 @@
 	config := w.transfer.fetcher.config
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(config.Wait+config.Stall, func() { cancel(ErrStalled) })
+	watchdog := time.AfterFunc(config.PeerWait+config.StallTimeout, func() { cancel(ErrStalled) })
 	defer watchdog.Stop()
 	lastProgress := time.Now()
-	wait := config.Wait
+	wait := config.PeerWait
 	if w.fetch.Probe {
 		wait = 0
 	}
@@ -238,12 +238,12 @@
 		Set:      w.transfer.digest,
 		Manifest: w.transfer.manifest,
 		Chunk:    w.fetch.Chunk,
-		Below:    w.fetch.Below,
+		Below:    w.fetch.Descendants,
 		Source:   w.fetch.Source,
 		Wait:     wait,
 		Progress: func() {
-			watchdog.Reset(config.Stall)
-			if now := time.Now(); now.Sub(lastProgress) > config.Stall/4 {
+			watchdog.Reset(config.StallTimeout)
+			if now := time.Now(); now.Sub(lastProgress) > config.StallTimeout/4 {
 				lastProgress = now
 				w.send(ctx, event{kind: eventProgress, chunk: w.fetch.Chunk})
 			}
@@ -264,7 +264,7 @@
 // match the digest in the manifest must not be stored, served to peers or loaded.
 func (w *worker) store(data []byte) error {
 	want := w.transfer.manifest.Chunks[w.fetch.Chunk]
-	w.transfer.fetcher.Drawn.Add(w.fetch.Source.Kind, len(data))
+	w.transfer.fetcher.Fetched.Add(w.fetch.Source.Kind, len(data))
 	if filbertlever.DigestOf(data) != want {
 		return errCorrupt
 	}
--- a/internal/transport/weights/limiter.go
+++ b/internal/transport/weights/limiter.go
@@ -12,7 +12,7 @@
 // Limiter limits the rate of weight traffic in one direction of a link while live requests
 // are in flight. It implements Pacer and is safe for concurrent use.
 type Limiter struct {
-	pace    distribution.Pace
+	pace    distribution.BandwidthLimit
 	limiter *rate.Limiter
 }
 
@@ -21,12 +21,12 @@
 const limiterBurst = 16 << 10
 
 // NewLimiter returns a limiter that imposes no limit until SetLiveRequests is called.
-func NewLimiter(pace distribution.Pace) *Limiter {
+func NewLimiter(pace distribution.BandwidthLimit) *Limiter {
 	return &Limiter{pace: pace, limiter: rate.NewLimiter(rate.Inf, limiterBurst)}
 }
 
 // SetLiveRequests sets the number of live requests in flight.
-func (l *Limiter) SetLive(live int) {
+func (l *Limiter) SetLiveRequests(live int) {
 	limit := rate.Inf
 	if r := l.pace.Rate(live); !math.IsInf(r, 1) {
 		limit = rate.Limit(r)
--- a/internal/transport/weights/server.go
+++ b/internal/transport/weights/server.go
@@ -22,7 +22,7 @@
 	PathChunk    = "/weights/chunk/"
 	PathManifest = "/weights/manifest/"
 	// PathSet is where the engine on the same host reads a verified set.
-	PathWhole = "/weights/whole/"
+	PathSet = "/weights/whole/"
 	// headerHighest is the header with the highest chunk that the sender knows to exist
 	// outside the origin.
 	headerHighest = "Filbertlever-Highest"
@@ -38,7 +38,7 @@
 // Library holds the sets of weights that a host has or is fetching. It is safe for
 // concurrent use.
 type Library struct {
-	chunks *state.Chunks
+	chunks *state.ChunkStore
 
 	mu   sync.Mutex
 	sets map[filbertlever.Digest]*set
@@ -53,7 +53,7 @@
 }
 
 // NewLibrary returns an empty library that stores its chunks in a chunk store.
-func NewLibrary(chunks *state.Chunks) *Library {
+func NewLibrary(chunks *state.ChunkStore) *Library {
 	return &Library{chunks: chunks, sets: map[filbertlever.Digest]*set{}}
 }
 
@@ -159,7 +159,7 @@
 	pacer   Pacer
 
 	mu      sync.Mutex
-	uploads distribution.Uploads
+	uploads distribution.UploadQueue
 	// lastID is the ID of the last upload.
 	lastID uint64
 	// waiting holds a channel for each upload that waits for a slot. The channel is closed
@@ -176,7 +176,7 @@
 	return &Server{
 		library: library,
 		pacer:   pacer,
-		uploads: distribution.Uploads{Slots: uploadSlots},
+		uploads: distribution.UploadQueue{Slots: uploadSlots},
 		waiting: map[uint64]chan struct{}{},
 	}
 }
@@ -186,7 +186,7 @@
 	s.mu.Lock()
 	s.lastID++
 	upload.ID = s.lastID
-	if s.uploads.Offer(upload) {
+	if s.uploads.Submit(upload) {
 		s.mu.Unlock()
 		return s.releaseSlot, nil
 	}
@@ -199,7 +199,7 @@
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
-	stillWaiting := s.uploads.Withdraw(upload.ID)
+	stillWaiting := s.uploads.Cancel(upload.ID)
 	delete(s.waiting, upload.ID)
 	s.mu.Unlock()
 	if !stillWaiting {
@@ -230,7 +230,7 @@
 }
 
 // ServeSet serves complete sets to the engine on the same host.
-func (s *Server) Whole(w http.ResponseWriter, request *http.Request) {
+func (s *Server) ServeSet(w http.ResponseWriter, request *http.Request) {
 	digest := filbertlever.Digest(request.PathValue("digest"))
 	manifest := s.library.Manifest(digest)
 	if manifest == nil {
@@ -280,7 +280,7 @@
 	// in time is therefore answered with "not yet", and the peer sends it again.
 	slotCtx, cancel := context.WithTimeout(request.Context(), max(wait-time.Since(received), minSlotWait))
 	defer cancel()
-	release, err := s.acquireSlot(slotCtx, distribution.Upload{Chunk: chunk, Below: below})
+	release, err := s.acquireSlot(slotCtx, distribution.Upload{Chunk: chunk, Descendants: below})
 	if err != nil {
 		w.WriteHeader(http.StatusNoContent)
 		return
