--- a/internal/bench/weightsbench/testbed.go
+++ b/internal/bench/weightsbench/testbed.go
@@ -126,8 +126,8 @@
 	h.library.Add(t.digest, t.manifest, t.encodedManifest)
 	h.client = &http.Client{Transport: &http.Transport{DialContext: h.link.DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true}}
 	mux := http.NewServeMux()
-	pace := distribution.BandwidthLimit{Capacity: t.scale.HostRate, Share: distribution.DefaultBandwidthShare}
-	h.inLimiter, h.outLimiter = weights.NewLimiter(pace), weights.NewLimiter(pace)
+	bandwidth := distribution.BandwidthLimit{Capacity: t.scale.HostRate, Share: distribution.DefaultBandwidthShare}
+	h.inLimiter, h.outLimiter = weights.NewLimiter(bandwidth), weights.NewLimiter(bandwidth)
 	server := weights.NewServer(h.library, h.outLimiter)
 	server.Routes(mux, func(next http.Handler) http.Handler { return t.corruptResponses(next) })
 	mux.HandleFunc("GET /live", serveLive)
--- a/internal/coordination/admission/queue.go
+++ b/internal/coordination/admission/queue.go
@@ -146,8 +146,8 @@
 	if len(q.running) < q.concurrency && q.waiting == 0 {
 		return 0
 	}
-	ahead := float64(q.waiting+1) / float64(max(q.concurrency, 1))
-	return time.Duration(ahead * float64(q.serviceTime))
+	rounds := float64(q.waiting+1) / float64(max(q.concurrency, 1))
+	return time.Duration(rounds * float64(q.serviceTime))
 }
 
 // Offer adds a new item. The first decision is on the item itself. A second
--- a/internal/coordination/fleet/fleet_test.go
+++ b/internal/coordination/fleet/fleet_test.go
@@ -404,7 +404,7 @@
 }
 
 // After a power failure each engine receives a whole batch of prompts within half a second.
-// Requests were given up while the engine prefilled them, and callers were told that their requests
+// Requests were cancelled while the engine prefilled them, and callers were told that their requests
 // may have been executed.
 func TestPrefillOfFirstBatchIsNotAStall(t *testing.T) {
 	c := qt.New(t)
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -121,19 +121,19 @@
 		name string
 		run  func(c *cluster, n int, now time.Duration)
 	}{
-		{"answers are lost and the servers go on", func(c *cluster, n int, now time.Duration) { c.tables[0].RecordFailure(bad, process(n), true, now) }},
-		{"servers end long after", func(c *cluster, n int, now time.Duration) {
+		{"answers are lost and the servers keep running", func(c *cluster, n int, now time.Duration) { c.tables[0].RecordFailure(bad, process(n), true, now) }},
+		{"servers crash long after", func(c *cluster, n int, now time.Duration) {
 			c.tables[0].RecordFailure(bad, process(n), true, now)
 			c.tables[0].RecordCrash(process(n), now+10*time.Second)
 		}},
-		{"one end is told by all", func(c *cluster, _ int, now time.Duration) {
+		{"all entries report the same crash", func(c *cluster, _ int, now time.Duration) {
 			c.crash(process(0), map[int][]quarantine.Fingerprint{0: {bad}, 1: {bad}, 2: {bad}}, now)
 		}},
-		{"attempts are given up and nothing breaks off", func(c *cluster, n int, now time.Duration) {
+		{"attempts are cancelled and no connection breaks", func(c *cluster, n int, now time.Duration) {
 			c.tables[0].RecordFailure(bad, process(n), false, now)
 			c.tables[0].RecordCrash(process(n), now+30*ms)
 		}},
-		{"servers answer it in between", func(c *cluster, n int, now time.Duration) {
+		{"servers answer the request between crashes", func(c *cluster, n int, now time.Duration) {
 			c.crash(process(n), map[int][]quarantine.Fingerprint{0: {bad}}, now)
 			c.tables[1].RecordAnswer(bad, now+100*ms)
 		}},
@@ -143,7 +143,7 @@
 			c := newCluster(3)
 			for n := range 5 {
 				now := time.Duration(n+1) * 300 * ms
-				if test.name == "one end is told by all" {
+				if test.name == "all entries report the same crash" {
 					now = time.Second
 				}
 				test.run(c, n, now)
--- a/internal/coordination/switchover/switchover.go
+++ b/internal/coordination/switchover/switchover.go
@@ -106,8 +106,8 @@
 
 // startMargin is by how much a request may start later than predicted without
 // being cancelled. Most are late by less. Each additional 100 ms leaves callers
-// without a response for as long, and each reduction causes more callers to be
-// told that their request may have run.
+// without a response for as long, and each reduction makes more callers
+// receive the error that their request may have run.
 const startMargin = 100 * time.Millisecond
 
 // closeDelay is the time until a server observes that a connection was closed,
--- a/internal/operator/roll.go
+++ b/internal/operator/roll.go
@@ -26,7 +26,7 @@
 	// ErrNotRun means that nothing was changed.
 	ErrNotRun = errors.New("not run")
 	// ErrUnknown means that a change may have taken effect. Running the same
-	// command again settles it.
+	// command again resolves it.
 	ErrUnknown = errors.New("outcome unknown; run the same command again")
 )
 
@@ -84,7 +84,7 @@
 }
 
 // Roll makes a signed bundle the accepted one. It is idempotent: running it
-// again with the same bundle settles an unknown outcome.
+// again with the same bundle resolves an unknown outcome.
 func Roll(ctx context.Context, client Platform, signed *bundle.Signed, operators bundle.Operators, signOffs int) (state.Head, error) {
 	b, err := signed.Verify(operators, signOffs)
 	if err != nil {
--- a/internal/transport/agent/orders.go
+++ b/internal/transport/agent/orders.go
@@ -42,7 +42,7 @@
 		return a.runRepeatable(ctx, message)
 	}
 	key := order.Key{Organisation: filbertlever.OrganisationID(message.Organisation), Key: message.IdempotencyKey}
-	reply := a.beginAtGate(key, message)
+	reply := a.startAtGate(key, message)
 	if reply.Gate == order.GateStart {
 		reply = a.runOnce(ctx, key, message)
 	}
@@ -51,9 +51,9 @@
 	return connect.NewResponse(toRunOrderResponse(reply)), nil
 }
 
-// beginAtGate asks the gate whether to run the order. An agent that is stopping
+// startAtGate asks the gate whether to run the order. An agent that is stopping
 // starts no orders.
-func (a *Agent) beginAtGate(key order.Key, message *peerv1.RunOrderRequest) order.GateReply {
+func (a *Agent) startAtGate(key order.Key, message *peerv1.RunOrderRequest) order.GateReply {
 	var reply order.GateReply
 	incarnation := filbertlever.Incarnation(message.Incarnation)
 	accepts := a.node.Accepts()
--- a/internal/transport/gateway/attempts.go
+++ b/internal/transport/gateway/attempts.go
@@ -205,7 +205,7 @@
 	g.fleet.RecordModelMissing(id, boottime.Now())
 }
 
-// errNoReceipt means that a response lacks the server's receipt, or was altered on the way.
+// errNoReceipt means that a response lacks the server's receipt, or was altered in transit.
 var errNoReceipt = errors.New("the response has no valid server receipt")
 
 // discardSmallBody reads the short body of a refusal so that the connection can be reused.
--- a/internal/transport/gateway/badrows.go
+++ b/internal/transport/gateway/badrows.go
@@ -77,7 +77,7 @@
 // A row of another program contained an unknown service and the address of a live server. It was
 // mistaken for the server's next start and put the live server out of use until that server's row
 // changed. Such a row is withheld until a desired state contains its service.
-func (g *Gateway) withhold(b Backends, whole bool) (present []catalog.Backend, gone []string) {
+func (g *Gateway) withhold(b Backends, whole bool) (present []catalog.Backend, removed []string) {
 	if whole || g.badRows.withheld == nil {
 		g.badRows.withheld = map[string]catalog.Backend{}
 	}
@@ -88,7 +88,7 @@
 	for _, id := range b.Removed {
 		delete(g.badRows.withheld, id)
 		if g.fleet.Contains(id) {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
 	for _, backend := range b.Present {
@@ -99,11 +99,11 @@
 		}
 		g.badRows.withheld[backend.ID] = backend
 		if g.fleet.Contains(backend.ID) {
-			gone = append(gone, backend.ID)
+			removed = append(removed, backend.ID)
 		}
 	}
 	g.reportWithheld(state)
-	return present, gone
+	return present, removed
 }
 
 // serves reports whether a desired state contains a server's service.
--- a/internal/transport/gateway/badrows_test.go
+++ b/internal/transport/gateway/badrows_test.go
@@ -81,8 +81,8 @@
 	live := catalog.Backend{ID: "i-1", Revision: 5, Service: "orders", Address: "10.0.0.1:1"}
 	other := catalog.Backend{ID: "x", Revision: 9, Service: "odd", Address: live.Address}
 	apply := func(b Backends, whole bool) {
-		present, gone := g.withhold(b, whole)
-		g.fleet.Apply(present, gone, whole, time.Second)
+		present, removed := g.withhold(b, whole)
+		g.fleet.Apply(present, removed, whole, time.Second)
 	}
 	// The list may be read before any desired state is known.
 	apply(Backends{Present: []catalog.Backend{live, other}}, true)
@@ -125,8 +125,8 @@
 	g.state.Store(state)
 	g.fleet.SetState(state, time.Second)
 	apply := func(present ...catalog.Backend) {
-		present, gone := g.withhold(Backends{Present: present}, false)
-		g.fleet.Apply(present, gone, false, time.Second)
+		present, removed := g.withhold(Backends{Present: present}, false)
+		g.fleet.Apply(present, removed, false, time.Second)
 	}
 	row := func(n int, revision uint64, boot catalog.Boot) catalog.Backend {
 		return catalog.Backend{ID: fmt.Sprint("i-", n), Revision: revision, Boot: boot, Service: "orders", Address: fmt.Sprintf("10.0.0.%d:1", n)}
--- a/internal/transport/gateway/boots_test.go
+++ b/internal/transport/gateway/boots_test.go
@@ -67,20 +67,20 @@
 		g.peers.observeHeartbeat(entry, true, false, now)
 	}
 	g.applyBackends(Backends{Present: []catalog.Backend{bootRow(2000, 2)}}, false, now)
-	ahead := func() int {
+	queuePosition := func() int {
 		placement := g.fleet.Choose(fleet.Request{Service: "orders"}, now)
 		g.fleet.ReleaseIfCurrent(placement.Backend)
 		return placement.QueuePosition
 	}
 	g.applyCounts(&Counts{From: "e2", Sequence: 1, Requests: map[string]int{"i-1": 20}, Silent: []string{"i-1"}}, now)
-	c.Assert(ahead(), qt.Equals, 1-4)
+	c.Assert(queuePosition(), qt.Equals, 1-4)
 	counts := g.ownCounts(now)
 	c.Assert(counts.Boots, qt.HasLen, 0)
 	g.fleet.Choose(fleet.Request{Service: "orders"}, now)
 	counts = g.ownCounts(now)
 	c.Assert(counts.Boots, qt.DeepEquals, map[string]catalog.Boot{"i-1": 2000})
 	g.applyCounts(&Counts{From: "e3", Sequence: 1, Requests: map[string]int{"i-1": 3}, Boots: counts.Boots}, now+time.Millisecond)
-	c.Assert(ahead(), qt.Equals, 5-4)
+	c.Assert(queuePosition(), qt.Equals, 5-4)
 }
 
 // A late reply to a request of a server's previous boot, which reports another server at its address
@@ -91,9 +91,9 @@
 	now := boottime.Now()
 	a := &attempts{exchange: &exchange{gateway: g, call: &Call{ID: "o1"}}}
 	a.placement = g.fleet.Choose(fleet.Request{Service: "orders"}, now)
-	moved := bootRow(2000, 2)
-	moved.Address = "10.0.0.2:1"
-	g.applyBackends(Backends{Present: []catalog.Backend{moved}}, false, now)
+	movedRow := bootRow(2000, 2)
+	movedRow.Address = "10.0.0.2:1"
+	g.applyBackends(Backends{Present: []catalog.Backend{movedRow}}, false, now)
 	a.handleMisdirected("i-1", &Reply{ActualServer: "i-9"})
 	c.Assert(g.fleet.Contains("i-1"), qt.IsTrue)
 	a.placement = g.fleet.Choose(fleet.Request{Service: "orders"}, now)
--- a/internal/transport/gateway/crashes.go
+++ b/internal/transport/gateway/crashes.go
@@ -43,7 +43,8 @@
 	inFlight map[*attempts]bool
 	// probedAt is when a process was last checked for still listening.
 	probedAt map[quarantine.Process]time.Duration
-	// replies counts the replies with holds since repliesSince, for maxHoldRepliesPerSecond.
+	// repliesSince is the start of the period in which replies counts the replies with holds, for
+	// maxHoldRepliesPerSecond.
 	repliesSince time.Duration
 	replies      int
 }
--- a/internal/transport/gateway/datagrams.go
+++ b/internal/transport/gateway/datagrams.go
@@ -117,7 +117,7 @@
 }
 
 // runHeartbeat sends a heartbeat to all entries at the start, then one at every interval, and
-// one to the region whenever beatNow requests it.
+// one to the region whenever heartbeatNow requests it.
 func (g *Gateway) runHeartbeat(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
--- a/internal/transport/gateway/decode.go
+++ b/internal/transport/gateway/decode.go
@@ -24,8 +24,8 @@
 	maxRequests = 1 << 20
 	// maxModels bounds the models of one server.
 	maxModels = 256
-	// maxPace bounds the slowdown factor of a server compared with its expected speed.
-	maxPace = 1000
+	// maxSlowdown bounds the slowdown factor of a server compared with its expected speed.
+	maxSlowdown = 1000
 	// maxLookahead bounds the predicted times in a load report. A change of weights takes
 	// seconds.
 	maxLookahead = time.Hour
@@ -38,7 +38,7 @@
 	errAddress    = errors.New("expected HOST:PORT")
 	errName       = fmt.Errorf("expected a name of 1 to %d bytes", maxNameBytes)
 	errRequests   = fmt.Errorf("expected 0 to %d requests", maxRequests)
-	errPace       = fmt.Errorf("expected a pace of 0 to %d", maxPace)
+	errSlowdown   = fmt.Errorf("expected a pace of 0 to %d", maxSlowdown)
 	errOutOfRange = errors.New("value out of range")
 	errRevision   = fmt.Errorf("expected a revision of up to %d", uint64(maxRevision))
 	errTooLarge   = errors.New("response too large")
@@ -134,8 +134,8 @@
 	if load.LeavesIn > maxLookahead || load.LoadedIn > maxLookahead {
 		return fmt.Errorf("load: leaves in %v, loaded in %v: %w", load.LeavesIn, load.LoadedIn, errOutOfRange)
 	}
-	if !(load.Pace >= 0 && load.Pace <= maxPace) {
-		return fmt.Errorf("load: pace %v: %w", load.Pace, errPace)
+	if !(load.Pace >= 0 && load.Pace <= maxSlowdown) {
+		return fmt.Errorf("load: pace %v: %w", load.Pace, errSlowdown)
 	}
 	return errors.Join(checkModels(load.Models), checkNamed(l.Named))
 }
--- a/internal/transport/gateway/feeds.go
+++ b/internal/transport/gateway/feeds.go
@@ -57,7 +57,7 @@
 	batches  []rowBatch
 	// batchBytes is the uncompressed size of all batches, which are sent together.
 	batchBytes int
-	// The log contains all changes between startRevision and headRevision.
+	// startRevision and headRevision are the revisions between which the log contains all changes.
 	startRevision, headRevision uint64
 	// confirmedAt is when the read was sent that last confirmed headRevision.
 	confirmedAt time.Duration
@@ -123,7 +123,7 @@
 }
 
 // markUnreachable records that the store does not answer, and wakes waiting followers.
-// Followers that went on waiting for a disconnected reader would observe changes too late.
+// Followers that continued to wait for a disconnected reader would observe changes too late.
 func (f *feeds) markUnreachable(table Table) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -409,8 +409,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, all, _ := g.observedEntries(now)
-	turn := relays.Rank(g.config.Self.Host, all, g.config.Self.Region, readerHashKey)
-	return snapshotTimeout * time.Duration(max(min(turn, maxSnapshotTurns), 1))
+	rank := relays.Rank(g.config.Self.Host, all, g.config.Self.Region, readerHashKey)
+	return snapshotTimeout * time.Duration(max(min(rank, maxSnapshotTurns), 1))
 }
 
 // readerHashKey is the key that determines the order of a region's entries as readers of the
--- a/internal/transport/gateway/gateway.go
+++ b/internal/transport/gateway/gateway.go
@@ -34,7 +34,7 @@
 	// RevocationDelay is the maximum time for which a revoked key still works. Keys are refused
 	// once the desired state is older than this. 0 means no limit.
 	RevocationDelay time.Duration
-	// SwitchoverTimeout is the time after an operator names a model version by which no older
+	// MaxStaleness is the time after an operator names a model version by which no older
 	// version may answer any more.
 	MaxStaleness time.Duration
 	// RetryRatio and RetrySlack limit the retries of all entries together within any RetryWindow.
@@ -95,7 +95,7 @@
 	// outages are keyed by service.
 	outages map[string]*admission.Outage
 	peers   *peers
-	// namedVersions are the versions of each model that operators want, oldest first.
+	// versionsByModel holds the versions of each model that operators want, oldest first.
 	versionsByModel map[string][]namedVersion
 	// namedChanged receives a value when a version has been named.
 	namedChanged chan struct{}
@@ -149,8 +149,8 @@
 // that also advances while the host is suspended.
 func (g *Gateway) keysFresh(now time.Duration) bool {
 	age, ok := g.stateAge(now)
-	revoke := time.Duration(g.revocationDelay.Load())
-	return ok && (revoke <= 0 || age < revoke-revokeMargin)
+	delay := time.Duration(g.revocationDelay.Load())
+	return ok && (delay <= 0 || age < delay-revokeMargin)
 }
 
 // Ready reports whether new callers should use this entry.
--- a/internal/transport/gateway/named.go
+++ b/internal/transport/gateway/named.go
@@ -14,7 +14,7 @@
 )
 
 // namedVersion is a version of a model that operators have named, which requests that it be served.
-// Its deadline is Config.Bound after the naming. From then on older versions may not answer.
+// Its deadline is Config.MaxStaleness after the naming. From then on older versions may not answer.
 type namedVersion struct {
 	version uint64
 	// namedAt is when the version was named, as far as that is known.
@@ -28,10 +28,10 @@
 	if g.config.MaxStaleness <= 0 {
 		return 0
 	}
-	strict := g.switchoverConfig(model).TargetOnlyAfter()
+	strictAfter := g.switchoverConfig(model).TargetOnlyAfter()
 	minimum := uint64(0)
 	for _, n := range g.versionsByModel[model] {
-		if now-n.namedAt >= strict {
+		if now-n.namedAt >= strictAfter {
 			minimum = max(minimum, n.version)
 		}
 	}
@@ -145,12 +145,12 @@
 
 // pruneSuperseded removes the versions that are older than one whose deadline has passed.
 //
-// A version must not be pruned because of its age alone. Versions used to be pruned twice Config.Bound
-// after their naming when the next one was named. The entry then no longer knew that the deadline
-// had passed, and servers that had never loaded the version got requests again.
-func pruneSuperseded(list []namedVersion, bound, now time.Duration) []namedVersion {
+// A version must not be pruned because of its age alone. Versions used to be pruned twice
+// MaxStaleness after their naming when the next one was named. The entry then no longer knew that
+// the deadline had passed, and servers that had never loaded the version got requests again.
+func pruneSuperseded(list []namedVersion, maxStaleness, now time.Duration) []namedVersion {
 	for i := len(list) - 1; i > 0; i-- {
-		if bound > 0 && !list[i].estimated && now-list[i].namedAt >= bound {
+		if maxStaleness > 0 && !list[i].estimated && now-list[i].namedAt >= maxStaleness {
 			return list[i:]
 		}
 	}
--- a/internal/transport/gateway/named_test.go
+++ b/internal/transport/gateway/named_test.go
@@ -120,19 +120,19 @@
 }
 
 // At a server several times slower than expected, requests started on old weights up to 2.8 s after
-// the deadline, because a pass takes that much longer. The server reports its pace.
+// the deadline, because a pass takes that much longer. The server reports its slowdown.
 func TestCancelDeadlineAccountsForSlowServer(t *testing.T) {
 	c := qt.New(t)
 	engine := newTypicalEngine()
-	for _, pace := range []float64{0, 1, 3, 7.5} {
+	for _, slowdown := range []float64{0, 1, 3, 7.5} {
 		g := newSwitchoverEntry(engine, 1)
 		sentAt := switchoverNamedAt + switchoverBound - 2*time.Second
-		g.fleet.ApplyReport(fleet.Report{Address: "10.0.0.1:1", Boot: 1, Sequence: 1, Pace: pace, Models: []catalog.Model{{Name: switchoverModel, Version: 2}}}, sentAt)
+		g.fleet.ApplyReport(fleet.Report{Address: "10.0.0.1:1", Boot: 1, Sequence: 1, Pace: slowdown, Models: []catalog.Model{{Name: switchoverModel, Version: 2}}}, sentAt)
 		a := newSwitchoverAttempt(g, 900, false)
 		placement := a.choose(sentAt)
-		pass := time.Duration(max(pace, 1) * float64(engine.MaxPassTime()))
-		comment := qt.Commentf("pace %v", pace)
-		c.Check(placement.Found, qt.Equals, pace < 3, comment)
+		pass := time.Duration(max(slowdown, 1) * float64(engine.MaxPassTime()))
+		comment := qt.Commentf("slowdown %v", slowdown)
+		c.Check(placement.Found, qt.Equals, slowdown < 3, comment)
 		if placement.Found {
 			c.Check(a.startDeadline+pass < switchoverNamedAt+switchoverBound, qt.IsTrue, comment)
 		}
--- a/internal/transport/gateway/placement.go
+++ b/internal/transport/gateway/placement.go
@@ -126,7 +126,7 @@
 }
 
 // pickOlderVersion picks a server with an older version for a request that finds no free server
-// with the wanted one, if the response is sure to start there before the switchover timeout.
+// with the wanted one, if the response is sure to start there within MaxStaleness of its naming.
 func (a *attempts) pickOlderVersion(wanted fleet.Request, found fleet.Placement, now time.Duration) fleet.Placement {
 	g := a.gateway
 	if wanted.MinVersion == 0 || found.Found && found.QueuePosition <= g.gate.MaxQueuePosition {
--- a/internal/transport/gateway/ports.go
+++ b/internal/transport/gateway/ports.go
@@ -73,7 +73,7 @@
 	Body   io.Reader
 	// Length is negative if the server did not send a length.
 	Length int64
-	// Verified is true if the response carries the server's receipt and was not altered on the way.
+	// Verified is true if the response carries the server's receipt and was not altered in transit.
 	Verified bool
 	// Stream is true if the body is an event stream.
 	Stream bool
--- a/internal/transport/gateway/versions.go
+++ b/internal/transport/gateway/versions.go
@@ -16,7 +16,7 @@
 	// version before it asks the store.
 	restoreDelay = 100 * time.Millisecond
 	// maxVersionsAttempts limits the attempts of a failing call. The pause between them grows from
-	// retryFirst on.
+	// initialBackoff on.
 	maxVersionsAttempts = 20
 )
 
--- a/internal/transport/gateway/waitqueue.go
+++ b/internal/transport/gateway/waitqueue.go
@@ -87,7 +87,7 @@
 	select {
 	case placement, ok = <-queued.placed:
 	case <-a.ctx.Done():
-		placement, ok = g.leaveQueue(id, queued)
+		placement, ok = g.cancelQueued(id, queued)
 	}
 	now := boottime.Now()
 	fields := []zap.Field{zap.String("Request", a.call.ID), zap.Bool("Placed", ok),
@@ -99,8 +99,8 @@
 	return placement, ok
 }
 
-// leaveQueue removes a request whose caller has disconnected or whose deadline has passed.
-func (g *Gateway) leaveQueue(id uint64, queued *queuedRequest) (fleet.Placement, bool) {
+// cancelQueued removes a request whose caller has disconnected or whose deadline has passed.
+func (g *Gateway) cancelQueued(id uint64, queued *queuedRequest) (fleet.Placement, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.waitQueue.Remove(id)
--- a/internal/transport/gateway/wholetable_test.go
+++ b/internal/transport/gateway/wholetable_test.go
@@ -51,13 +51,13 @@
 // serveSlowly sends a table in parts. The whole takes longer than the timeout of a call for
 // changes.
 func serveSlowly(w http.ResponseWriter, _ *http.Request) {
-	packed := compressRows([]byte(`[{"a":1}]`))
+	compressed := compressRows([]byte(`[{"a":1}]`))
 	w.Header().Set(headerRevision, "5")
 	w.Header().Set(headerAge, "0")
-	w.Header().Set("Content-Length", strconv.Itoa(len(packed)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(compressed)))
 	const parts = 6
 	for n := range parts {
-		_, _ = w.Write(packed[n*len(packed)/parts : (n+1)*len(packed)/parts])
+		_, _ = w.Write(compressed[n*len(compressed)/parts : (n+1)*len(compressed)/parts])
 		_ = http.NewResponseController(w).Flush()
 		time.Sleep(feedTimeout / (parts - 1))
 	}
@@ -68,11 +68,11 @@
 // outdated, must not be waited for as long.
 func TestWholeTableFetchTimeouts(t *testing.T) {
 	tests := []struct {
-		name          string
-		first         http.HandlerFunc
-		dropped       uint64
-		want          bool
-		least, latest time.Duration
+		name             string
+		first            http.HandlerFunc
+		dropped          uint64
+		want             bool
+		earliest, latest time.Duration
 	}{
 		{"the first has no rows yet", serveEmptyTable, 0, false, 2 * snapshotTimeout, 3 * snapshotTimeout},
 		{"the first does not respond", serveNothing, 0, false, snapshotTimeout, 2 * snapshotTimeout},
@@ -89,7 +89,7 @@
 			_, _, ok := g.fetchSnapshot(context.Background(), TableBackends, test.dropped)
 			took := time.Since(start)
 			qt.Check(t, ok, qt.Equals, test.want)
-			qt.Check(t, took >= test.least*9/10 && took <= test.latest, qt.IsTrue, qt.Commentf("%v", took))
+			qt.Check(t, took >= test.earliest*9/10 && took <= test.latest, qt.IsTrue, qt.Commentf("%v", took))
 		})
 	}
 }
--- a/internal/transport/relay/failures.go
+++ b/internal/transport/relay/failures.go
@@ -63,7 +63,7 @@
 // errEntryDied means that the entry asked for a piece died during the fetch.
 var errEntryDied = errors.New("the entry no longer lives")
 
-// contextWhileAlive returns a context that is canceled when an entry is no longer
+// contextWhileAlive returns a context that is cancelled when an entry is no longer
 // alive.
 //
 // The connections of a host that hangs stay open. Without the cancellation, a fetch from
--- a/internal/transport/relay/originslot.go
+++ b/internal/transport/relay/originslot.go
@@ -23,7 +23,7 @@
 	// attemptedAt is when the current request to the origin began, or 0 if none is in
 	// flight.
 	attemptedAt time.Duration
-	// acquired lists the Slots of which this fetch has a slot, in the order of
+	// acquired lists the semaphores of which this fetch has a slot, in the order of
 	// acquisition.
 	acquired []*relays.PrioritySemaphore
 }
--- a/internal/transport/relay/peercache.go
+++ b/internal/transport/relay/peercache.go
@@ -29,14 +29,14 @@
 	cachedOnlyParam = "Held"
 )
 
-// observeEntries returns the entries that are alive, and records in turnover which ones
+// observeEntries returns the entries that are alive, and records in departures which ones
 // disappeared.
 func (r *Relay) observeEntries() ([]relays.Entry, map[filbertlever.HostID]string) {
 	_, originSite, ok := r.view.Origin()
 	entries, addresses := r.view.Entries()
 	if ok {
 		r.mu.Lock()
-		r.turnover.Observe(entries, originSite, boottime.Now())
+		r.departures.Observe(entries, originSite, boottime.Now())
 		r.mu.Unlock()
 	}
 	return entries, addresses
@@ -81,7 +81,7 @@
 func (r *Relay) shouldAskPeerCaches(id catalog.ModelVersion) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return boottime.Now() >= r.peerCacheRetryAt && r.turnover.MayBeOnPeers(r.ensureState(id).desiredAt)
+	return boottime.Now() >= r.peerCacheRetryAt && r.departures.MayBeOnPeers(r.ensureState(id).desiredAt)
 }
 
 // backOffPeerCaches suspends requests to the caches of other entries for
--- a/internal/transport/relay/plan.go
+++ b/internal/transport/relay/plan.go
@@ -15,7 +15,7 @@
 	// Config holds the times of a switchover to a new version.
 	Config switchover.Config
 	// Versions lists the requested versions, oldest first. Only the fields Version and
-	// Since of each are set.
+	// SetAt of each are set.
 	Versions []switchover.TargetVersion
 	// OriginRate is the bandwidth of the origin's link in bytes per second, or 0 if
 	// unknown.
@@ -72,7 +72,7 @@
 	plan := r.plans[id.Model]
 	r.mu.Unlock()
 	versions := slices.Clone(plan.Versions)
-	each := time.Duration(0)
+	maxPieceTime := time.Duration(0)
 	for i := range versions {
 		n := &versions[i]
 		other := catalog.ModelVersion{Model: id.Model, Version: n.Version}
@@ -80,19 +80,19 @@
 		if !ok {
 			continue
 		}
-		remaining, pace, ok := r.progress(other, &manifest)
+		remaining, pieceTime, ok := r.progress(other, &manifest)
 		if ok {
 			n.MissingPieces, n.TotalPieces, n.SizeKnown = remaining, len(manifest.Digests), true
-			each = max(each, pace)
+			maxPieceTime = max(maxPieceTime, pieceTime)
 		}
 	}
-	return plan.Config.IsSuperseded(id.Version, versions, now, each)
+	return plan.Config.IsSuperseded(id.Version, versions, now, maxPieceTime)
 }
 
 // progress estimates how many pieces of a version all entries lack and how long each one
 // takes. It extrapolates from this entry's own pieces, as all entries lack about the same
 // share. It returns false if this entry has no pieces of its own.
-func (r *Relay) progress(id catalog.ModelVersion, manifest *Manifest) (remaining int, each time.Duration, ok bool) {
+func (r *Relay) progress(id catalog.ModelVersion, manifest *Manifest) (remaining int, pieceTime time.Duration, ok bool) {
 	own := len(r.ownPieces(id, manifest))
 	if own == 0 {
 		return 0, 0, false
@@ -101,9 +101,9 @@
 	missing := len(r.missingPieces(id, manifest))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	pace := r.pace
-	pace.Initial = switchover.PieceTimeAtRate(manifest.PieceBytes, r.plans[id.Model].OriginRate) * time.Duration(total) / time.Duration(own)
-	return missing * total / own, pace.Estimate() * time.Duration(own) / time.Duration(total), true
+	estimator := r.pieceTimes
+	estimator.Initial = switchover.PieceTimeAtRate(manifest.PieceBytes, r.plans[id.Model].OriginRate) * time.Duration(total) / time.Duration(own)
+	return missing * total / own, estimator.Estimate() * time.Duration(own) / time.Duration(total), true
 }
 
 // cachedManifest returns the manifest of a version if it was fetched.
--- a/internal/transport/relay/plan_test.go
+++ b/internal/transport/relay/plan_test.go
@@ -49,7 +49,7 @@
 	c := qt.New(t)
 	origin := &concurrencyOrigin{version: 3}
 	r := New(relays.Entry{Host: "e1", Site: "a"}, singleEntryView{}, origin, &http.Client{}, zap.NewNop(), prometheus.NewRegistry())
-	bounds, since := switchover.DefaultConfig(13400*time.Millisecond), boottime.Now()
+	config, since := switchover.DefaultConfig(13400*time.Millisecond), boottime.Now()
 	var failed atomic.Int32
 	var group sync.WaitGroup
 	for piece := range sharedLinkPieces {
@@ -59,14 +59,14 @@
 			}
 		})
 	}
-	r.SetPlan("drafter", Plan{Config: bounds, Versions: []switchover.TargetVersion{{Version: 2, SetAt: since}, {Version: 3, SetAt: since}}})
+	r.SetPlan("drafter", Plan{Config: config, Versions: []switchover.TargetVersion{{Version: 2, SetAt: since}, {Version: 3, SetAt: since}}})
 	r.Supersede(drafterVersion(2), since+13*time.Second)
 	c.Assert(r.decideSkip(drafterVersion(2), boottime.Now()), qt.IsTrue)
 	fetchConcurrently(c, r, drafterVersion(3), sharedLinkPieces)
 	group.Wait()
 	c.Assert(failed.Load() > sharedLinkPieces/2, qt.IsTrue, qt.Commentf("%d of %d", failed.Load(), sharedLinkPieces))
 	// Once the newer version alone no longer suffices, the older one is fetched again.
-	r.SetPlan("drafter", Plan{Config: bounds, Versions: []switchover.TargetVersion{{Version: 2, SetAt: since - 10*time.Second}, {Version: 3, SetAt: since}}})
+	r.SetPlan("drafter", Plan{Config: config, Versions: []switchover.TargetVersion{{Version: 2, SetAt: since - 10*time.Second}, {Version: 3, SetAt: since}}})
 	time.Sleep(skipTTL)
 	fetchConcurrently(c, r, drafterVersion(2), sharedLinkPieces)
 }
--- a/internal/transport/relay/prefetch.go
+++ b/internal/transport/relay/prefetch.go
@@ -163,11 +163,11 @@
 	if r.decideSkip(v.id, now) {
 		return false
 	}
-	remaining, each := 0, time.Duration(0)
+	remaining, pieceTime := 0, time.Duration(0)
 	if manifest, ok := r.cachedManifest(v.id); ok {
-		remaining, each, _ = r.progress(v.id, &manifest)
+		remaining, pieceTime, _ = r.progress(v.id, &manifest)
 	}
-	return switchover.WorthFetching(remaining, each, now, v.obsoleteAt)
+	return switchover.WorthFetching(remaining, pieceTime, now, v.obsoleteAt)
 }
 
 // abandonPrefetch ends the prefetch of a version that is no longer worth fetching.
--- a/internal/transport/relay/relay.go
+++ b/internal/transport/relay/relay.go
@@ -99,13 +99,13 @@
 	versions []*versionState
 	// prefetchRunning is true while runPrefetch runs.
 	prefetchRunning bool
-	// turnover records when entries that may have fetched pieces from the origin
+	// departures records when entries that may have fetched pieces from the origin
 	// last disappeared.
-	turnover relays.DepartureTracker
+	departures relays.DepartureTracker
 	// peerCacheRetryAt is when the caches of other entries may be queried again.
 	peerCacheRetryAt time.Duration
-	// pace estimates the time per piece from the pieces that this entry received.
-	pace switchover.PieceTimeEstimator
+	// pieceTimes estimates the time per piece from the pieces that this entry received.
+	pieceTimes switchover.PieceTimeEstimator
 	// plans holds the versions that operators request, by model. revision counts the
 	// changes to it.
 	plans    map[string]Plan
@@ -345,7 +345,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.piecesByDigest[digest] = data
-	r.pace.ObservePiece(boottime.Now())
+	r.pieceTimes.ObservePiece(boottime.Now())
 }
 
 // ensureState returns the state of a version and creates it if necessary. Beyond
--- a/internal/transport/sidecar/boots.go
+++ b/internal/transport/sidecar/boots.go
@@ -15,10 +15,10 @@
 // has ended.
 var errServerRestarted = errors.New("model server restarted")
 
-// paceChangeThreshold is the change of the server's slowdown that is sent to the entries
+// slowdownChangeThreshold is the change of the server's slowdown that is sent to the entries
 // of all sites at once. How long before a version's deadline entries cancel requests
 // depends on the slowdown.
-const paceChangeThreshold = 0.5
+const slowdownChangeThreshold = 0.5
 
 // maxEndedBoots is how many ended boots of its server an agent reports. They are for
 // entries that missed some of the reports. A server that restarts more often than this
@@ -44,7 +44,7 @@
 	}
 	leaving := s.drainDetector.Leaving()
 	s.drainDetector.Observe(report.ClosesConnection)
-	s.broadcastNext = s.broadcastNext || math.Abs(report.Slowdown-s.report.Slowdown) > paceChangeThreshold || s.drainDetector.Leaving() != leaving
+	s.broadcastNext = s.broadcastNext || math.Abs(report.Slowdown-s.report.Slowdown) > slowdownChangeThreshold || s.drainDetector.Leaving() != leaving
 	s.report, s.hasReport, s.everReported, s.reportRequestedAt = report, true, true, requestedAt
 }
 
--- a/internal/transport/weights/fetcher.go
+++ b/internal/transport/weights/fetcher.go
@@ -235,12 +235,12 @@
 		wait = 0
 	}
 	data, err := w.transfer.fetcher.sources.Chunk(ctx, Request{
-		Set:      w.transfer.digest,
-		Manifest: w.transfer.manifest,
-		Chunk:    w.fetch.Chunk,
-		Below:    w.fetch.Descendants,
-		Source:   w.fetch.Source,
-		Wait:     wait,
+		Set:         w.transfer.digest,
+		Manifest:    w.transfer.manifest,
+		Chunk:       w.fetch.Chunk,
+		Descendants: w.fetch.Descendants,
+		Source:      w.fetch.Source,
+		Wait:        wait,
 		Progress: func() {
 			watchdog.Reset(config.StallTimeout)
 			if now := time.Now(); now.Sub(lastProgress) > config.StallTimeout/4 {
--- a/internal/transport/weights/limiter.go
+++ b/internal/transport/weights/limiter.go
@@ -12,8 +12,8 @@
 // Limiter limits the rate of weight traffic in one direction of a link while live requests
 // are in flight. It implements Pacer and is safe for concurrent use.
 type Limiter struct {
-	pace    distribution.BandwidthLimit
-	limiter *rate.Limiter
+	bandwidth distribution.BandwidthLimit
+	limiter   *rate.Limiter
 }
 
 // limiterBurst is how many bytes may be transferred at once. It is also the longest queue
@@ -21,14 +21,14 @@
 const limiterBurst = 16 << 10
 
 // NewLimiter returns a limiter that imposes no limit until SetLiveRequests is called.
-func NewLimiter(pace distribution.BandwidthLimit) *Limiter {
-	return &Limiter{pace: pace, limiter: rate.NewLimiter(rate.Inf, limiterBurst)}
+func NewLimiter(bandwidth distribution.BandwidthLimit) *Limiter {
+	return &Limiter{bandwidth: bandwidth, limiter: rate.NewLimiter(rate.Inf, limiterBurst)}
 }
 
 // SetLiveRequests sets the number of live requests in flight.
 func (l *Limiter) SetLiveRequests(live int) {
 	limit := rate.Inf
-	if r := l.pace.Rate(live); !math.IsInf(r, 1) {
+	if r := l.bandwidth.Rate(live); !math.IsInf(r, 1) {
 		limit = rate.Limit(r)
 	}
 	if l.limiter.Limit() != limit {
--- a/internal/transport/weights/server.go
+++ b/internal/transport/weights/server.go
@@ -25,11 +25,11 @@
 	PathSet = "/weights/whole/"
 	// headerHighest is the header with the highest chunk that the sender knows to exist
 	// outside the origin.
-	headerHighest = "Filbertlever-Highest"
-	paramWait     = "wait"
-	paramSet      = "set"
-	paramChunk    = "chunk"
-	paramBelow    = "below"
+	headerHighest    = "Filbertlever-Highest"
+	paramWait        = "wait"
+	paramSet         = "set"
+	paramChunk       = "chunk"
+	paramDescendants = "below"
 )
 
 // maxWait limits how long a request from a peer waits for a chunk.
@@ -274,13 +274,13 @@
 		return
 	}
 	chunk, _ := strconv.Atoi(query.Get(paramChunk))
-	below, _ := strconv.Atoi(query.Get(paramBelow))
+	descendants, _ := strconv.Atoi(query.Get(paramDescendants))
 	// A peer that receives nothing within its stall timeout treats this host as stalled and
 	// avoids it, which would happen just when the host is busiest. A request that gets no slot
 	// in time is therefore answered with "not yet", and the peer sends it again.
 	slotCtx, cancel := context.WithTimeout(request.Context(), max(wait-time.Since(received), minSlotWait))
 	defer cancel()
-	release, err := s.acquireSlot(slotCtx, distribution.Upload{Chunk: chunk, Descendants: below})
+	release, err := s.acquireSlot(slotCtx, distribution.Upload{Chunk: chunk, Descendants: descendants})
 	if err != nil {
 		w.WriteHeader(http.StatusNoContent)
 		return
--- a/internal/transport/weights/sources.go
+++ b/internal/transport/weights/sources.go
@@ -29,9 +29,9 @@
 	Set      filbertlever.Digest
 	Manifest *bundle.Manifest
 	Chunk    int
-	// Below is the estimated number of hosts below this one in the chunk's tree.
-	Below  int
-	Source distribution.Source
+	// Descendants is the estimated number of hosts below this one in the chunk's tree.
+	Descendants int
+	Source      distribution.Source
 	// Wait is how long a peer that does not have the chunk yet may wait for it before it
 	// responds.
 	Wait time.Duration
@@ -97,7 +97,7 @@
 			return nil, nil, fmt.Errorf("peer %s: address unknown", request.Source.Host)
 		}
 		url := fmt.Sprintf("%s%s%s?%s=%s&%s=%s&%s=%d&%s=%d", base, PathChunk, manifest.Chunks[request.Chunk],
-			paramWait, request.Wait, paramSet, request.Set, paramChunk, request.Chunk, paramBelow, request.Below)
+			paramWait, request.Wait, paramSet, request.Set, paramChunk, request.Chunk, paramDescendants, request.Descendants)
 		httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		return client, httpRequest, err
 	case distribution.SourceStore:
