--- a/internal/bench/weightsbench/testbed.go
+++ b/internal/bench/weightsbench/testbed.go
@@ -82,7 +82,7 @@
 	site                  string
 	link                  *links.Link
 	url                   string
-	library               *weights.Library
+	chunkLibrary          *weights.Library
 	fetcher               *weights.Fetcher
 	client                *http.Client
 	inLimiter, outLimiter *weights.Limiter
@@ -122,13 +122,13 @@
 // addHost starts host i.
 func (t *testbed) addHost(i int, config weights.FetchConfig) error {
 	h := &benchHost{id: filbertlever.HostID(fmt.Sprint("model-", i)), site: fmt.Sprint("site-", i%siteCount), link: links.New(t.scale.HostRate)}
-	h.library = weights.NewLibrary(state.NewChunkStore())
-	h.library.Add(t.digest, t.manifest, t.encodedManifest)
+	h.chunkLibrary = weights.NewLibrary(state.NewChunkStore())
+	h.chunkLibrary.Add(t.digest, t.manifest, t.encodedManifest)
 	h.client = &http.Client{Transport: &http.Transport{DialContext: h.link.DialContext, MaxIdleConnsPerHost: 4, DisableCompression: true}}
 	mux := http.NewServeMux()
 	bandwidth := distribution.BandwidthLimit{Capacity: t.scale.HostRate, Share: distribution.DefaultBandwidthShare}
 	h.inLimiter, h.outLimiter = weights.NewLimiter(bandwidth), weights.NewLimiter(bandwidth)
-	server := weights.NewServer(h.library, h.outLimiter)
+	server := weights.NewServer(h.chunkLibrary, h.outLimiter)
 	server.Routes(mux, func(next http.Handler) http.Handler { return t.corruptResponses(next) })
 	mux.HandleFunc("GET /live", serveLive)
 	url, err := t.startServer(h.link, mux)
@@ -138,7 +138,7 @@
 	h.url = url
 	sources := &weights.HTTPSources{Peers: &peerResolver{testbed: t, host: h}, Origin: t.originURL, Client: h.client, Pacer: h.inLimiter}
 	self := distribution.Peer{ID: h.id, Site: h.site}
-	h.fetcher = weights.NewFetcher(config, self, h.library, sources, zap.NewNop())
+	h.fetcher = weights.NewFetcher(config, self, h.chunkLibrary, sources, zap.NewNop())
 	t.hosts = append(t.hosts, h)
 	t.peers = append(t.peers, self)
 	t.byID[h.id] = h
--- a/internal/coordination/admission/entry_queue.go
+++ b/internal/coordination/admission/entry_queue.go
@@ -20,7 +20,6 @@
 	next uint64
 }
 
-// queuedRequest is a request that waits in an EntryQueue.
 type queuedRequest struct {
 	id      uint64
 	service string
--- a/internal/coordination/admission/queue.go
+++ b/internal/coordination/admission/queue.go
@@ -83,7 +83,6 @@
 	sequence uint64
 }
 
-// runningItem is the state of an item that runs.
 type runningItem struct {
 	started time.Time
 	cost    float64
--- a/internal/coordination/distribution/planner.go
+++ b/internal/coordination/distribution/planner.go
@@ -141,7 +141,6 @@
 	sources         map[Source]*sourceState
 }
 
-// chunk is the state of one chunk.
 type chunk struct {
 	held     bool
 	inFlight bool
--- a/internal/coordination/distribution/swarm_test.go
+++ b/internal/coordination/distribution/swarm_test.go
@@ -31,7 +31,6 @@
 	origin        []*request
 	originFetches int
 	crossSite     int
-	// corruptChunks counts the corrupt chunks delivered.
 	corruptChunks int
 	// originDown fails every fetch from the origin.
 	originDown bool
--- a/internal/coordination/fleet/boots_property_test.go
+++ b/internal/coordination/fleet/boots_property_test.go
@@ -26,7 +26,6 @@
 type restartSimulation struct {
 	t     *rapid.T
 	fleet *Fleet
-	// boots are the boots of the processes.
 	boots []catalog.Boot
 	// agentSawRestarts is true if the agent observed every restart.
 	agentSawRestarts bool
--- a/internal/coordination/fleet/boots_test.go
+++ b/internal/coordination/fleet/boots_test.go
@@ -11,14 +11,12 @@
 
 const address = "10.0.0.1:1"
 
-// newBackendWithBoot returns the row of a server with a boot.
 func newBackendWithBoot(id, service string, boot catalog.Boot, revision, version uint64) catalog.Backend {
 	b := newBackend(id, service, address, version)
 	b.Boot, b.Revision = boot, revision
 	return b
 }
 
-// newReport returns a report of a server with a boot.
 func newReport(boot catalog.Boot, version uint64) Report {
 	report := Report{Address: address, AgentAddress: "10.0.0.1:9", Boot: boot}
 	if version > 0 {
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -169,8 +169,7 @@
 	// Servers whose agent has timed out are not in it.
 	reportOrder *list.List
 	// unusable are the servers that are marked as unusable in their router.
-	unusable map[string]*server
-	// healthCheckedAt is the time of the last health check.
+	unusable        map[string]*server
 	healthCheckedAt time.Duration
 	// outageEnd is the end of the store's last outage; outageKnown is false if none is known.
 	outageEnd   time.Duration
--- a/internal/coordination/fleet/scale_test.go
+++ b/internal/coordination/fleet/scale_test.go
@@ -39,11 +39,9 @@
 // the design target.
 var fleetSizes = []int{21, 265, 2700}
 
-// BenchmarkSize measures the periodic work of an entry: a tick without changes, the counts of
-// another entry, a report and a placement. None of them may grow with the number of servers. With a
-// scan of all servers, a tick took 9.0 us at 265 and 229 us at 2,700 servers, counts 5.0 and 77 us,
-// and a placement 1.0 and 3.0 us. With incremental updates they take 1.6 and 1.8, 1.2 and 1.5, and
-// 0.7 and 0.9 us.
+// BenchmarkSize measures an entry's periodic work, which must not grow with the servers. At 265 and
+// 2,700 servers, scans took 9.0 and 229 us for a tick without changes, 5.0 and 77 for another entry's
+// counts and 1.0 and 3.0 for a placement; incremental updates 1.6 and 1.8, 1.2 and 1.5, 0.7 and 0.9.
 func BenchmarkSize(b *testing.B) {
 	for _, n := range fleetSizes {
 		f, now := newFleetOfSize(n), 1100*time.Millisecond
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -27,10 +27,8 @@
 	// the row was *sent*.
 	confirmedAt time.Time
 	lost        bool
-	// acquiredAt is when this holder acquired the lease.
-	acquiredAt time.Time
-	// lastTick is the time of the last call of Tick.
-	lastTick time.Time
+	acquiredAt  time.Time
+	lastTick    time.Time
 	// paused is true if the process was paused since the last confirmation.
 	paused bool
 }
--- a/internal/coordination/membership/membership.go
+++ b/internal/coordination/membership/membership.go
@@ -44,8 +44,7 @@
 	incarnation filbertlever.Incarnation
 	// stopped is the incarnation that announced its stop. The announcement is
 	// final for that incarnation.
-	stopped filbertlever.Incarnation
-	// suspectUntil is when the current suspicion ends.
+	stopped      filbertlever.Incarnation
 	suspectUntil time.Time
 	failures     int
 }
--- a/internal/coordination/outcome/outcome.go
+++ b/internal/coordination/outcome/outcome.go
@@ -161,7 +161,6 @@
 	refusals []refusal
 }
 
-// refusal is a request that was refused.
 type refusal struct {
 	fingerprint string
 	arrived     time.Time
--- a/internal/coordination/relays/relays_test.go
+++ b/internal/coordination/relays/relays_test.go
@@ -37,7 +37,6 @@
 	}
 }
 
-// siteOf returns the site of a host in entries.
 func siteOf(host filbertlever.HostID) string {
 	for _, entry := range entries {
 		if entry.Host == host {
--- a/internal/coordination/retry/window.go
+++ b/internal/coordination/retry/window.go
@@ -32,10 +32,9 @@
 type Window struct {
 	config WindowConfig
 	// bucket is the number of the newest bucket since the start of the clock.
-	bucket   int64
-	requests [windowBuckets]int
-	retries  [windowBuckets]int
-	// refusalRetries counts the retries that followed a refusal.
+	bucket         int64
+	requests       [windowBuckets]int
+	retries        [windowBuckets]int
 	refusalRetries [windowBuckets]int
 }
 
--- a/internal/coordination/routing/predict.go
+++ b/internal/coordination/routing/predict.go
@@ -122,6 +122,5 @@
 	// biasDecay is the time in which a bias decays to 0, so that a slow host is
 	// tried again. A few requests per second then show whether it is still slow.
 	biasDecay = 4 * time.Second
-	// maxBias is the upper bound of the bias.
-	maxBias = 2 * time.Second
+	maxBias   = 2 * time.Second
 )
--- a/internal/transport/agent/agent.go
+++ b/internal/transport/agent/agent.go
@@ -66,7 +66,7 @@
 	httpClient        *http.Client
 	engine            enginev1connect.EngineServiceClient
 	service           servicev1connect.PlainServiceClient
-	library           *weights.Library
+	chunkLibrary      *weights.Library
 	server            *weights.Server
 	fetcher           *weights.Fetcher
 	inbound, outbound *weights.Limiter
@@ -91,11 +91,11 @@
 		queue:      newRequestQueue(),
 		gates:      newGates(n.Incarnation()),
 	}
-	a.library = weights.NewLibrary(state.NewChunkStore())
-	a.server = weights.NewServer(a.library, a.outbound)
+	a.chunkLibrary = weights.NewLibrary(state.NewChunkStore())
+	a.server = weights.NewServer(a.chunkLibrary, a.outbound)
 	sources := &weights.HTTPSources{Peers: a, Origin: config.Origin, Store: config.Store, Client: httpClient, Pacer: a.inbound}
 	self := distribution.Peer{ID: config.Host.ID, Site: config.Host.Site}
-	a.fetcher = weights.NewFetcher(config.Fetch, self, a.library, sources, log)
+	a.fetcher = weights.NewFetcher(config.Fetch, self, a.chunkLibrary, sources, log)
 	if config.EngineURL != "" {
 		a.engine = enginev1connect.NewEngineServiceClient(httpClient, config.EngineURL)
 	}
--- a/internal/transport/agent/loader.go
+++ b/internal/transport/agent/loader.go
@@ -113,7 +113,7 @@
 	}
 	var progress []control.Progress
 	for _, p := range l.placements.All() {
-		held, chunks := l.agent.library.Held(p.Weights.Manifest)
+		held, chunks := l.agent.chunkLibrary.Held(p.Weights.Manifest)
 		progress = append(progress, control.Progress{
 			Model: p.Weights.Model, Version: p.Weights.Version, Manifest: p.Weights.Manifest,
 			Stage: p.Stage, HeldChunks: held, Chunks: chunks, Failures: p.Failures, Reason: p.Reason,
@@ -161,7 +161,7 @@
 			cancel()
 		}
 	}
-	l.agent.library.Retain(l.retained())
+	l.agent.chunkLibrary.Retain(l.retained())
 }
 
 // retained returns the manifests whose chunks are kept: those of wanted and of
@@ -236,7 +236,7 @@
 		l.placements.MarkFailed(c.progress.Weights, err.Error(), now)
 	} else {
 		live = l.placements.MarkLoaded(c.progress.Weights, attested, now)
-		l.agent.library.Retain(l.retained())
+		l.agent.chunkLibrary.Retain(l.retained())
 	}
 	l.mu.Unlock()
 	fields := []zap.Field{zap.String("Model", c.progress.Weights.Model), zap.String("Version", c.progress.Weights.Version), zap.Uint64("Fence", l.fence())}
@@ -302,7 +302,7 @@
 	if w.Base == "" {
 		return ""
 	}
-	if manifest := l.agent.library.Manifest(w.Base); manifest != nil {
+	if manifest := l.agent.chunkLibrary.Manifest(w.Base); manifest != nil {
 		return string(manifest.Digest)
 	}
 	return ""
--- a/internal/transport/agent/transfer.go
+++ b/internal/transport/agent/transfer.go
@@ -70,7 +70,7 @@
 	if err := a.fetcher.Fetch(ctx, t.weights.Manifest, peers, t.favour); err != nil {
 		return "", err
 	}
-	return a.library.Manifest(t.weights.Manifest).Digest, nil
+	return a.chunkLibrary.Manifest(t.weights.Manifest).Digest, nil
 }
 
 // poolPeers returns the usable agents of this agent's pool, ranked in the same
@@ -103,7 +103,7 @@
 // fetchManifest fetches a manifest from another agent of the pool, or from the
 // platform if none of up to maxManifestPeers agents has it.
 func (a *Agent) fetchManifest(ctx context.Context, digest filbertlever.Digest, peers []distribution.Peer) error {
-	if a.library.Manifest(digest) != nil {
+	if a.chunkLibrary.Manifest(digest) != nil {
 		return nil
 	}
 	failures := []error{errNoManifest}
@@ -112,7 +112,7 @@
 			continue
 		}
 		peerCtx, cancel := context.WithTimeout(ctx, engineTimeout)
-		err := a.library.FetchManifest(peerCtx, a, host, digest)
+		err := a.chunkLibrary.FetchManifest(peerCtx, a, host, digest)
 		cancel()
 		if err == nil {
 			return nil
@@ -127,11 +127,10 @@
 	if err != nil {
 		return err
 	}
-	a.library.Add(digest, manifest, data)
+	a.chunkLibrary.Add(digest, manifest, data)
 	return nil
 }
 
-// hostIDs returns the host IDs of peers.
 func hostIDs(peers []distribution.Peer) []filbertlever.HostID {
 	out := make([]filbertlever.HostID, len(peers))
 	for i, p := range peers {
--- a/internal/transport/datagrams/datagrams.go
+++ b/internal/transport/datagrams/datagrams.go
@@ -31,8 +31,7 @@
 	conn  net.PacketConn
 	batch *ipv4.PacketConn
 	// buffers holds the messages that one system call receives.
-	buffers []ipv4.Message
-	// lastReceiveAt is when messages were last received.
+	buffers       []ipv4.Message
 	lastReceiveAt time.Time
 
 	mu       sync.Mutex
--- a/internal/transport/entry/ask.go
+++ b/internal/transport/entry/ask.go
@@ -71,15 +71,13 @@
 	// excluded holds the hosts that refused an attempt or failed during one.
 	excluded []filbertlever.HostID
 	// startSent is true once the version has been sent to the sink.
-	startSent bool
-	// lastResult is the result of the last attempt.
+	startSent  bool
 	lastResult attemptResult
 	// mayHaveRun is true once an attempt has failed that was not refused before
 	// it started.
 	mayHaveRun bool
 }
 
-// attemptResult is the result of one attempt.
 type attemptResult struct {
 	answered bool
 	end      retry.End
--- a/internal/transport/gateway/datagrams.go
+++ b/internal/transport/gateway/datagrams.go
@@ -42,7 +42,6 @@
 	_ = g.socket.Close()
 }
 
-// handleDatagram applies a decoded datagram.
 func (g *Gateway) handleDatagram(d *Datagram, from net.Addr) {
 	now := boottime.Now()
 	g.mu.Lock()
--- a/internal/transport/gateway/peers_test.go
+++ b/internal/transport/gateway/peers_test.go
@@ -15,7 +15,6 @@
 	"github.com/filbertlever/filbertlever"
 )
 
-// entryAt returns an entry at a site of a region.
 func entryAt(host, site, region string) Entry {
 	return Entry{Host: filbertlever.HostID(host), Site: site, Region: region, Callers: host, Incarnation: "1"}
 }
--- a/internal/transport/gateway/size_test.go
+++ b/internal/transport/gateway/size_test.go
@@ -26,11 +26,9 @@
 	return p
 }
 
-// BenchmarkPeers measures how the cost of tracking other entries grows with their number.
-// Heartbeats and counts occur at a constant rate, so their cost must not grow. The list of
-// alive entries is needed some 30 times a second, for agents, pieces and the region's reader,
-// and each agent fetches a view every 3 s. With 98 and 460 entries a count took 1.9 and 9.0 us,
-// and the list of alive entries 62 and 309 us.
+// BenchmarkPeers: with 98 and 460 entries a count took 1.9 and 9.0 us, the alive list 62 and 309 us.
+// Heartbeats and counts have a constant rate, so their cost must not grow. The list is needed some 30
+// times a second (agents, pieces, the region's reader), and each agent fetches a view every 3 s.
 func BenchmarkPeers(b *testing.B) {
 	for _, n := range []int{15, 98, 460} {
 		p, now := newSizedPeers(n), time.Second
--- a/internal/transport/gateway/stream.go
+++ b/internal/transport/gateway/stream.go
@@ -24,8 +24,7 @@
 	// eight. minSilenceTimeout is the lower limit of that timeout.
 	maxSilentPauses   = 4
 	minSilenceTimeout = 800 * time.Millisecond
-	// maxEventBytes limits the size of one event.
-	maxEventBytes = 1 << 20
+	maxEventBytes     = 1 << 20
 )
 
 // eventStream is what the caller has received of a streamed response.
--- a/internal/transport/process/cluster_test.go
+++ b/internal/transport/process/cluster_test.go
@@ -172,7 +172,6 @@
 	cl.hosts = append(cl.hosts, h)
 }
 
-// host returns the host with an ID.
 func (cl *cluster) host(id filbertlever.HostID) filbertlever.Host {
 	for _, h := range cl.hosts {
 		if h.ID == id {
@@ -448,7 +447,6 @@
 	cl.Assert(a.pieces, qt.DeepEquals, want)
 }
 
-// operatorSettings returns the settings of the operator commands.
 func (cl *cluster) operatorSettings() *settings.Settings {
 	s := settings.Defaults()
 	s.TLS = settings.TLS{Authority: cl.keyDir.Authority(), Certificate: cl.keyDir.Path + "/ana.pem", Key: cl.keyDir.Path + "/ana.key"}
--- a/internal/transport/process/orders_test.go
+++ b/internal/transport/process/orders_test.go
@@ -16,7 +16,6 @@
 
 var pickup = client.Order{Key: "pickup-1", Service: "billing", Call: "OrderPickup", Body: []byte("skip 7")}
 
-// pendingOrder is an order in flight.
 type pendingOrder struct {
 	err  error
 	done chan struct{}
--- a/internal/transport/process/process.go
+++ b/internal/transport/process/process.go
@@ -159,7 +159,6 @@
 	return p.run(ctx, a)
 }
 
-// hostFromSettings returns the host that the settings describe.
 func hostFromSettings(s *settings.Settings, role filbertlever.Role) filbertlever.Host {
 	return filbertlever.Host{ID: s.Host, Role: role, Site: s.Site, Region: s.Region, PeerAddress: s.Peer.Address}
 }
--- a/internal/transport/relay/manifest.go
+++ b/internal/transport/relay/manifest.go
@@ -92,7 +92,6 @@
 	result     chan manifestResult
 }
 
-// manifestResult is the outcome of a manifestFetch.
 type manifestResult struct {
 	manifest Manifest
 	err      error
--- a/internal/transport/relay/originstatus.go
+++ b/internal/transport/relay/originstatus.go
@@ -141,7 +141,6 @@
 	}
 }
 
-// fetchOriginManifest fetches a manifest from the origin.
 func (r *Relay) fetchOriginManifest(address string, id catalog.ModelVersion) (Manifest, error) {
 	if r.recentlyRemoved(id, boottime.Now()) {
 		return Manifest{}, fmt.Errorf("manifest of %s version %d: %w", id.Model, id.Version, ErrRemoved)
--- a/internal/transport/relay/priority_test.go
+++ b/internal/transport/relay/priority_test.go
@@ -50,7 +50,6 @@
 	return []relays.Holder{{Backend: "b", Address: "127.0.0.1:1"}}
 }
 
-// drafterVersion returns a version of the model drafter.
 func drafterVersion(version uint64) catalog.ModelVersion {
 	return catalog.ModelVersion{Model: "drafter", Version: version}
 }
--- a/internal/transport/sidecar/sidecar.go
+++ b/internal/transport/sidecar/sidecar.go
@@ -120,10 +120,9 @@
 	// switching is true while entries should send no requests to the server.
 	switching bool
 	// drainDetector detects from the server's responses whether the server is draining.
-	drainDetector drain.CloseDetector
-	report        Report
-	hasReport     bool
-	// reportRequestedAt is when report was requested.
+	drainDetector     drain.CloseDetector
+	report            Report
+	hasReport         bool
 	reportRequestedAt time.Duration
 	// boot is the server's current boot, 0 if it does not report one. endedBoots are the
 	// boots that were observed to end, the latest last.
@@ -249,7 +248,6 @@
 	return s.entries
 }
 
-// cachedPiece returns a piece from the cache.
 func (s *Sidecar) cachedPiece(digest string) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/sidecar/steps.go
+++ b/internal/transport/sidecar/steps.go
@@ -49,8 +49,7 @@
 	fetchingVersion uint64
 	fetchThrottled  bool
 	cancelFetch     context.CancelCauseFunc
-	// cancelLoad cancels the load in progress.
-	cancelLoad context.CancelCauseFunc
+	cancelLoad      context.CancelCauseFunc
 	// stagingMu is held while pieces are staged, because the server has one staging area
 	// for all versions.
 	stagingMu sync.Mutex
@@ -58,8 +57,7 @@
 	// the average time per piece so far.
 	missingPieces int
 	pieceTime     time.Duration
-	// lastPieceAt is when the last piece arrived.
-	lastPieceAt time.Duration
+	lastPieceAt   time.Duration
 	// switchAt is when the server will switch to another version; 0 if no switch is
 	// planned.
 	switchAt time.Duration
--- a/internal/transport/sidecar/views.go
+++ b/internal/transport/sidecar/views.go
@@ -236,7 +236,6 @@
 	}
 }
 
-// maxViewBytes limits the size of an entry's view.
 const maxViewBytes = 4 << 20
 
 func (s *Sidecar) fetchView(ctx context.Context, address string) (gateway.View, error) {
--- a/internal/transport/weights/fetcher.go
+++ b/internal/transport/weights/fetcher.go
@@ -52,24 +52,24 @@
 
 // Fetcher fetches sets of weights into a library. It is safe for concurrent use.
 type Fetcher struct {
-	config  FetchConfig
-	self    distribution.Peer
-	library *Library
-	sources Sources
-	log     *zap.Logger
+	config       FetchConfig
+	self         distribution.Peer
+	chunkLibrary *Library
+	sources      Sources
+	log          *zap.Logger
 	// Fetched counts the bytes fetched.
 	Fetched FetchedBytes
 }
 
 // NewFetcher returns a fetcher for a host.
 func NewFetcher(config FetchConfig, self distribution.Peer, library *Library, sources Sources, log *zap.Logger) *Fetcher {
-	return &Fetcher{config: config, self: self, library: library, sources: sources, log: log}
+	return &Fetcher{config: config, self: self, chunkLibrary: library, sources: sources, log: log}
 }
 
 // Fetch fetches and verifies every missing chunk of a set whose manifest is in the library,
 // and returns nil once all chunks are stored. The hosts are those that fetch the same set.
 func (f *Fetcher) Fetch(ctx context.Context, digest filbertlever.Digest, hosts []distribution.Peer, favour bundle.Favour) error {
-	manifest := f.library.Manifest(digest)
+	manifest := f.chunkLibrary.Manifest(digest)
 	if manifest == nil {
 		return fmt.Errorf("fetch weights %s: manifest unknown", digest.Short())
 	}
@@ -80,11 +80,11 @@
 		fetcher:  f,
 		digest:   digest,
 		manifest: manifest,
-		planner:  distribution.New(config, f.self, len(manifest.Chunks), hosts, f.library.highest(digest), now),
+		planner:  distribution.New(config, f.self, len(manifest.Chunks), hosts, f.chunkLibrary.highest(digest), now),
 		events:   make(chan event, config.Window),
 	}
 	for i, chunk := range manifest.Chunks {
-		if f.library.chunks.Get(chunk) != nil {
+		if f.chunkLibrary.chunks.Get(chunk) != nil {
 			t.planner.MarkHeld(i)
 		}
 	}
@@ -168,7 +168,7 @@
 	case eventEnd:
 		t.end(e, now)
 	}
-	t.fetcher.library.setHighest(t.digest, t.planner.Highest())
+	t.fetcher.chunkLibrary.setHighest(t.digest, t.planner.Highest())
 }
 
 // end reports the end of a fetch to the planner.
@@ -187,7 +187,6 @@
 
 var errCorrupt = errors.New("chunk does not match its digest")
 
-// failureOf returns the kind of failure of an error.
 func failureOf(err error) distribution.Failure {
 	switch {
 	case errors.Is(err, ErrNotYet):
@@ -268,7 +267,7 @@
 	if filbertlever.DigestOf(data) != want {
 		return errCorrupt
 	}
-	w.transfer.fetcher.library.chunks.Put(want, data)
+	w.transfer.fetcher.chunkLibrary.chunks.Put(want, data)
 	return nil
 }
 
--- a/internal/transport/weights/server.go
+++ b/internal/transport/weights/server.go
@@ -155,8 +155,8 @@
 
 // Server serves chunks and manifests to other hosts.
 type Server struct {
-	library *Library
-	pacer   Pacer
+	chunkLibrary *Library
+	pacer        Pacer
 
 	mu      sync.Mutex
 	uploads distribution.UploadQueue
@@ -174,10 +174,10 @@
 // NewServer returns a server for the sets of a library.
 func NewServer(library *Library, pacer Pacer) *Server {
 	return &Server{
-		library: library,
-		pacer:   pacer,
-		uploads: distribution.UploadQueue{Slots: uploadSlots},
-		waiting: map[uint64]chan struct{}{},
+		chunkLibrary: library,
+		pacer:        pacer,
+		uploads:      distribution.UploadQueue{Slots: uploadSlots},
+		waiting:      map[uint64]chan struct{}{},
 	}
 }
 
@@ -232,29 +232,29 @@
 // ServeSet serves complete sets to the engine on the same host.
 func (s *Server) ServeSet(w http.ResponseWriter, request *http.Request) {
 	digest := filbertlever.Digest(request.PathValue("digest"))
-	manifest := s.library.Manifest(digest)
+	manifest := s.chunkLibrary.Manifest(digest)
 	if manifest == nil {
 		http.NotFound(w, request)
 		return
 	}
-	if held, chunks := s.library.Held(digest); held < chunks {
+	if held, chunks := s.chunkLibrary.Held(digest); held < chunks {
 		http.Error(w, "set is not complete", http.StatusConflict)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.FormatInt(manifest.Size, 10))
 	// An error ends the response early, which the engine detects by the Content-Length.
-	_ = s.library.WriteSet(w, digest)
+	_ = s.chunkLibrary.WriteSet(w, digest)
 }
 
 // manifest serves the encoded manifest of a set.
 func (s *Server) manifest(w http.ResponseWriter, request *http.Request) {
 	digest := filbertlever.Digest(request.PathValue("digest"))
-	set := s.library.set(digest)
+	set := s.chunkLibrary.set(digest)
 	if set == nil {
 		http.NotFound(w, request)
 		return
 	}
-	w.Header().Set(headerHighest, strconv.Itoa(s.library.highest(digest)))
+	w.Header().Set(headerHighest, strconv.Itoa(s.chunkLibrary.highest(digest)))
 	_, _ = w.Write(set.encoded)
 }
 
@@ -268,7 +268,7 @@
 	received := time.Now()
 	data, ok := s.waitForChunk(request.Context(), digest, wait)
 	set := filbertlever.Digest(query.Get(paramSet))
-	w.Header().Set(headerHighest, strconv.Itoa(s.library.highest(set)))
+	w.Header().Set(headerHighest, strconv.Itoa(s.chunkLibrary.highest(set)))
 	if !ok {
 		w.WriteHeader(http.StatusNoContent)
 		return
@@ -320,7 +320,7 @@
 
 // waitForChunk returns a chunk and waits for it if it is not stored yet.
 func (s *Server) waitForChunk(ctx context.Context, digest filbertlever.Digest, wait time.Duration) ([]byte, bool) {
-	data, stored := s.library.chunks.Wait(digest)
+	data, stored := s.chunkLibrary.chunks.Wait(digest)
 	if data != nil || wait <= 0 {
 		return data, data != nil
 	}
@@ -328,7 +328,7 @@
 	defer timer.Stop()
 	select {
 	case <-stored:
-		data = s.library.chunks.Get(digest)
+		data = s.chunkLibrary.chunks.Get(digest)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
