--- a/internal/coordination/quarantine/simulation_test.go
+++ b/internal/coordination/quarantine/simulation_test.go
@@ -47,9 +47,9 @@
 	// is down after a crash.
 	answerDuration  = 1200 * ms
 	restartDuration = 3 * time.Second
-	// maxAttempts is how often a request that crashes no server is sent: to two servers in each
+	// maxRequestAttempts is how often a request that crashes no server is sent: to two servers in each
 	// of its caller's two attempts.
-	maxAttempts = 4
+	maxRequestAttempts = 4
 )
 
 func newSimulation(seed uint64, servers int) *simulation {
@@ -105,7 +105,7 @@
 		if r.attempts == 2 {
 			r.entry = sim.rng.IntN(len(sim.tables))
 		}
-		if !r.crashes && r.attempts < maxAttempts || r.crashes && r.attempts < 2 {
+		if !r.crashes && r.attempts < maxRequestAttempts || r.crashes && r.attempts < 2 {
 			sim.dispatch(r)
 		}
 	}
--- a/internal/coordination/rollout/roll.go
+++ b/internal/coordination/rollout/roll.go
@@ -71,9 +71,9 @@
 
 // Retry limit and backoff for failures of the platform.
 const (
-	maxAttempts = 6
-	baseBackoff = 100 * time.Millisecond
-	maxBackoff  = 2 * time.Second
+	maxRollAttempts = 6
+	baseBackoff     = 100 * time.Millisecond
+	maxBackoff      = 2 * time.Second
 )
 
 // Roll is the state machine that tries to get one candidate accepted. It has
@@ -151,7 +151,7 @@
 
 func (r *Roll) retryOrFinish(retry Action, err error) Action {
 	r.failures++
-	if r.failures < maxAttempts {
+	if r.failures < maxRollAttempts {
 		retry.Wait = min(baseBackoff<<(r.failures-1), maxBackoff)
 		return retry
 	}
