--- a/internal/coordination/switchover/switchover_test.go
+++ b/internal/coordination/switchover/switchover_test.go
@@ -177,9 +177,9 @@
 	c.Assert(config.MayStartOnOlder(setAt, lastSend, 500*time.Millisecond), qt.IsFalse)
 }
 
-// After an outage of 6 s, 4 of 96 pieces of the first of two targets were
-// missing, at 27 ms each. An assumed 88 ms per piece abandoned its fetch, and
-// no server could answer until the second was complete 3 s later.
+// Two targets were set 2 s apart. After an outage of 6 s, the first lacked 4 of
+// its 96 pieces, at 27 ms each. An assumed 88 ms per piece abandoned its fetch,
+// and no server could answer until the second was complete 3 s later.
 func TestObservedRateDecidesWhichFetchIsFinished(t *testing.T) {
 	c := qt.New(t)
 	config := DefaultConfig(maxStaleness)
